--- a/core/election/election.go
+++ b/core/election/election.go
@@ -1,12 +1,15 @@
-// Package election decides when a host claims to be the owner of scheduling, and when an
-// owner hands over to an abler host.
+// Package election decides when a host claims ownership of scheduling, and when
+// the owner hands ownership over to a host with a higher ability.
 //
-// The platform's store keeps the group of live hosts and drops a host that is silent.
-// The owner is whoever wrote the newest claim. A host claims when the owner is missing
-// from the group in several looks in a row, or when most of the first hosts in rank get no answer
-// from it to questions of their own; hosts claim one after the other, the ablest
-// first and equal ones by a rank that they all agree on, and the store refuses a claim whose
-// epoch is below one that it has seen. A claim too many is harmless: it costs one change of owner.
+// The platform's store keeps the group of live hosts and removes a host that stops
+// renewing its membership. The owner is the host that wrote the newest claim. A
+// host claims when the owner is missing from several consecutive polls of the
+// group, or when a majority of the highest-ranked hosts get no answer to their own
+// liveness probes of the owner. Hosts claim one after the other: those with the
+// highest ability first, and hosts of equal ability in the order of a rank that
+// all hosts compute alike. The store rejects a claim whose epoch is lower than one
+// it has already seen. An unnecessary claim is harmless: it costs one change of
+// owner.
 package election
 
 import (
@@ -19,104 +22,117 @@
 )
 
 const (
-	// missedLooks is how many looks in a row must miss the owner. One may fall
-	// into a moment in which the store deals its partitions anew.
-	missedLooks = 2
-	// stagger is the head start of each rank over the next: a claim and a look
-	// take about 50 ms.
-	stagger = 250 * time.Millisecond
-	// fresh is how old the newest look may be for a claim: the first hosts look every 500 ms, so
-	// two looks may be lost.
-	fresh = 1500 * time.Millisecond
-	// standbyHosts is how many hosts, by rank, are ready to claim at once. One of them is
-	// mostly the owner itself, and another may die together with it.
+	// missesBeforeClaim is the number of consecutive polls that must miss the
+	// owner. A single poll may miss a live owner while the store reassigns its
+	// partitions.
+	missesBeforeClaim = 2
+	// claimStagger is the delay between the claims of hosts with adjacent ranks.
+	// A claim plus a poll takes about 50 ms.
+	claimStagger = 250 * time.Millisecond
+	// maxViewAge is the maximum age of the newest poll for a host to claim. The
+	// highest-ranked hosts poll every 500 ms, so two polls may be lost.
+	maxViewAge = 1500 * time.Millisecond
+	// standbyHosts is the number of hosts, by rank, that are ready to claim at
+	// once. One of them usually is the owner itself, and another may fail together
+	// with it.
 	standbyHosts = 3
-	// lookEvery is the pause between two looks of the first hosts in rank, lookSoon that of any host while the owner is missing.
-	lookEvery = 500 * time.Millisecond
-	lookSoon  = 120 * time.Millisecond
-	// lookRarely is the pause of hosts from place rareFrom on. They claim 2 s after they have first missed the owner, when all before them have
-	// not; a look may be so old then. On many hosts looks are a good part of all calls to the store.
-	lookRarely = 1200 * time.Millisecond
-	rareFrom   = 8
-	// settle is how long a new owner isn't suspected. The group shows a host only once it holds
-	// a partition, and while many hosts join at once they are dealt anew again and again, so that one owner would
-	// follow the other. A dead one is missed for a second anyway.
-	settle = time.Second
-	// ablerFactor is how much abler another host must be for the owner to hand over, and
-	// ablerFor how long it must have been in the group without a break: a change of owner
-	// costs about 0.3 s without new starts, and a host that comes and goes would cost it
-	// again and again.
-	ablerFactor = 1.5
-	ablerFor    = 2 * time.Second
-	// tenure is the least time between a claim and a hand-over to an abler host, so that a
-	// host that can be seen but can't claim doesn't make owners alternate.
-	tenure = 5 * time.Second
+	// pollInterval is the pause between two polls of a high-ranked host, and
+	// fastPollInterval that of any host while the owner is missing.
+	pollInterval     = 500 * time.Millisecond
+	fastPollInterval = 120 * time.Millisecond
+	// slowPollInterval is the pause for hosts at position slowPollFrom or later.
+	// Such a host claims no earlier than 2 s after it first misses the owner, if
+	// no host before it has claimed, so a poll may be that old by then. With many
+	// hosts, polls are a large part of all calls to the store.
+	slowPollInterval = 1200 * time.Millisecond
+	slowPollFrom     = 8
+	// newOwnerGrace is how long after a claim the new owner isn't suspected. The
+	// group shows a host only once it holds a partition, and while many hosts join
+	// at once the partitions are reassigned repeatedly, so that without a grace
+	// period owners would replace each other in quick succession. A failed owner
+	// stays in the group for a second anyway.
+	newOwnerGrace = time.Second
+	// handoverFactor is the minimum ratio of another host's ability to the owner's
+	// for a handover, and handoverAfter is how long that host must have been in
+	// the group without interruption. No task is started for about 0.3 s during a
+	// change of owner, and a host that joins and leaves repeatedly would cause
+	// that each time.
+	handoverFactor = 1.5
+	handoverAfter  = 2 * time.Second
+	// minTenure is the minimum time between a claim and a handover to a host of
+	// higher ability, so that a host that is in the group but can't claim doesn't
+	// make ownership alternate.
+	minTenure = 5 * time.Second
 )
 
 // Member is one host of the group.
 type Member struct {
 	Host id.Host
-	// Ability is how many tasks a second the host can start as the owner; 0 if it isn't
-	// known.
+	// Ability is the number of tasks per second that the host can start as the
+	// owner; 0 if unknown.
 	Ability int
 }
 
-// Election is what one host knows of the group. The zero value is not ready; call New.
+// Election is one host's view of the group and of the owner. The zero value isn't
+// usable; call New.
 type Election struct {
 	self Member
-	// members is the newest look at the group, looked when it was made.
-	members []Member
-	looked  unit.Instant
-	// missed counts the looks in a row without the owner, since is the first.
-	missed int
-	since  unit.Instant
-	// claimed is when the newest claim was seen; 0 if none was, or the owner has given the
-	// ownership back since.
-	claimed unit.Instant
-	// ablerSince is since when every look has shown a much abler host; 0 if the newest
-	// one has not.
+	// members is the result of the newest poll of the group, made at polledAt.
+	members  []Member
+	polledAt unit.Instant
+	// misses counts the consecutive polls without the owner; missingSince is the
+	// time of the first of them.
+	misses       int
+	missingSince unit.Instant
+	// claimedAt is when the newest claim was seen; 0 if there was none, or if the
+	// owner has released ownership since.
+	claimedAt unit.Instant
+	// ablerSince is the time of the first of the consecutive polls that show a host
+	// of handoverFactor times this host's ability; 0 if the newest poll shows none.
 	ablerSince unit.Instant
-	// owned is when this host last became the owner; 0 before.
-	owned unit.Instant
-	// silence is what this host's own questions to the owner tell.
-	silence silence
+	// ownedAt is when this host last became the owner; 0 if it never did.
+	ownedAt unit.Instant
+	// probes holds the results of this host's own liveness probes of the owner.
+	probes probeResults
 }
 
-// rankKey is what equally able hosts are ranked for.
+// rankKey is the hash key by which hosts of equal ability are ranked.
 const rankKey = "owner"
 
 // New returns the election of a host.
 func New(self Member) *Election { return &Election{self: self} }
 
-// Look takes in the members of the group and who the owner is by the newest claim.
+// Look records a poll of the group. The owner is the host that wrote the newest
+// claim, or empty if there is none.
 func (e *Election) Look(now unit.Instant, members []Member, owner id.Host) {
-	if now.Sub(e.looked) > fresh {
-		e.silence.agreed = 0 // this host may have been cut off itself
+	if now.Sub(e.polledAt) > maxViewAge {
+		e.probes.agreedAt = 0 // this host may have been partitioned from the others itself
 	}
-	e.members, e.looked = members, now
-	e.lookForAbler(now)
+	e.members, e.polledAt = members, now
+	e.trackAbler(now)
 	if owner != "" && contains(members, owner) {
-		e.missed = 0
+		e.misses = 0
 		return
 	}
-	if e.missed == 0 {
-		e.since = now
+	if e.misses == 0 {
+		e.missingSince = now
 	}
-	e.missed++
+	e.misses++
 }
 
-// Known notes who the owner is when a host first knows. Looks that were made before that have missed
-// an owner that nobody knew; if the newest one shows the real one, it isn't missing.
+// Known records the owner when this host first learns of it. Earlier polls count as
+// misses because no owner was known; if the newest poll shows the owner, those
+// misses are reset.
 func (e *Election) Known(owner id.Host) {
 	if contains(e.members, owner) {
-		e.missed = 0
+		e.misses = 0
 	}
 }
 
-// lookForAbler notes since when a much abler host is in the group.
-func (e *Election) lookForAbler(now unit.Instant) {
+// trackAbler updates ablerSince after a poll.
+func (e *Election) trackAbler(now unit.Instant) {
 	abler := slices.ContainsFunc(e.members, func(m Member) bool {
-		return float64(m.Ability) >= ablerFactor*float64(e.self.Ability) && m.Ability > 0
+		return float64(m.Ability) >= handoverFactor*float64(e.self.Ability) && m.Ability > 0
 	})
 	switch {
 	case !abler:
@@ -126,46 +142,48 @@
 	}
 }
 
-// Claimed notes that some host has claimed. It is taken to live until looks miss it: without
-// that, all hosts that have missed the former owner go on to claim.
+// Claimed records that some host has claimed. The claimant counts as live until
+// polls miss it; otherwise every host that has missed the former owner would claim
+// as well.
 func (e *Election) Claimed(now unit.Instant) {
-	e.missed, e.since, e.claimed = 0, now, now
-	e.silence = silence{}
+	e.misses, e.missingSince, e.claimedAt = 0, now, now
+	e.probes = probeResults{}
 }
 
-// Owned notes that this host has become the owner.
-func (e *Election) Owned(now unit.Instant) { e.owned = now }
+// Owned records that this host has become the owner.
+func (e *Election) Owned(now unit.Instant) { e.ownedAt = now }
 
-// Yields reports whether this host, as the owner, is to hand over to an abler one.
+// Yields reports whether this host, as the owner, should hand ownership over to a
+// host of higher ability.
 func (e *Election) Yields(now unit.Instant) bool {
-	return e.ablerSince != 0 && now.Sub(e.ablerSince) >= ablerFor && now.Sub(e.owned) >= tenure && now.Sub(e.looked) <= fresh
+	return e.ablerSince != 0 && now.Sub(e.ablerSince) >= handoverAfter && now.Sub(e.ownedAt) >= minTenure && now.Sub(e.polledAt) <= maxViewAge
 }
 
-// Released notes that the owner has given its ownership back.
+// Released records that the owner has released ownership.
 func (e *Election) Released(now unit.Instant) {
-	e.claimed = 0
-	if e.missed < missedLooks {
-		e.missed, e.since = missedLooks, now
+	e.claimedAt = 0
+	if e.misses < missesBeforeClaim {
+		e.misses, e.missingSince = missesBeforeClaim, now
 	}
 }
 
-// Claim reports whether the host is to claim now.
+// Claim reports whether this host should claim now.
 func (e *Election) Claim(now unit.Instant) bool {
-	if now.Sub(e.looked) > fresh || !contains(e.members, e.self.Host) {
+	if now.Sub(e.polledAt) > maxViewAge || !contains(e.members, e.self.Host) {
 		return false
 	}
-	if e.claimed != 0 && now.Sub(e.claimed) < settle {
+	if e.claimedAt != 0 && now.Sub(e.claimedAt) < newOwnerGrace {
 		return false
 	}
-	if e.replaces(now) {
+	if e.claimsByProbes(now) {
 		return true
 	}
-	return e.missed >= missedLooks && now.Sub(e.since) >= time.Duration(e.place())*stagger
+	return e.misses >= missesBeforeClaim && now.Sub(e.missingSince) >= time.Duration(e.position())*claimStagger
 }
 
-// place returns how many members claim before this host: all that are abler, and those as able
-// that rank before it.
-func (e *Election) place() int {
+// position returns how many members claim before this host: all members of higher
+// ability, and those of equal ability that rank before it.
+func (e *Election) position() int {
 	before := 0
 	var equals []id.Host
 	for _, m := range e.members {
@@ -179,23 +197,23 @@
 	return before + rank.Of(e.self.Host, rankKey, equals)
 }
 
-// Standby reports whether this host is among the first that would claim. A host that
-// hasn't seen the group yet may be.
-func (e *Election) Standby() bool { return len(e.members) == 0 || e.place() < standbyHosts }
+// Standby reports whether this host is among the first standbyHosts that would
+// claim. It also reports true before the first poll of the group.
+func (e *Election) Standby() bool { return len(e.members) == 0 || e.position() < standbyHosts }
 
-// NextLook returns the pause until the next look at the group.
+// NextLook returns the pause until the next poll of the group.
 func (e *Election) NextLook() time.Duration {
 	switch {
 	case e.Suspects():
-		return lookSoon
-	case len(e.members) > 0 && e.place() >= rareFrom:
-		return lookRarely
+		return fastPollInterval
+	case len(e.members) > 0 && e.position() >= slowPollFrom:
+		return slowPollInterval
 	}
-	return lookEvery
+	return pollInterval
 }
 
-// Suspects reports whether the owner was missing in the newest look.
-func (e *Election) Suspects() bool { return e.missed > 0 }
+// Suspects reports whether the newest poll missed the owner.
+func (e *Election) Suspects() bool { return e.misses > 0 }
 
 // contains reports whether a host is a member.
 func contains(members []Member, host id.Host) bool {
--- a/core/election/election_test.go
+++ b/core/election/election_test.go
@@ -14,25 +14,27 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// TestScripts drives an election by the scripts in testdata, one host's view each:
+// TestScripts runs the scripts in testdata, each against the election of one host:
 //
 //	self HOST[=ABILITY]
-//	look TIME OWNER MEMBER[=ABILITY]...    a look at the group; OWNER is - if there is none
-//	owned TIME                   the host has become the owner
-//	yields TIME true|false       checks whether it hands over to an abler host
-//	released TIME
-//	claimed TIME                 a new claim is in the store
-//	known OWNER                  the host first knows who the owner is
-//	claim TIME true|false        checks whether the host claims
-//	standby true|false           checks whether it is among the first to claim
-//	next D                       checks the pause until the next look
-//	heard TIME OWNER             the owner has answered a question of this host
-//	unanswered OWNER             a question of this host got no answer
-//	gone OWNER                   nobody listens at the owner's address
-//	misses TIME OWNER true|false    checks whether this host misses the owner
-//	witness TIME OWNER true|false   checks what it answers to another watcher
-//	agreed TIME OWNER OTHERS true|false  so many other watchers miss the owner; checks whether it is taken for dead
-//	watchers OWNER HOST...       checks who asks the owner
+//	look TIME OWNER MEMBER[=ABILITY]...  records a poll of the group;
+//	                                     OWNER is - if there is none
+//	owned TIME                           this host has become the owner
+//	yields TIME true|false               checks whether it hands over to another host
+//	released TIME                        the owner has released ownership
+//	claimed TIME                         a new claim is in the store
+//	known OWNER                          this host learns who the owner is
+//	claim TIME true|false                checks whether this host claims
+//	standby true|false                   checks whether it is among the first to claim
+//	next D                               checks the pause until the next poll
+//	heard TIME OWNER                     the owner has answered a probe of this host
+//	unanswered OWNER                     a probe of this host timed out
+//	gone OWNER                           the owner's address refused the connection
+//	misses TIME OWNER true|false         checks whether this host misses the owner
+//	witness TIME OWNER true|false        checks what it answers to another watcher
+//	agreed TIME OWNER OTHERS true|false  OTHERS other watchers miss the owner; checks
+//	                                     whether the owner is now considered failed
+//	watchers OWNER HOST...               checks which hosts probe the owner
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, run)
 }
@@ -66,13 +68,13 @@
 		case "standby":
 			expect(t, i, l, e.Standby(), f[1])
 		default:
-			silence(t, e, i, f)
+			runProbeCommand(t, e, i, f)
 		}
 	}
 }
 
-// silence plays the commands about an owner that doesn't answer.
-func silence(t *testing.T, e *election.Election, i int, f []string) {
+// runProbeCommand runs the commands about liveness probes of the owner.
+func runProbeCommand(t *testing.T, e *election.Election, i int, f []string) {
 	line := strings.Join(f, " ")
 	switch f[0] {
 	case "known":
@@ -117,7 +119,7 @@
 	return out
 }
 
-// member reads a host and its ability, which is 0 if it isn't given.
+// member parses HOST[=ABILITY]; the ability is 0 if absent.
 func member(t *testing.T, text string) election.Member {
 	name, ability, given := strings.Cut(text, "=")
 	m := election.Member{Host: id.Host(name)}
--- a/core/election/silence.go
+++ b/core/election/silence.go
@@ -11,56 +11,65 @@
 )
 
 const (
-	// watchedBy is how many of the first hosts in rank ask the owner itself whether it lives, so
-	// that its silent death shows before the store drops it. The owner is mostly one of them.
-	// With four others three make a majority, so two parts of hosts that are cut from each other
-	// can't take the ownership in turns.
-	watchedBy = 5
-	// silentAfter is for how long the owner must have answered nothing for a host to miss it: two
-	// questions, which hosts ask every 120 ms, and some time for the second one's answer.
-	silentAfter = 250 * time.Millisecond
-	// fewestUnanswered is how many questions in a row must have gone unanswered as well, 0.8 s in all. The
-	// first one may have gone on a link that has died without a sign; the others go on new links. With
-	// two, an owner with little of a core that is busy for some tenths of a second loses its office
-	// again and again.
-	fewestUnanswered = 4
-	// witnessAfter is the same for a host that is asked by one that misses the owner. It may have
-	// asked a little later than that one.
-	witnessAfter = 150 * time.Millisecond
-	// watchedFrom is how long a host must have been the owner for its silence to count. Until
-	// then only the store tells that it is gone, so that hosts can't take turns quickly: workers
-	// hold orders from two hosts within 3 s against them.
-	watchedFrom = 3 * time.Second
+	// watchers is the number of the highest-ranked hosts that send liveness probes
+	// to the owner, so that a failure without a closed connection is noticed
+	// before the store removes the owner from the group. The owner usually is one
+	// of them. Of the other four, three are a majority, so two sets of hosts that
+	// are partitioned from each other can't take ownership from each other in turn.
+	watchers = 5
+	// missAfter is how long the owner must have answered no probe for a host to
+	// report it as unresponsive: two probes, which are sent every 120 ms, and some
+	// time for the answer to the second one.
+	missAfter = 250 * time.Millisecond
+	// minUnanswered is the number of consecutive probes that must be unanswered
+	// as well, 0.8 s in all. The first one may have been sent on a connection that
+	// broke without a reset; the following ones use new connections. With two, an
+	// owner that has only a fraction of a core and is busy for some tenths of a
+	// second loses ownership repeatedly.
+	minUnanswered = 4
+	// confirmAfter corresponds to missAfter for a watcher that is asked by another
+	// one which misses the owner. It is shorter because this watcher may have sent
+	// its probe a little later.
+	confirmAfter = 150 * time.Millisecond
+	// probesCountFrom is how long a host must have been the owner before
+	// unanswered probes count. Until then only the store decides that it is gone,
+	// so that ownership can't change in quick succession: workers count orders from
+	// two hosts within 3 s as a fault.
+	probesCountFrom = 3 * time.Second
 )
 
-// silence is what a host knows of the owner from questions of its own.
-type silence struct {
-	// owner is whom the rest is about; it has answered at least once, at heard last.
-	owner id.Host
-	heard unit.Instant
-	// unanswered counts the questions without an answer since then.
+// probeResults is what a host knows of the owner from its own liveness probes.
+type probeResults struct {
+	// owner is the host that the other fields describe. It has answered at least
+	// once, most recently at answeredAt.
+	owner      id.Host
+	answeredAt unit.Instant
+	// unanswered counts the unanswered probes since answeredAt.
 	unanswered int
-	// gone is set while nobody listens at the owner's address, or another life of the host does.
-	gone bool
-	// agreed is since when most of the watchers miss the owner; 0 if they don't.
-	agreed unit.Instant
+	// refused is set if the owner's address refused the connection, or if another
+	// incarnation of the host answered there.
+	refused bool
+	// agreedAt is when a majority of the watchers first missed the owner; 0 if
+	// there is no majority.
+	agreedAt unit.Instant
 }
 
-// misses reports whether the owner has answered nothing for a time.
-func (s *silence) misses(now unit.Instant, owner id.Host, after time.Duration) bool {
+// misses reports whether the owner has answered no probe for the given time.
+func (s *probeResults) misses(now unit.Instant, owner id.Host, after time.Duration) bool {
 	if owner == "" || s.owner != owner {
 		return false
 	}
-	return s.gone || s.unanswered >= fewestUnanswered && now.Sub(s.heard) >= after
+	return s.refused || s.unanswered >= minUnanswered && now.Sub(s.answeredAt) >= after
 }
 
-// Watchers returns who asks the owner whether it lives: the first hosts in rank without itself.
+// Watchers returns the hosts that probe the owner: the highest-ranked hosts without
+// the owner itself.
 func (e *Election) Watchers(owner id.Host) []id.Host {
 	first := slices.SortedFunc(slices.Values(e.members), func(a, b Member) int {
 		return cmp.Or(cmp.Compare(b.Ability, a.Ability), rank.Compare(a.Host, b.Host, rankKey))
 	})
 	var out []id.Host
-	for _, m := range first[:min(watchedBy, len(first))] {
+	for _, m := range first[:min(watchers, len(first))] {
 		if m.Host != owner {
 			out = append(out, m.Host)
 		}
@@ -68,57 +77,61 @@
 	return out
 }
 
-// Heard notes that the owner has answered a question.
+// Heard records that the owner has answered a probe.
 func (e *Election) Heard(now unit.Instant, owner id.Host) {
-	e.silence = silence{owner: owner, heard: now}
+	e.probes = probeResults{owner: owner, answeredAt: now}
 }
 
-// Unanswered notes that a question to the owner got no answer in time.
+// Unanswered records that a probe of the owner timed out.
 func (e *Election) Unanswered(owner id.Host) {
-	if e.silence.owner == owner {
-		e.silence.unanswered++
+	if e.probes.owner == owner {
+		e.probes.unanswered++
 	}
 }
 
-// Gone notes that nobody listens at the owner's address, or another life of its host does.
+// Gone records that the owner's address refused the connection, or that another
+// incarnation of its host answered there.
 func (e *Election) Gone(owner id.Host) {
-	if e.silence.owner == owner {
-		e.silence.gone = true
+	if e.probes.owner == owner {
+		e.probes.refused = true
 	}
 }
 
-// Misses reports whether this host misses the owner, so that it is to ask the other watchers.
+// Misses reports whether the owner is unresponsive to this host, in which case this
+// host should ask the other watchers.
 func (e *Election) Misses(now unit.Instant, owner id.Host) bool {
-	return e.silence.misses(now, owner, silentAfter)
+	return e.probes.misses(now, owner, missAfter)
 }
 
-// Witness reports to another watcher whether this host misses the owner as well.
+// Witness reports, in answer to another watcher, whether the owner is unresponsive
+// to this host as well.
 func (e *Election) Witness(now unit.Instant, owner id.Host) bool {
-	return e.silence.misses(now, owner, witnessAfter)
+	return e.probes.misses(now, owner, confirmAfter)
 }
 
-// Agreed notes how many other watchers miss the owner as well. It reports whether the owner is
-// taken for dead from now on: most of the watchers must miss it, and at least one besides this host.
+// Agreed records how many other watchers miss the owner as well. It reports true
+// when the owner is first considered failed: a majority of the watchers must miss
+// it, at least one of them besides this host.
 func (e *Election) Agreed(now unit.Instant, owner id.Host, others int) bool {
 	if others == 0 || 2*(others+1) <= len(e.Watchers(owner)) || !e.Misses(now, owner) {
 		return false
 	}
-	if e.claimed != 0 && now.Sub(e.claimed) < watchedFrom {
+	if e.claimedAt != 0 && now.Sub(e.claimedAt) < probesCountFrom {
 		return false
 	}
-	first := e.silence.agreed == 0
+	first := e.probes.agreedAt == 0
 	if first {
-		e.silence.agreed = now
+		e.probes.agreedAt = now
 	}
 	return first
 }
 
-// replaces reports whether this host is to claim because most of the watchers miss the owner. They
-// claim one after the other.
-func (e *Election) replaces(now unit.Instant) bool {
-	if e.silence.agreed == 0 {
+// claimsByProbes reports whether this host should claim because a majority of the
+// watchers miss the owner. The watchers claim one after the other.
+func (e *Election) claimsByProbes(now unit.Instant) bool {
+	if e.probes.agreedAt == 0 {
 		return false
 	}
-	place := slices.Index(e.Watchers(e.silence.owner), e.self.Host)
-	return place >= 0 && now.Sub(e.silence.agreed) >= time.Duration(place)*stagger
+	position := slices.Index(e.Watchers(e.probes.owner), e.self.Host)
+	return position >= 0 && now.Sub(e.probes.agreedAt) >= time.Duration(position)*claimStagger
 }
