--- a/core/node/bench_test.go
+++ b/core/node/bench_test.go
@@ -19,7 +19,8 @@
 
 const begin = unit.Instant(time.Hour)
 
-// single is one core whose records are its own to write.
+// single is one node with a simulated log: write appends a record and delivers it
+// to the node.
 type single struct {
 	*node.Node
 	now    unit.Instant
@@ -38,7 +39,7 @@
 	return s
 }
 
-// write puts entries on the log of the core, as another host.
+// write appends a record with the entries, written by another host, and delivers it.
 func (s *single) write(b testing.TB, entries ...record.Entry) {
 	s.seq++
 	raw, err := record.Encode(record.Batch{
@@ -62,7 +63,7 @@
 	s.Step(s.now, ev)
 }
 
-// BenchmarkRequest measures a request from its arrival to its answer.
+// BenchmarkRequest measures the handling of a request from arrival to answer.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{50, 200, 800} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
@@ -82,8 +83,9 @@
 	}
 }
 
-// BenchmarkSecond measures a second of an idle host among others: its ticks, the
-// frames it sends and those it hears. It reports the bytes of frames sent.
+// BenchmarkSecond measures one second of an idle host in a group of hosts: its
+// ticks, the frames it sends and those it receives. It reports the bytes of the
+// frames sent.
 func BenchmarkSecond(b *testing.B) {
 	frames := codec.New[peer.Frame]()
 	for _, hosts := range []int{3, 9, 30, 100} {
@@ -116,8 +118,8 @@
 	}
 }
 
-// BenchmarkConfigure measures a change of configuration with the given number of racks
-// and guarantees.
+// BenchmarkConfigure measures a configuration change with the given number of racks
+// and four guaranteed blocks for each.
 func BenchmarkConfigure(b *testing.B) {
 	for _, racks := range []int{7, 42, 124} {
 		b.Run(fmt.Sprintf("racks=%d", racks), func(b *testing.B) {
@@ -152,8 +154,8 @@
 	}
 }
 
-// BenchmarkSnapshot measures a snapshot of a state with the given number of jobs, and
-// reports its size.
+// BenchmarkSnapshot measures encoding a snapshot of a state with the given number of
+// jobs, and reports its size per job.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, jobs := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
--- a/core/node/doc.go
+++ b/core/node/doc.go
@@ -1,11 +1,11 @@
-// Package node is the decision core of an entry host: one state machine that is
-// told what happened and answers with what to do.
+// Package node is the decision core of an entry host: a state machine that takes
+// an event and returns the actions to carry out.
 //
 //	actions := n.Step(now, event)
 //
-// Everything that a host decides is decided here, in the packages that node joins
-// together: the replayed state, the journal of own entries, the election of the
-// owner, the scheduler while this host is the owner, and the router of requests.
-// Node does no I/O, reads no clock and starts no goroutine, so anything can drive
-// it: the shell of the real process, a test, or a bench with a virtual clock.
+// All decisions of a host are made here, in the packages that node combines: the
+// replayed state, the journal of the host's own entries, the election of the owner,
+// the scheduler while this host is the owner, and the router of requests. Package
+// node does no I/O, reads no clock and starts no goroutine, so it runs the same in
+// the real process, in a test and in a simulation with a virtual clock.
 package node
--- a/core/node/message.go
+++ b/core/node/message.go
@@ -16,65 +16,66 @@
 	"curlewsill.org/curlewsill/core/worker"
 )
 
-// Event is something that happened. It is one of the event types of this package.
+// Event is an input of Step: one of the event types of this package.
 type Event interface{ event() }
 
-// Ticket connects a question of the shell with its answer.
+// Ticket matches a question of the surrounding process with its answer.
 type Ticket uint64
 
 type (
-	// Tick says that time has passed.
+	// Tick reports that time has passed.
 	Tick struct{}
-	// Records brings records of the log, one after the other from First. Head is
-	// the last offset of the log. Records with Head 0 come from a peer.
+	// Records holds consecutive records of the log, the first at offset First. Head
+	// is the last offset of the log, or 0 if the records come from a peer.
 	Records struct {
 		First id.Offset
 		Raw   [][]byte
 		Head  id.Offset
 	}
-	// LogDown says that a read of the log failed.
+	// LogDown reports that a read of the log failed.
 	LogDown struct{}
-	// AppendFailed says that an append was refused or got no answer.
+	// AppendFailed reports that an append was rejected or got no answer.
 	AppendFailed struct{}
-	// Heard brings a frame of a peer.
+	// Heard holds a frame received from a peer.
 	Heard struct{ Frame peer.Frame }
-	// Hosts brings the platform's host list.
+	// Hosts holds the platform's host list.
 	Hosts struct {
 		// Entry lists the entry hosts.
 		Entry []id.Host
 		// Backends lists the backend servers of each service; the value is false
-		// for those that are leaving.
+		// for a backend server that is shutting down.
 		Backends map[id.Service]map[id.Backend]bool
 	}
-	// Report brings a worker's answer.
+	// Report holds a worker's answer to a sync.
 	Report struct{ Report worker.Report }
-	// Arrived brings a caller's request.
+	// Arrived holds a new request of a caller.
 	Arrived struct{ Request route.Request }
-	// Ended brings the end of an attempt.
+	// Ended holds the result of an attempt.
 	Ended struct{ Result route.Result }
-	// Probed brings the end of a probe.
+	// Probed holds the result of a probe.
 	Probed struct {
 		Probe   route.Probe
 		Outcome route.Outcome
 	}
-	// Gone says that the caller of a request went away.
+	// Gone reports that the caller of a request has disconnected.
 	Gone struct{ Request id.Request }
-	// Propose asks for an entry to be written to the log; Settled answers.
+	// Propose requests that an entry be written to the log; Settled answers it.
 	Propose struct {
 		Ticket Ticket
 		Entry  record.Entry
 	}
-	// Draw asks for a plan; Drawn answers.
+	// Draw requests a plan for configuration changes; Drawn answers it.
 	Draw struct {
 		Ticket  Ticket
 		Changes []config.Change
 	}
-	// Inspect asks for a view; Inspected answers. Jobs asks for the jobs as well.
+	// Inspect requests a view; Inspected answers it. Jobs includes the jobs.
 	Inspect struct {
 		Ticket Ticket
 		Jobs   bool
 	}
-	// Stop asks for a planned stop; Stopped answers when nothing is under way.
+	// Stop requests a planned stop. Actions.Stopped answers it once no request and
+	// no entry is in flight.
 	Stop struct{}
 )
 
@@ -94,27 +95,27 @@
 func (Inspect) event()      {}
 func (Stop) event()         {}
 
-// Actions is what a step wants to have done. The lists may be carried out in any
-// order and at the same time.
+// Actions lists what the caller of Step has to do. The actions may be carried out
+// in any order and concurrently.
 type Actions struct {
-	// Append is a record to be appended to the log; nil if there is none.
+	// Append is a record to append to the log; nil if there is none.
 	Append []byte
-	// Frames go to peers.
+	// Frames are sent to peers.
 	Frames []Frame
-	// Syncs go to workers.
+	// Syncs are sent to workers.
 	Syncs []worker.Sync
-	// Sends go to backend servers and Replies to callers.
+	// Sends and Probes are sent to backend servers, Replies to callers.
 	Sends   []route.Attempt
 	Probes  []route.Probe
 	Replies []route.Reply
-	// Settled, Drawn and Inspected answer questions.
+	// Settled, Drawn and Inspected answer earlier events by their tickets.
 	Settled   []Settled
 	Drawn     []Drawn
 	Inspected []Inspected
 	// Stopped is set once a planned stop is complete.
 	Stopped bool
-	// Faults are invariants found violated. The decisions concerned were not
-	// taken. They are to be logged and counted.
+	// Faults lists violated invariants, which the caller logs and counts. The
+	// decisions concerned were not made.
 	Faults []error
 }
 
@@ -124,7 +125,7 @@
 	Frame peer.Frame
 }
 
-// Settled is the verdict on a proposed entry.
+// Settled is the verdict on an entry of a Propose event.
 type Settled struct {
 	Ticket Ticket
 	Offset id.Offset
@@ -132,24 +133,26 @@
 	Verdict error
 }
 
-// Drawn is a plan that was asked for.
+// Drawn is the plan that a Draw event requested.
 type Drawn struct {
 	Ticket Ticket
 	Plan   plan.Plan
 	Err    error
 }
 
-// Inspected is a view that was asked for.
+// Inspected is the view that an Inspect event requested.
 type Inspected struct {
 	Ticket Ticket
 	View   View
 }
 
-// View is a copy of what a host believes, for operators and metrics.
+// View is a copy of a host's own view of the system, for operators and metrics. It
+// may be out of date.
 type View struct {
 	Host  id.Host `json:"host"`
 	State State   `json:"state"`
-	// Applied and ConfigAt are the offsets in force here.
+	// Applied is the offset of the last record that this host applied, ConfigAt the
+	// offset of the configuration in force on it.
 	Applied   id.Offset       `json:"applied"`
 	ConfigAt  id.Offset       `json:"config_at"`
 	Config    config.Config   `json:"config"`
@@ -157,9 +160,9 @@
 	Heartbeat owner.Heartbeat `json:"heartbeat"`
 	Jobs      []state.Job     `json:"jobs"`
 	Peers     []id.Host       `json:"peers"`
-	// Flying is the number of requests without a final answer.
+	// Flying is the number of requests in flight, which have no final answer yet.
 	Flying int `json:"flying"`
-	// Sched is meaningful on the owner only.
+	// Sched is set on the owner only.
 	Sched sched.Stats `json:"sched"`
 	// LogAge is the time since the log was last read.
 	LogAge time.Duration `json:"log_age"`
@@ -169,15 +172,16 @@
 
 // Counts are totals since the host started.
 type Counts struct {
-	// Damaged counts records that held no batch, Void entries of any host that
-	// were not accepted, Diverged peers whose state had another digest.
+	// Damaged counts records that held no valid batch, Void the rejected entries
+	// of all hosts, and Diverged the frames of peers whose state digest differed
+	// from this host's at the same offset.
 	Damaged  int `json:"damaged"`
 	Void     int `json:"void"`
 	Diverged int `json:"diverged"`
 	// Faults counts violated invariants.
 	Faults int `json:"faults"`
-	// Claims counts this host's claims of ownership, Snapshots its snapshots, and
-	// Batches its appends, tried again or not.
+	// Claims counts this host's claims of ownership, Snapshots the snapshots that
+	// it wrote, and Batches its appends, including retries.
 	Claims    int `json:"claims"`
 	Snapshots int `json:"snapshots"`
 	Batches   int `json:"batches"`
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -22,7 +22,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// State is a state of the host's chart.
+// State is a state of the host's state chart (host.chart).
 type State string
 
 type event string
@@ -47,110 +47,123 @@
 
 // The times of a node.
 const (
-	// logFresh is how old the last read of the log may be for it to count as up.
-	logFresh = 3 * time.Second
-	// isolatedAfter is how long a host may hear of neither the log nor a peer
-	// before it is not ready and, as the owner, stops renewing leases.
+	// maxLogAge is the maximum time since the last successful read of the log for
+	// the log to count as available.
+	maxLogAge = 3 * time.Second
+	// isolatedAfter is the time without a read of the log and without a frame of a
+	// peer after which a host isn't ready and, as the owner, stops renewing leases.
 	isolatedAfter = 30 * time.Second
-	// snapshotEvery and snapshotAge make the owner write a snapshot: after so
-	// many records, or after so long if there was any record.
-	snapshotEvery = 2000
-	snapshotAge   = 5 * time.Minute
-	// checkEvery is the number of records between two digests that hosts compare.
-	checkEvery = 512
-	// stopDelay is how long a stopping host goes on taking requests after it has
-	// told the balancer that it isn't ready.
+	// snapshotRecords and snapshotMaxAge bound the distance between the owner's
+	// snapshots: it writes one after that many records, or after that time if
+	// there was any record.
+	snapshotRecords = 2000
+	snapshotMaxAge  = 5 * time.Minute
+	// digestEvery is the number of records between two state digests that hosts
+	// compare.
+	digestEvery = 512
+	// stopDelay is how long a draining host still accepts requests after it has
+	// reported to the load balancer that it isn't ready.
 	stopDelay = 2 * time.Second
-	// informWait is how long a new host waits for a peer's frame at the most.
-	informWait = 2 * time.Second
+	// firstFrameWait is how long a new host waits at most for a peer's frame.
+	firstFrameWait = 2 * time.Second
 )
 
-// Errors that a node reports as verdicts or faults.
+// Errors that a node returns as verdicts (Settled) or as faults (Actions.Faults).
 var (
-	// ErrUnknownVerdict reports an entry that the log holds but whose verdict was
-	// not seen, because this host had to restore a snapshot.
+	// ErrUnknownVerdict reports an entry that is in the log but whose verdict this
+	// host didn't compute, because it restored a snapshot that covers the entry.
 	ErrUnknownVerdict = errors.New("node: verdict unknown")
-	// ErrHalted reports that the log holds an entry this program doesn't know.
+	// ErrHalted reports that the log holds a batch that this version of the
+	// program can't decode.
 	ErrHalted = errors.New("node: halted: the log is newer than this program")
-	// ErrConfigReverted reports that the configuration in force would have gone
-	// back.
-	ErrConfigReverted = errors.New("node: configuration went back")
-	// ErrDiverged reports a peer that reached another state from the same records.
+	// ErrConfigReverted reports that the configuration in force would have been
+	// replaced by an earlier one.
+	ErrConfigReverted = errors.New("node: configuration reverted to an earlier offset")
+	// ErrDiverged reports a peer that computed a different state from the same
+	// records.
 	ErrDiverged = errors.New("node: state differs from a peer's")
-	// ErrNoWitness reports that a guarantee has no place in the agreed state.
+	// ErrNoWitness reports that the replayed state has no place for a guaranteed
+	// block, so that the guarantee can't be reclaimed.
 	ErrNoWitness = errors.New("node: a guarantee can't be reclaimed")
 )
 
-// origin says what an own entry was written for.
+// origin is an entry of this host and the purpose for which it was written.
 type origin struct {
 	entry record.Entry
-	// ticket is set for a proposal, request for a claim of a key.
+	// ticket is set for a Propose event, request for the claim of a request's
+	// idempotency key; neither is set for other entries.
 	ticket  Ticket
 	request id.Request
 }
 
 // Node is the decision core of one host. It is not safe for concurrent use.
 type Node struct {
-	self    id.Host
-	life    id.Incarnation
-	st      State
-	state   *state.State
-	loader  *recovery.Loader
-	journal *journal.Journal
-	origins map[journal.Ticket]origin
-	table   *peer.Table
-	elect   *owner.Election
-	router  *route.Router
-	policy  place.Policy
-	// sched is set while this host is the owner, and ownEpoch is the last epoch
-	// that this life of the host claimed.
+	self        id.Host
+	incarnation id.Incarnation
+	hostState   State
+	state       *state.State
+	loader      *recovery.Loader
+	journal     *journal.Journal
+	origins     map[journal.Ticket]origin
+	peers       *peer.Table
+	election    *owner.Election
+	router      *route.Router
+	policy      place.Policy
+	// sched is set while this host is the owner. ownEpoch is the last epoch that
+	// this incarnation of the host claimed successfully.
 	sched    *sched.Scheduler
 	ownEpoch id.Epoch
 
-	// head is the last offset that the log is known to hold, readAt when the log
-	// was last read.
+	// head is the last known offset of the log, readAt the time of the last
+	// successful read of the log.
 	head   id.Offset
 	readAt unit.Instant
-	// born is when the core was made. Told is set once a peer was heard after the
-	// host list was known.
-	born unit.Instant
-	told bool
-	// readFailed is set while the last read of the log failed.
+	// createdAt is when this Node was created. peerHeard is set once a peer's frame
+	// arrived after the first host list.
+	createdAt unit.Instant
+	peerHeard bool
+	// readFailed is set if the last read of the log failed.
 	readFailed bool
-	// recent holds the last records, for peers that can't read the log.
+	// recent holds the newest records, for peers that can't read the log.
 	recent recent
-	// halted is set for good when the log is newer than the program.
+	// halted is set permanently once the log holds a batch that this version of
+	// the program can't decode.
 	halted error
-	// check is the digest at checkAt.
-	check   uint64
-	checkAt id.Offset
-	// snapCovers and snapAt describe the newest snapshot seen or written.
-	snapCovers id.Offset
-	snapAt     unit.Instant
-	beatAt     unit.Instant
-	// turn counts heartbeats.
-	turn       int
-	stopAt     unit.Instant
-	configured id.Offset
-	hosts      int
-	backends   map[id.Service]map[id.Backend]bool
-	counts     Counts
-	out        Actions
+	// digest is the digest of the state at offset digestAt.
+	digest   uint64
+	digestAt id.Offset
+	// snapshotOffset is the last offset that the newest snapshot seen or written
+	// covers, snapshotAt the time at which it was seen or written.
+	snapshotOffset id.Offset
+	snapshotAt     unit.Instant
+	heartbeatAt    unit.Instant
+	// heartbeats counts the heartbeats sent.
+	heartbeats int
+	// stopAt is when a draining host stops accepting requests.
+	stopAt unit.Instant
+	// routerConfigAt is the offset of the configuration that the router has.
+	routerConfigAt id.Offset
+	// hostCount is the number of entry hosts in the host list, at least 1.
+	hostCount int
+	backends  map[id.Service]map[id.Backend]bool
+	counts    Counts
+	out       Actions
 }
 
-// New returns the core of a host that has just started. Life differs for each start
-// of a process; rng is the only source of chance.
-func New(self id.Host, life id.Incarnation, now unit.Instant, p place.Policy, rng *rand.Rand) *Node {
+// New returns the core of a host that has just started. The incarnation differs for
+// each start of a process; rng is the only source of randomness.
+func New(self id.Host, incarnation id.Incarnation, now unit.Instant, p place.Policy, rng *rand.Rand) *Node {
 	return &Node{
-		self: self, life: life, st: hostChart.Start(),
+		self: self, incarnation: incarnation, hostState: hostChart.Start(),
 		state: state.New(), loader: recovery.New(),
-		journal: journal.New(self, life), origins: map[journal.Ticket]origin{},
-		table: peer.New(self), elect: owner.New(self, now),
-		router: route.New(rng), policy: p, snapAt: now, born: now,
+		journal: journal.New(self, incarnation), origins: map[journal.Ticket]origin{},
+		peers: peer.New(self), election: owner.New(self, now),
+		router: route.New(rng), policy: p, snapshotAt: now, createdAt: now,
 	}
 }
 
-// Step takes in an event and returns what to do. Now must not go back.
+// Step handles an event and returns the actions to carry out. The time now must not
+// decrease from call to call.
 func (n *Node) Step(now unit.Instant, ev Event) Actions {
 	n.out = Actions{}
 	switch ev := ev.(type) {
@@ -163,9 +176,9 @@
 	case AppendFailed:
 		n.journal.Retry(now)
 	case Heard:
-		n.heard(now, ev.Frame)
+		n.receiveFrame(now, ev.Frame)
 	case Hosts:
-		n.listed(now, ev)
+		n.setHosts(now, ev)
 	case Report:
 		if n.sched != nil {
 			n.sched.Report(now, ev.Report)
@@ -193,7 +206,8 @@
 	return n.out
 }
 
-// finish collects what the parts want to have done.
+// finish collects the actions and faults of the router and the record that the
+// journal wants to append.
 func (n *Node) finish(now unit.Instant) {
 	acts, faults := n.router.Take()
 	n.out.Sends = append(n.out.Sends, acts.Sends...)
@@ -219,90 +233,96 @@
 	}
 }
 
+// fault counts a violated invariant and adds it to the actions.
 func (n *Node) fault(err error) {
 	n.counts.Faults++
 	n.out.Faults = append(n.out.Faults, err)
 }
 
-// tick does what is due with time.
+// tick performs the periodic work.
 func (n *Node) tick(now unit.Instant) {
-	n.moveState(now)
+	n.advanceHostState(now)
 	n.router.Tick(now)
-	n.router.Probe(now, n.self, n.table.Near(now))
-	if now.Sub(n.beatAt) >= peer.Every {
-		n.beatAt = now
-		n.beat(now)
+	n.router.Probe(now, n.self, n.peers.Near(now))
+	if now.Sub(n.heartbeatAt) >= peer.Every {
+		n.heartbeatAt = now
+		n.sendHeartbeats(now)
 	}
 	n.claimOwnership(now)
 	n.schedule(now)
 	n.snapshot(now)
 }
 
-// moveState follows the host's chart.
-func (n *Node) moveState(now unit.Instant) {
-	switch n.st {
+// advanceHostState applies the due transitions of the host's state chart.
+func (n *Node) advanceHostState(now unit.Instant) {
+	switch n.hostState {
 	case Joining:
-		// The first read says where the log ends.
-		if n.readAt != 0 && n.state.Applied >= n.head && n.halted == nil && n.informed(now) {
-			n.apply(caughtUp)
+		// The end of the log is known only after the first read.
+		if n.readAt != 0 && n.state.Applied >= n.head && n.halted == nil && n.departuresKnown(now) {
+			n.transition(caughtUp)
 		}
 	case Ready:
 		if n.isolated(now) || n.halted != nil {
-			n.apply(cutOff)
+			n.transition(cutOff)
 		}
 	case Isolated:
 		if !n.isolated(now) && n.halted == nil {
-			n.apply(caughtUp)
+			n.transition(caughtUp)
 		}
 	case Draining:
 		if now >= n.stopAt && n.router.Flying() == 0 && (n.journal.Idle() || !n.logUp(now)) {
-			n.apply(drained)
+			n.transition(drained)
 			n.out.Stopped = true
 		}
 	}
 }
 
-// informed reports whether the host knows what its peers know of leaving backend
-// servers, or has waited for it long enough. The platform's list alone may be old.
-func (n *Node) informed(now unit.Instant) bool {
-	return n.told || n.hosts == 1 || now.Sub(n.born) >= informWait
+// departuresKnown reports whether a peer has reported the backend servers that are
+// shutting down, or firstFrameWait has passed. The platform's list alone may be out
+// of date.
+func (n *Node) departuresKnown(now unit.Instant) bool {
+	return n.peerHeard || n.hostCount == 1 || now.Sub(n.createdAt) >= firstFrameWait
 }
 
-func (n *Node) apply(ev event) {
-	if to, err := hostChart.Next(n.st, ev); err == nil {
-		n.st = to
+// transition advances the host's state chart by an event, if the chart allows it.
+func (n *Node) transition(ev event) {
+	if to, err := hostChart.Next(n.hostState, ev); err == nil {
+		n.hostState = to
 	}
 }
 
-// logUp reports whether the log was read lately.
+// logUp reports whether the last read of the log succeeded and is at most maxLogAge
+// old.
 func (n *Node) logUp(now unit.Instant) bool {
-	return n.readAt != 0 && !n.readFailed && now.Sub(n.readAt) < logFresh
+	return n.readAt != 0 && !n.readFailed && now.Sub(n.readAt) < maxLogAge
 }
 
-// isolated reports whether neither the log nor a peer was heard of for long.
+// isolated reports whether for isolatedAfter the log could not be read and no peer's
+// frame arrived.
 func (n *Node) isolated(now unit.Instant) bool {
-	return now.Sub(n.readAt) > isolatedAfter && !n.table.Heard(now, isolatedAfter)
+	return now.Sub(n.readAt) > isolatedAfter && !n.peers.Heard(now, isolatedAfter)
 }
 
-// stop begins a planned stop.
+// stop starts a planned stop.
 func (n *Node) stop(now unit.Instant) {
-	if n.st == Joining {
-		n.apply(stop)
+	if n.hostState == Joining {
+		n.transition(stop)
 		n.out.Stopped = true
 		return
 	}
-	n.apply(stop)
+	n.transition(stop)
 	n.stopAt = now.Add(stopDelay)
 	n.sched = nil
-	n.beat(now)
+	n.sendHeartbeats(now)
 }
 
+// arrived passes a request to the router, or rejects it if the host isn't ready.
 func (n *Node) arrived(now unit.Instant, q route.Request) {
 	var code route.Code
 	switch {
-	case n.st == Joining || n.st == Isolated || n.halted != nil:
+	case n.hostState == Joining || n.hostState == Isolated || n.halted != nil:
 		code = route.CodeNotReady
-	case n.st == Draining && now >= n.stopAt:
+	case n.hostState == Draining && now >= n.stopAt:
 		code = route.CodeStopping
 	}
 	if code != "" {
@@ -314,7 +334,7 @@
 	n.router.Arrive(now, q, n.state.Config.Customers[q.Customer].Weight, n.logUp(now))
 }
 
-// schedule lets the scheduler decide, if this host is the owner and not cut off.
+// schedule runs the scheduler if this host is the owner and isn't isolated.
 func (n *Node) schedule(now unit.Instant) {
 	if n.sched == nil || n.isolated(now) || n.halted != nil {
 		return
@@ -328,20 +348,20 @@
 	}
 }
 
-// listed takes over the platform's host list.
-func (n *Node) listed(now unit.Instant, ev Hosts) {
-	n.table.List(now, ev.Entry)
-	n.hosts = max(len(ev.Entry), 1)
+// setHosts applies the platform's host list.
+func (n *Node) setHosts(now unit.Instant, ev Hosts) {
+	n.peers.List(now, ev.Entry)
+	n.hostCount = max(len(ev.Entry), 1)
 	n.backends = ev.Backends
-	n.configure(now)
+	n.configureRouter(now)
 }
 
-// configure hands configuration and host list to the router.
-func (n *Node) configure(now unit.Instant) {
-	n.configured = n.state.ConfigAt
-	n.router.Configure(n.state.Config, n.hosts)
+// configureRouter passes the configuration and the host list to the router.
+func (n *Node) configureRouter(now unit.Instant) {
+	n.routerConfigAt = n.state.ConfigAt
+	n.router.Configure(n.state.Config, n.hostCount)
 	for _, k := range config.Sorted(n.backends) {
 		n.router.Backends(now, k, n.backends[k])
 	}
-	n.router.Configure(n.state.Config, n.hosts)
+	n.router.Configure(n.state.Config, n.hostCount)
 }
--- a/core/node/own.go
+++ b/core/node/own.go
@@ -9,7 +9,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// propose queues an operator's entry.
+// propose queues the entry of a Propose event.
 func (n *Node) propose(ev Propose) {
 	if n.halted != nil {
 		n.out.Settled = append(n.out.Settled, Settled{Ticket: ev.Ticket, Verdict: ErrHalted})
@@ -20,7 +20,7 @@
 	}
 }
 
-// write queues an own entry.
+// write queues an entry of this host for the log.
 func (n *Node) write(o origin) error {
 	t, err := n.journal.Add(o.entry)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// claimKey queues the claim or the release of a request's key.
+// claimKey queues the claim or the release of a request's idempotency key.
 func (n *Node) claimKey(now unit.Instant, c route.Claim) {
 	once := &record.Once{Customer: c.Customer, Key: c.Key, Host: n.self, Request: c.Request}
 	o := origin{entry: record.Entry{Once: once}, request: c.Request}
@@ -42,7 +42,7 @@
 	}
 }
 
-// settle tells the verdict on an own entry to whoever asked for it.
+// settle delivers the verdict on an entry of this host to the part that wrote it.
 func (n *Node) settle(now unit.Instant, t journal.Ticket, off id.Offset, verdict error) {
 	o := n.origins[t]
 	delete(n.origins, t)
@@ -56,13 +56,13 @@
 	}
 }
 
-// claimOwnership claims the ownership of scheduling if that seems worth it.
+// claimOwnership claims ownership of scheduling if the election says so.
 func (n *Node) claimOwnership(now unit.Instant) {
-	if n.st != Ready || !n.logUp(now) || n.state.Applied < n.head || n.state.Owner.Host == n.self && n.sched != nil {
+	if n.hostState != Ready || !n.logUp(now) || n.state.Applied < n.head || n.state.Owner.Host == n.self && n.sched != nil {
 		return
 	}
 	current := n.state.Owner.Epoch
-	if !n.elect.Claim(now, current, n.table.Live(now)) {
+	if !n.election.Claim(now, current, n.peers.Live(now)) {
 		return
 	}
 	n.counts.Claims++
@@ -73,10 +73,10 @@
 
 // snapshot writes a snapshot if this host is the owner and one is due.
 func (n *Node) snapshot(now unit.Instant) {
-	if n.sched == nil || !n.logUp(now) || n.state.Applied == n.snapCovers {
+	if n.sched == nil || !n.logUp(now) || n.state.Applied == n.snapshotOffset {
 		return
 	}
-	if n.state.Applied-n.snapCovers < snapshotEvery && now.Sub(n.snapAt) < snapshotAge {
+	if n.state.Applied-n.snapshotOffset < snapshotRecords && now.Sub(n.snapshotAt) < snapshotMaxAge {
 		return
 	}
 	entries, err := recovery.Split(n.state)
@@ -84,11 +84,11 @@
 		n.fault(err)
 		return
 	}
-	n.snapCovers, n.snapAt = n.state.Applied, now
+	n.snapshotOffset, n.snapshotAt = n.state.Applied, now
 	n.counts.Snapshots++
 	for _, e := range entries {
 		if err := n.write(origin{entry: e}); err != nil {
-			// An unfinished snapshot is ignored by readers; the next one is due soon.
+			// Readers ignore an incomplete snapshot, and the next one follows soon.
 			return
 		}
 	}
--- a/core/node/recent.go
+++ b/core/node/recent.go
@@ -2,17 +2,18 @@
 
 import "curlewsill.org/curlewsill/core/id"
 
-// Limits of what is kept for peers and sent to them in one frame.
+// maxRecent is the number of records kept for peers; maxRelayed and maxRelayBytes
+// limit the records sent in one frame.
 const (
 	maxRecent     = 512
 	maxRelayed    = 32
 	maxRelayBytes = 128 << 10
 )
 
-// recent is a ring of the last records.
+// recent is a ring buffer of the newest records.
 type recent struct {
 	raw [maxRecent][]byte
-	// last is the offset of the newest record, count how many there are.
+	// last is the offset of the newest record, count the number of records.
 	last  id.Offset
 	count int
 }
@@ -26,7 +27,8 @@
 	r.count = min(r.count+1, maxRecent)
 }
 
-// after returns some records that follow offset off, if they are still there.
+// after returns consecutive records from offset off+1 on, within the limits of one
+// frame, and the offset of the first; none if they are no longer in the buffer.
 func (r *recent) after(off id.Offset) (id.Offset, [][]byte) {
 	if off >= r.last || r.last-off > id.Offset(r.count) {
 		return 0, nil
--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -11,7 +11,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// records takes in records, from the log or from a peer.
+// records applies records read from the log or received from a peer.
 func (n *Node) records(now unit.Instant, ev Records) {
 	if n.halted != nil {
 		return
@@ -27,7 +27,7 @@
 			continue
 		}
 		if off != n.state.Applied+1 {
-			n.recover(now, off, raw)
+			n.loadSnapshot(now, off, raw)
 			continue
 		}
 		n.applyRecord(now, off, raw)
@@ -36,15 +36,17 @@
 	if n.state.ConfigAt < before {
 		n.fault(fmt.Errorf("%w: from %d to %d", ErrConfigReverted, before, n.state.ConfigAt))
 	}
-	if n.state.ConfigAt != n.configured {
-		n.configure(now)
+	if n.state.ConfigAt != n.routerConfigAt {
+		n.configureRouter(now)
 	}
-	n.follow(now)
+	n.followOwner(now)
 	n.schedule(now)
 }
 
-// recover feeds the loader, and goes on from a snapshot once there is one.
-func (n *Node) recover(now unit.Instant, off id.Offset, raw []byte) {
+// loadSnapshot passes a record to the loader, which is needed if records are missing. Once
+// the loader has a complete snapshot, the state is restored from it and the records
+// after it are applied.
+func (n *Node) loadSnapshot(now unit.Instant, off id.Offset, raw []byte) {
 	n.loader.Add(off, raw)
 	rest, ok := n.loader.Load(n.state)
 	if !ok {
@@ -54,8 +56,8 @@
 	if n.sched != nil {
 		n.sched.Reload()
 	}
-	n.snapCovers, n.snapAt = n.state.Applied, now
-	own := n.state.Writers[state.Life{Host: n.self, Incarnation: n.life}]
+	n.snapshotOffset, n.snapshotAt = n.state.Applied, now
+	own := n.state.Writers[state.Life{Host: n.self, Incarnation: n.incarnation}]
 	for _, t := range n.journal.Landed(own.Seq) {
 		n.settle(now, t, 0, ErrUnknownVerdict)
 	}
@@ -64,7 +66,7 @@
 	}
 }
 
-// applyRecord applies one record and tells everybody concerned.
+// applyRecord applies one record and delivers the verdicts on its entries.
 func (n *Node) applyRecord(now unit.Instant, off id.Offset, raw []byte) {
 	a, err := n.state.Apply(off, raw)
 	if err != nil {
@@ -78,44 +80,46 @@
 		n.counts.Damaged++
 		return
 	}
-	n.noteEntries(now, a)
+	n.observeEntries(now, a)
 	for i, t := range n.journal.Applied(a.Batch) {
 		n.settle(now, t, off, a.Verdicts[i])
 	}
-	n.checkpoint()
+	n.updateDigest()
 }
 
-// noteEntries watches for what concerns this host in anybody's batch.
-func (n *Node) noteEntries(now unit.Instant, a state.Applied) {
-	firm := false
+// observeEntries updates this host from the entries of a batch of any host: the newest
+// snapshot, the owned epoch and the scheduler. It then checks the witness.
+func (n *Node) observeEntries(now unit.Instant, a state.Applied) {
+	mayAffectWitness := false
 	for i, e := range a.Batch.Entries {
 		if a.Verdicts[i] != nil {
 			n.counts.Void++
 			continue
 		}
-		if c := e.Snapshot; c != nil && c.Index == c.Count-1 && c.Covers > n.snapCovers {
-			n.snapCovers, n.snapAt = c.Covers, now
+		if c := e.Snapshot; c != nil && c.Index == c.Count-1 && c.Covers > n.snapshotOffset {
+			n.snapshotOffset, n.snapshotAt = c.Covers, now
 		}
-		if e.Claim != nil && a.Batch.Host == n.self && a.Batch.Incarnation == n.life {
+		if e.Claim != nil && a.Batch.Host == n.self && a.Batch.Incarnation == n.incarnation {
 			n.ownEpoch = n.state.Owner.Epoch
 		}
 		if n.sched != nil {
 			n.sched.Accepted(now, e)
 		}
-		firm = firm || e.Snapshot == nil && e.Submit == nil && e.Once == nil
+		mayAffectWitness = mayAffectWitness || e.Snapshot == nil && e.Submit == nil && e.Once == nil
 	}
-	if !firm {
+	if !mayAffectWitness {
 		return
 	}
-	// The reducer takes no entry that leaves no witness. This is the assertion.
+	// The reducer rejects every entry after which there would be no witness; this
+	// asserts it.
 	if err := n.state.CheckWitness(); err != nil {
 		n.fault(fmt.Errorf("%w: %w", ErrNoWitness, err))
 	}
 }
 
-// checkpoint computes the digest that peers compare, now and then.
-func (n *Node) checkpoint() {
-	if n.state.Applied%checkEvery != 0 {
+// updateDigest computes the digest that peers compare, every digestEvery records.
+func (n *Node) updateDigest() {
+	if n.state.Applied%digestEvery != 0 {
 		return
 	}
 	d, err := n.state.Digest()
@@ -123,57 +127,58 @@
 		n.fault(err)
 		return
 	}
-	n.check, n.checkAt = d, n.state.Applied
+	n.digest, n.digestAt = d, n.state.Applied
 }
 
-// follow starts or drops the scheduler as the log says who is the owner.
-func (n *Node) follow(now unit.Instant) {
+// followOwner starts or drops the scheduler, depending on the owner in the log.
+func (n *Node) followOwner(now unit.Instant) {
 	o := n.state.Owner
-	if o.Epoch > n.elect.Heartbeat().Epoch {
-		n.elect.Accepted(now, o.Epoch)
+	if o.Epoch > n.election.Heartbeat().Epoch {
+		n.election.Accepted(now, o.Epoch)
 	}
-	mine := o.Host == n.self && n.st != Draining && n.st != Done
+	mine := o.Host == n.self && n.hostState != Draining && n.hostState != Done
 	switch {
-	case !mine || n.halted != nil || n.elect.Heartbeat().Epoch > o.Epoch:
+	case !mine || n.halted != nil || n.election.Heartbeat().Epoch > o.Epoch:
 		n.sched = nil
 	case n.sched == nil || n.sched.Epoch() != o.Epoch:
-		// An epoch of an earlier life of this host is not ours: that life may still
-		// be around, frozen. It has to be replaced like any other.
+		// An epoch of an earlier incarnation of this host isn't owned by this one:
+		// the earlier process may be suspended and resume later. This host has to
+		// claim a new epoch, as for any other owner.
 		if n.ownEpoch == o.Epoch {
 			n.sched = sched.New(o.Epoch, n.state, n.policy)
 		}
 	}
 }
 
-// beat sends the heartbeat to the neighbors.
-func (n *Node) beat(now unit.Instant) {
-	b := n.elect.Heartbeat()
-	leaving := n.st == Draining
+// sendHeartbeats sends a frame to each neighbor, with the records that it lacks.
+func (n *Node) sendHeartbeats(now unit.Instant) {
+	b := n.election.Heartbeat()
+	leaving := n.hostState == Draining
 	if n.ownEpoch != 0 && n.ownEpoch == n.state.Owner.Epoch && (n.sched != nil || leaving) {
-		b = n.elect.Advance(now, n.ownEpoch, leaving)
+		b = n.election.Advance(now, n.ownEpoch, leaving)
 	}
-	n.turn++
-	for _, h := range n.table.Targets(now, !n.logUp(now), n.turn) {
+	n.heartbeats++
+	for _, h := range n.peers.Targets(now, !n.logUp(now), n.heartbeats) {
 		f := n.frame(now, b)
-		if applied, ok := n.table.Applied(now, h); ok && applied < n.state.Applied {
+		if applied, ok := n.peers.Applied(now, h); ok && applied < n.state.Applied {
 			f.First, f.Records = n.recent.after(applied)
 		}
 		n.out.Frames = append(n.out.Frames, Frame{To: h, Frame: f})
 	}
 }
 
-// frame returns a heartbeat without records.
+// frame returns a frame without records.
 func (n *Node) frame(now unit.Instant, b owner.Heartbeat) peer.Frame {
 	return peer.Frame{
-		From: n.self, Applied: n.state.Applied, Heartbeat: b, CheckAt: n.checkAt, Check: n.check,
-		Leaving: n.router.Departures(now), Stopping: n.st == Draining,
+		From: n.self, Applied: n.state.Applied, Heartbeat: b, CheckAt: n.digestAt, Check: n.digest,
+		Leaving: n.router.Departures(now), Stopping: n.hostState == Draining,
 	}
 }
 
-// catchUp answers a peer that asked for records, and asks one that has more than this
-// host can read from the log.
+// catchUp sends records to a peer that asked for them, or asks for records if the
+// peer has applied more than this host while this host can't read the log.
 func (n *Node) catchUp(now unit.Instant, f peer.Frame) {
-	reply := n.frame(now, n.elect.Heartbeat())
+	reply := n.frame(now, n.election.Heartbeat())
 	switch {
 	case f.Behind && f.Applied < n.state.Applied:
 		reply.First, reply.Records = n.recent.after(f.Applied)
@@ -188,15 +193,15 @@
 	n.out.Frames = append(n.out.Frames, Frame{To: f.From, Frame: reply})
 }
 
-// heard takes in a peer's frame.
-func (n *Node) heard(now unit.Instant, f peer.Frame) {
-	n.table.Hear(now, f)
-	n.elect.Hear(now, f.Heartbeat)
-	n.told = n.told || n.backends != nil
+// receiveFrame handles a frame of a peer.
+func (n *Node) receiveFrame(now unit.Instant, f peer.Frame) {
+	n.peers.Hear(now, f)
+	n.election.Hear(now, f.Heartbeat)
+	n.peerHeard = n.peerHeard || n.backends != nil
 	for _, d := range f.Leaving {
 		n.router.Departed(now, d)
 	}
-	if f.CheckAt != 0 && f.CheckAt == n.checkAt && f.Check != n.check {
+	if f.CheckAt != 0 && f.CheckAt == n.digestAt && f.Check != n.digest {
 		n.counts.Diverged++
 		n.fault(fmt.Errorf("%w: %s at offset %d", ErrDiverged, f.From, f.CheckAt))
 	}
@@ -205,7 +210,7 @@
 	}
 	n.catchUp(now, f)
 	if f.Heartbeat.Epoch > n.ownEpoch && n.sched != nil {
-		// A newer owner exists, although this host hasn't read so yet.
+		// A newer owner exists, although this host hasn't read its claim yet.
 		n.sched = nil
 	}
 }
--- a/core/node/view.go
+++ b/core/node/view.go
@@ -7,12 +7,12 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// view returns a copy of what the host believes.
+// view returns a copy of the host's view of the system.
 func (n *Node) view(now unit.Instant, jobs bool) View {
 	v := View{
-		Host: n.self, State: n.st, Applied: n.state.Applied, ConfigAt: n.state.ConfigAt,
-		Config: n.state.Config, Owner: n.state.Owner, Heartbeat: n.elect.Heartbeat(),
-		Peers: n.table.Live(now), Flying: n.router.Flying(), Counts: n.counts, Now: now,
+		Host: n.self, State: n.hostState, Applied: n.state.Applied, ConfigAt: n.state.ConfigAt,
+		Config: n.state.Config, Owner: n.state.Owner, Heartbeat: n.election.Heartbeat(),
+		Peers: n.peers.Live(now), Flying: n.router.Flying(), Counts: n.counts, Now: now,
 		LogAge: now.Sub(n.readAt),
 	}
 	if n.sched != nil {
@@ -27,13 +27,13 @@
 	return v
 }
 
-// Applied returns the last offset that the host has applied.
+// Applied returns the offset of the last record that the host has applied.
 func (n *Node) Applied() id.Offset { return n.state.Applied }
 
-// State returns the host's state.
-func (n *Node) State() State { return n.st }
+// State returns the state of the host's state chart.
+func (n *Node) State() State { return n.hostState }
 
-// ConfigAt returns the offset of the configuration in force here.
+// ConfigAt returns the offset of the configuration in force on this host.
 func (n *Node) ConfigAt() id.Offset { return n.state.ConfigAt }
 
 // Digest returns the digest of the replayed state.
