--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -43,9 +43,9 @@
 	n.schedule(now)
 }
 
-// loadSnapshot passes a record to the loader, which is needed if records are missing. Once
-// the loader has a complete snapshot, the state is restored from it and the records
-// after it are applied.
+// loadSnapshot passes a record to the loader, which is needed if records are
+// missing. Once the loader has a complete snapshot, the state is restored from it
+// and the records after it are applied.
 func (n *Node) loadSnapshot(now unit.Instant, off id.Offset, raw []byte) {
 	n.loader.Add(off, raw)
 	rest, ok := n.loader.Load(n.state)
@@ -87,8 +87,8 @@
 	n.updateDigest()
 }
 
-// observeEntries updates this host from the entries of a batch of any host: the newest
-// snapshot, the owned epoch and the scheduler. It then checks the witness.
+// observeEntries updates this host from the entries of a batch of any host: the
+// newest snapshot, the owned epoch and the scheduler. It then checks the witness.
 func (n *Node) observeEntries(now unit.Instant, a state.Applied) {
 	mayAffectWitness := false
 	for i, e := range a.Batch.Entries {
