--- a/core/codec/codec.go
+++ b/core/codec/codec.go
@@ -1,10 +1,10 @@
-// Package codec turns typed messages into bytes and back.
+// Package codec encodes and decodes typed messages.
 //
-// One codec serves log records and peer frames. The encoding is deterministic
-// CBOR (RFC 8949, section 4.2), so equal values give equal bytes and a digest
-// of the bytes is a digest of the value. Decoding is strict: an unknown field,
-// a duplicate key or trailing bytes are errors, because a message that is only
-// half understood must not be acted upon.
+// The same encoding is used for log records and peer frames. It is deterministic
+// CBOR (RFC 8949, section 4.2), so equal values have equal bytes and a digest of
+// the bytes is a digest of the value. Decoding is strict: an unknown field, a
+// duplicate key or trailing bytes are errors, because a message that is only
+// partly understood must not be acted upon.
 package codec
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits on decoded input. They bound what a damaged or hostile message can
-// make the decoder allocate.
+// Limits on decoded input. They bound the memory that the decoder allocates for a
+// damaged or malicious message.
 const (
 	maxNesting  = 16
 	maxElements = 1 << 17
@@ -45,7 +45,8 @@
 	return Codec[T]{enc: enc, dec: dec}
 }
 
-// Encode returns the bytes of v. It fails only for types that CBOR can't hold.
+// Encode returns the encoding of v. It fails only for types that CBOR can't
+// represent.
 func (c Codec[T]) Encode(v T) ([]byte, error) {
 	b, err := c.enc.Marshal(v)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return b, nil
 }
 
-// Decode returns the value that b holds.
+// Decode returns the value that b encodes.
 func (c Codec[T]) Decode(b []byte) (T, error) {
 	var v T
 	if err := c.dec.Unmarshal(b, &v); err != nil {
--- a/core/owner/owner.go
+++ b/core/owner/owner.go
@@ -1,10 +1,11 @@
 // Package owner decides when a host should claim the ownership of scheduling.
 //
-// The log alone makes an owner. This package only guesses when a claim is worth a
-// record: when the owner's heartbeat, passed on from peer to peer, has not advanced
-// for a while. A wrong guess is harmless, because a claim names the epoch that it
-// replaces and at most one claim for each epoch is accepted. Hosts wait for a time
-// that grows with their rank for the epoch, so that usually one claims.
+// A host becomes the owner only by a claim that is accepted in the log. This package
+// decides when to write a claim: when the owner's heartbeat, which peers forward to
+// each other, has not advanced for HeartbeatTimeout. An unnecessary claim is
+// harmless, because a claim names the epoch that it replaces and at most one claim
+// for each epoch is accepted. Hosts wait longer the lower they rank for the epoch, so
+// that usually only one claims.
 package owner
 
 import (
@@ -16,23 +17,26 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// The times of an election.
+// Delays before a claim.
 const (
-	// Suspect is how long the owner's heartbeat may stand still.
-	Suspect = 3 * time.Second
-	// Stagger is what each rank waits more than the one before.
-	Stagger = 400 * time.Millisecond
+	// HeartbeatTimeout is the maximum time without progress of the owner's
+	// heartbeat before a host claims.
+	HeartbeatTimeout = 3 * time.Second
+	// ClaimStagger is the additional delay of each rank over the one before it.
+	ClaimStagger = 400 * time.Millisecond
 )
 
-// Heartbeat is the owner's heartbeat. The larger of two beats is the later one.
+// Heartbeat is a heartbeat of the owner. Heartbeats are ordered by Epoch, Count and
+// Leaving.
 type Heartbeat struct {
 	Epoch id.Epoch `cbor:"1,keyasint" json:"epoch"`
-	// Count grows while the owner lives.
+	// Count increases with each heartbeat.
 	Count uint64 `cbor:"2,keyasint" json:"count"`
-	// Leaving is set when the owner is about to stop.
+	// Leaving is set while the owner is draining.
 	Leaving bool `cbor:"3,keyasint,omitempty" json:"leaving,omitempty"`
 }
 
+// after reports whether b is later than o.
 func (b Heartbeat) after(o Heartbeat) bool {
 	if b.Epoch != o.Epoch {
 		return b.Epoch > o.Epoch
@@ -43,59 +47,61 @@
 // Election is one host's view of the ownership.
 type Election struct {
 	self id.Host
-	// last is the latest beat heard and at when it was.
-	last Heartbeat
-	at   unit.Instant
-	// claimed is when this host last asked for a claim of epoch replaced.
-	claimed  unit.Instant
-	replaced id.Epoch
+	// last is the latest heartbeat received, lastAt when it arrived.
+	last   Heartbeat
+	lastAt unit.Instant
+	// claimedAt is when this host last claimed, replacing epoch replacedEpoch.
+	claimedAt     unit.Instant
+	replacedEpoch id.Epoch
 }
 
-// New returns the view of a host that has just started.
+// New returns the election of a host that has just started.
 func New(self id.Host, now unit.Instant) *Election {
-	return &Election{self: self, at: now}
+	return &Election{self: self, lastAt: now}
 }
 
-// Hear takes in a beat from any peer.
+// Hear records a heartbeat received from any peer.
 func (e *Election) Hear(now unit.Instant, b Heartbeat) {
 	if b.after(e.last) {
-		e.last, e.at = b, now
+		e.last, e.lastAt = b, now
 	}
 }
 
-// Heartbeat returns the latest beat, to be passed on. The owner calls Advance instead.
+// Heartbeat returns the latest heartbeat, to be forwarded to peers. The owner calls
+// Advance instead.
 func (e *Election) Heartbeat() Heartbeat { return e.last }
 
-// Advance counts the owner's own heartbeat up and returns it.
+// Advance increments the owner's own heartbeat and returns it.
 func (e *Election) Advance(now unit.Instant, epoch id.Epoch, leaving bool) Heartbeat {
 	e.Hear(now, Heartbeat{Epoch: epoch, Count: e.last.Count + 1, Leaving: leaving})
 	return e.last
 }
 
-// Accepted takes in that the log made a new owner.
+// Accepted records that the claim of epoch was accepted in the log.
 func (e *Election) Accepted(now unit.Instant, epoch id.Epoch) {
 	e.Hear(now, Heartbeat{Epoch: epoch})
 }
 
-// Claim reports whether the host should claim now. Current is the epoch in force
-// and live the hosts that are up, in any order, this one included.
+// Claim reports whether the host should claim now. The epoch in force is current;
+// live lists the live hosts, including this one, in any order.
 func (e *Election) Claim(now unit.Instant, current id.Epoch, live []id.Host) bool {
 	if e.last.Epoch > current {
-		// A peer has seen a newer owner; the log will tell.
+		// A peer knows of a newer owner, whose claim this host has yet to read from
+		// the log.
 		return false
 	}
-	wait := Suspect
+	wait := HeartbeatTimeout
 	if e.last.Leaving || current == 0 {
 		wait = 0
 	}
-	place := rank.Of(e.self, strconv.FormatUint(uint64(current), 10), live)
-	wait += time.Duration(place) * Stagger
-	if now.Sub(e.at) < wait {
+	position := rank.Of(e.self, strconv.FormatUint(uint64(current), 10), live)
+	wait += time.Duration(position) * ClaimStagger
+	if now.Sub(e.lastAt) < wait {
 		return false
 	}
-	if e.replaced == current && e.claimed != 0 && now.Sub(e.claimed) < Suspect {
+	if e.replacedEpoch == current && e.claimedAt != 0 && now.Sub(e.claimedAt) < HeartbeatTimeout {
 		return false
 	}
-	e.claimed, e.replaced = now, current
+	e.claimedAt, e.replacedEpoch = now, current
 	return true
 }
--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -1,11 +1,11 @@
-// Package peer defines what entry hosts tell each other, and keeps what a host has
-// heard of the others.
+// Package peer defines the messages between entry hosts, and a host's table of the
+// other hosts.
 //
-// Hosts agree on nothing among themselves. A frame is a heartbeat that also passes
-// on hints: how far the log has been read, the owner's heartbeat, backend servers
-// that are leaving, and records that the other may not have been able to read. Each
-// host sends frames to a fixed number of neighbors, so its cost doesn't grow with
-// the number of hosts.
+// Frames carry no decisions; only the log does. A frame is a heartbeat with
+// additional hints: the last applied offset of the log, the owner's heartbeat,
+// backend servers that are shutting down, and records that the receiver may have
+// been unable to read. Each host sends frames to a fixed number of neighbors, so the
+// cost for one host doesn't grow with the number of hosts.
 package peer
 
 import (
@@ -20,19 +20,20 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// The times of heartbeats.
+// Intervals and timeouts of the heartbeats, and the number of their receivers.
 const (
-	// Every is the time between two frames to the same neighbor.
+	// Every is the interval between two frames to the same neighbor.
 	Every = 500 * time.Millisecond
-	// Neighbors is how many hosts one host sends frames to.
+	// Neighbors is the number of hosts to which one host sends frames.
 	Neighbors = 4
-	// Silence is how long a host counts as up without a frame or a mention in the
-	// platform's host list.
-	Silence = 4 * time.Second
-	// forgetAfter is how long a host is remembered that nothing is heard of.
+	// LiveTimeout is how long after its last frame a host counts as live if the
+	// platform's host list doesn't contain it.
+	LiveTimeout = 4 * time.Second
+	// forgetAfter is how long after its last frame an unlisted host is removed
+	// from the table.
 	forgetAfter = 10 * time.Minute
-	// nearFor is how long a host counts as near after a frame.
-	nearFor = 1500 * time.Millisecond
+	// nearTimeout is how long after its last frame a host counts as near.
+	nearTimeout = 1500 * time.Millisecond
 )
 
 // Frame is one message to a peer.
@@ -44,22 +45,22 @@
 	// Check is the digest of the sender's state at offset CheckAt.
 	CheckAt id.Offset `cbor:"4,keyasint,omitempty"`
 	Check   uint64    `cbor:"5,keyasint,omitempty"`
-	// Leaving lists backend servers that the sender knows to be leaving.
+	// Leaving lists backend servers that the sender knows to be shutting down.
 	Leaving []route.Departure `cbor:"6,keyasint,omitempty"`
-	// Stopping is set by a host that is about to stop.
+	// Stopping is set while the sender is draining.
 	Stopping bool `cbor:"7,keyasint,omitempty"`
-	// Behind asks the receiver for the records after Applied, because the sender
-	// can't read the log.
+	// Behind requests the records after Applied from the receiver, because the
+	// sender can't read the log.
 	Behind bool `cbor:"10,keyasint,omitempty"`
-	// Records follow one another from offset First.
+	// Records are consecutive records of the log, the first at offset First.
 	First   id.Offset `cbor:"8,keyasint,omitempty"`
 	Records [][]byte  `cbor:"9,keyasint,omitempty"`
 }
 
-// entry is what is known of one peer.
+// entry is what a host knows of one peer.
 type entry struct {
 	listed   bool
-	heard    unit.Instant
+	frameAt  unit.Instant // time of the last frame, 0 if there was none
 	applied  id.Offset
 	stopping bool
 }
@@ -75,9 +76,9 @@
 	return &Table{self: self, peers: map[id.Host]*entry{}}
 }
 
-// List takes over the platform's list of live hosts, which lags. A host that is
-// neither listed nor was heard of for long is forgotten, so that the table doesn't grow
-// with the hosts that are replaced.
+// List applies the platform's list of live hosts, which may be out of date. An
+// unlisted host without a frame for forgetAfter is removed, so that the table
+// doesn't grow as hosts are replaced.
 func (t *Table) List(now unit.Instant, hosts []id.Host) {
 	for _, p := range t.peers {
 		p.listed = false
@@ -88,16 +89,16 @@
 		}
 	}
 	for h, p := range t.peers {
-		if !p.listed && now.Sub(p.heard) > forgetAfter {
+		if !p.listed && now.Sub(p.frameAt) > forgetAfter {
 			delete(t.peers, h)
 		}
 	}
 }
 
-// Hear takes in a frame.
+// Hear records a received frame.
 func (t *Table) Hear(now unit.Instant, f Frame) {
 	p := t.get(f.From)
-	p.heard, p.applied, p.stopping = now, f.Applied, f.Stopping
+	p.frameAt, p.applied, p.stopping = now, f.Applied, f.Stopping
 }
 
 func (t *Table) get(h id.Host) *entry {
@@ -109,12 +110,12 @@
 	return p
 }
 
-// Live returns the hosts that are taken to be up and staying, this one included, in
-// ascending order.
+// Live returns the hosts that count as live and aren't stopping, including this one,
+// in ascending order.
 func (t *Table) Live(now unit.Instant) []id.Host {
 	up := map[id.Host]bool{t.self: true}
 	for h, p := range t.peers {
-		fresh := p.heard != 0 && now.Sub(p.heard) < Silence
+		fresh := p.frameAt != 0 && now.Sub(p.frameAt) < LiveTimeout
 		if (p.listed || fresh) && !p.stopping {
 			up[h] = true
 		}
@@ -122,51 +123,51 @@
 	return config.Sorted(up)
 }
 
-// Targets returns the hosts that get this host's frames. A host that looks for help
-// adds one more, another at each turn, so that it finds a peer even if all its
-// neighbors are cut off.
-func (t *Table) Targets(now unit.Instant, help bool, turn int) []id.Host {
+// Targets returns the hosts to which this host sends frames. If extra is set, one
+// more host is added, a different one for each round, so that this host reaches a
+// peer even if all its neighbors are unreachable.
+func (t *Table) Targets(now unit.Instant, extra bool, round int) []id.Host {
 	live := t.Live(now)
 	out := rank.Neighbors(t.self, live, Neighbors)
-	if help {
-		if h := live[turn%len(live)]; h != t.self && !slices.Contains(out, h) {
+	if extra {
+		if h := live[round%len(live)]; h != t.self && !slices.Contains(out, h) {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// Applied returns the last offset that a peer is known to have applied, and whether
-// it was heard of lately.
+// Applied returns the last offset that a peer is known to have applied. It reports
+// false if the peer sent no frame within LiveTimeout.
 func (t *Table) Applied(now unit.Instant, h id.Host) (id.Offset, bool) {
 	p := t.peers[h]
-	if p == nil || p.heard == 0 || now.Sub(p.heard) > Silence {
+	if p == nil || p.frameAt == 0 || now.Sub(p.frameAt) > LiveTimeout {
 		return 0, false
 	}
 	return p.applied, true
 }
 
-// Near returns the hosts that were heard of lately, this one included, in ascending
-// order.
+// Near returns the hosts that sent a frame within nearTimeout and aren't stopping,
+// including this one, in ascending order.
 func (t *Table) Near(now unit.Instant) []id.Host {
 	near := map[id.Host]bool{t.self: true}
 	for h, p := range t.peers {
-		if p.heard != 0 && now.Sub(p.heard) < nearFor && !p.stopping {
+		if p.frameAt != 0 && now.Sub(p.frameAt) < nearTimeout && !p.stopping {
 			near[h] = true
 		}
 	}
 	return config.Sorted(near)
 }
 
-// Heard reports whether any peer was heard of within d.
+// Heard reports whether any peer sent a frame within d.
 func (t *Table) Heard(now unit.Instant, d time.Duration) bool {
 	for _, p := range t.peers {
-		if p.heard != 0 && now.Sub(p.heard) <= d {
+		if p.frameAt != 0 && now.Sub(p.frameAt) <= d {
 			return true
 		}
 	}
 	return false
 }
 
-// Len returns how many peers are remembered.
+// Len returns the number of peers in the table.
 func (t *Table) Len() int { return len(t.peers) }
--- a/core/peer/peer_test.go
+++ b/core/peer/peer_test.go
@@ -10,8 +10,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// TestReplacements replaces hosts under new names and checks that a table keeps to those
-// that are there.
+// TestReplacements replaces a host many times, each time under a new name, and checks
+// that the table forgets the replaced ones.
 func TestReplacements(t *testing.T) {
 	const replaced = 400
 	table := peer.New("self")
@@ -23,6 +23,6 @@
 		now = now.Add(time.Minute)
 	}
 	if n := table.Len(); n > 15 {
-		t.Errorf("%d hosts are remembered after %d replacements", n, replaced)
+		t.Errorf("the table has %d hosts after %d replacements", n, replaced)
 	}
 }
--- a/core/record/record_test.go
+++ b/core/record/record_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// TestDamage checks that every changed byte is seen, and that a batch of a newer format
-// is told from a damaged one.
+// TestDamage checks that a change of any byte is detected, and that a batch of a newer
+// format version isn't reported as damaged.
 func TestDamage(t *testing.T) {
 	raw, err := record.Encode(batch())
 	if err != nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// FuzzDecode checks that no input breaks the decoder and that what it takes is written
-// the same way.
+// FuzzDecode checks that no input makes the decoder panic and that every batch that it
+// accepts can be encoded.
 func FuzzDecode(f *testing.F) {
 	raw, err := record.Encode(batch())
 	if err != nil {
@@ -60,7 +60,8 @@
 	})
 }
 
-// FuzzBody checks the decoder behind the checksum.
+// FuzzBody checks the decoding of a batch without its checksum, which the inputs of
+// FuzzDecode rarely match.
 func FuzzBody(f *testing.F) {
 	c := codec.New[record.Batch]()
 	raw, err := c.Encode(batch())
