--- a/core/state/apply.go
+++ b/core/state/apply.go
@@ -15,26 +15,26 @@
 
 var jobChart = chart.MustParse[JobState, record.Outcome]("job.chart", charts.Read("job"))
 
-// Events of the job's chart that are not outcomes.
+// Events of the job's state chart that aren't outcomes.
 const (
 	eventPlace  record.Outcome = "place"
 	eventCancel record.Outcome = "cancel"
 )
 
-// Applied is what became of one record.
+// Applied is the result of applying one record.
 type Applied struct {
 	Offset id.Offset
-	// Batch is the zero batch if the record was damaged.
+	// Batch is the zero batch if the record was damaged or was applied before.
 	Batch record.Batch
 	// Verdicts has one element for each entry of Batch; nil means accepted.
 	Verdicts []error
-	// Damaged is set if the record held no batch.
+	// Damaged is set if the record held no valid batch.
 	Damaged error
 }
 
-// Apply applies the record at offset off. The returned error is ErrGap or
-// record.ErrUnknown; after either the state is unchanged and the host must not
-// go on deciding. Records that were applied before are passed over.
+// Apply applies the record at offset off. Records that were applied before are
+// skipped. The returned error is ErrGap or record.ErrUnknown; in both cases the
+// state is unchanged and the host must stop making decisions.
 func (s *State) Apply(off id.Offset, raw []byte) (Applied, error) {
 	if off <= s.Applied {
 		return Applied{Offset: off}, nil
@@ -47,7 +47,7 @@
 		return Applied{}, fmt.Errorf("offset %d: %w", off, err)
 	}
 	s.Applied = off
-	s.forget()
+	s.prune()
 	if err != nil {
 		return Applied{Offset: off, Damaged: err}, nil
 	}
@@ -68,7 +68,8 @@
 	return a
 }
 
-// admit decides on a batch as a whole.
+// admit reports why a whole batch is void, or records it as the last one of its
+// writer.
 func (s *State) admit(b record.Batch) error {
 	if b.Basis+Window < s.Applied {
 		return ErrLate
@@ -100,7 +101,7 @@
 	case e.Release != nil:
 		return s.releaseKey(*e.Release)
 	}
-	// Snapshots concern recovery only; the state doesn't depend on them.
+	// Snapshots are used by package recovery only; they don't change the state.
 	return nil
 }
 
@@ -194,20 +195,20 @@
 	return nil
 }
 
-// step moves a job along its chart.
+// step advances the state chart of a job by an event.
 func (s *State) step(j *Job, ev record.Outcome) error {
 	to, err := jobChart.Next(j.State, ev)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrJobState, err)
 	}
-	was := j.State
+	from := j.State
 	j.State, j.Changed = to, s.Applied
 	if to == Running {
 		s.running[j.Spec.ID] = j
 	}
-	if was == Running {
+	if from == Running {
 		delete(s.running, j.Spec.ID)
-		s.unbind(j)
+		s.releaseHome(j)
 	}
 	if jobChart.Final(to) {
 		s.ended = append(s.ended, j.Spec.ID)
@@ -239,11 +240,11 @@
 	return nil
 }
 
-// forgetEvery is the number of records after which old writers are looked for.
-const forgetEvery = 1024
+// pruneWritersEvery is the number of records between two removals of old writers.
+const pruneWritersEvery = 1024
 
-// forget drops what is older than the bounds of the state allow.
-func (s *State) forget() {
+// prune removes keys, ended jobs and writers that exceed the bounds of the state.
+func (s *State) prune() {
 	for len(s.keyOrder) > 0 && s.Keys[s.keyOrder[0]].At+Window < s.Applied {
 		delete(s.Keys, s.keyOrder[0])
 		s.keyOrder = s.keyOrder[1:]
@@ -252,15 +253,16 @@
 		delete(s.Jobs, s.ended[0])
 		s.ended = s.ended[1:]
 	}
-	if s.Applied%forgetEvery != 0 {
+	if s.Applied%pruneWritersEvery != 0 {
 		return
 	}
-	// A batch of a forgotten writer that is applied again would have a basis
-	// older than Window and is void for that.
+	// If a batch of a removed writer appears in the log again, its basis is older
+	// than Window, so it is void although its sequence number is forgotten.
 	maps.DeleteFunc(s.Writers, func(_ Life, w Writer) bool { return w.Last+2*Window < s.Applied })
 }
 
-func (s *State) lives() []Life {
+// sortedWriters returns the keys of s.Writers in ascending order.
+func (s *State) sortedWriters() []Life {
 	return slices.SortedFunc(maps.Keys(s.Writers), func(a, b Life) int {
 		return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
--- a/core/state/check.go
+++ b/core/state/check.go
@@ -10,10 +10,10 @@
 	"curlewsill.org/curlewsill/core/witness"
 )
 
-// CheckPlace returns the witness that would stand after p, or why p can't be accepted
-// as far as accelerators and guarantees are concerned: its block has to exist, not to
-// be drained and not to be in use, its home has to be its own, and every other
-// guaranteed block has to have a place.
+// CheckPlace returns the witness after placement p, or the reason why p can't be
+// accepted with regard to accelerators and guarantees: its block must exist, be
+// neither drained nor in use, its home must not overlap what firm jobs outside its
+// cell hold, and every other guaranteed block must have a place.
 func (s *State) CheckPlace(p record.Place) (witness.Witness, error) {
 	j, ok := s.Jobs[p.Job]
 	if !ok {
@@ -22,7 +22,7 @@
 	if !p.Block.Valid() || p.Block.Size != j.Spec.Accelerators {
 		return nil, fmt.Errorf("%w: %s for a gang of %d", ErrBlockTaken, p.Block, j.Spec.Accelerators)
 	}
-	free := Usable(s.Config, p.Block.Rack) &^ s.used(p.Block.Rack)
+	free := Usable(s.Config, p.Block.Rack) &^ s.inUse(p.Block.Rack)
 	if p.Block.Mask()&^free != 0 {
 		return nil, fmt.Errorf("%w: %s", ErrBlockTaken, p.Block)
 	}
@@ -30,21 +30,21 @@
 		return nil, err
 	}
 	if p.Cell.Guarantee == "" && !j.Spec.Once {
-		// What can be preempted takes nothing from any guarantee.
+		// A gang that can be preempted takes no accelerators from a guarantee.
 		return s.Spare, nil
 	}
 	return s.find(s.Config, &p)
 }
 
-// checkHome checks the cell that a placement uses, and that what the placement
-// would hold for good overlaps nothing that is held already.
+// checkHome checks the cell of a placement, and that the accelerators that it would
+// hold without being preemptible overlap none that a firm job holds already.
 func (s *State) checkHome(j *Job, p record.Place) error {
-	claimed := p.Block
+	required := p.Block
 	if p.Cell.Guarantee != "" {
 		if err := s.checkCell(j, p); err != nil {
 			return err
 		}
-		claimed = p.Home
+		required = p.Home
 	} else if !j.Spec.Once {
 		return nil
 	}
@@ -56,13 +56,15 @@
 		if sameCell && other.Home != p.Home {
 			return fmt.Errorf("%w: the cell is at %s", ErrBlockTaken, other.Home)
 		}
-		if !sameCell && held(other).Overlaps(claimed) {
-			return fmt.Errorf("%w: %s overlaps %s", ErrBlockTaken, claimed, held(other))
+		if !sameCell && heldBlock(other).Overlaps(required) {
+			return fmt.Errorf("%w: %s overlaps %s", ErrBlockTaken, required, heldBlock(other))
 		}
 	}
 	return nil
 }
 
+// checkCell checks that the cell of a placement belongs to a guarantee of the job's
+// customer, and that its home is usable and contains the block.
 func (s *State) checkCell(j *Job, p record.Place) error {
 	g, ok := s.Config.Guarantees[p.Cell.Guarantee]
 	switch {
@@ -78,21 +80,21 @@
 	return nil
 }
 
-// CheckConfig returns the witness that would stand with configuration c, or why c
-// can't be accepted beside the gangs that run now: one of them would lose its
-// accelerators, or a guarantee would have no place.
+// CheckConfig returns the witness for configuration c, or the reason why c can't be
+// accepted while the present gangs run: one of them would lose its accelerators, or a
+// guarantee would have no place.
 func (s *State) CheckConfig(c config.Config) (witness.Witness, error) {
 	for _, k := range config.Sorted(s.running) {
 		j := s.running[k]
-		if j.Block.Mask()&^exists(c, j.Block.Rack) != 0 {
+		if j.Block.Mask()&^existing(c, j.Block.Rack) != 0 {
 			return nil, fmt.Errorf("%w: job %s runs on %s", ErrBlockTaken, k, j.Block)
 		}
 	}
 	return s.find(c, nil)
 }
 
-// CheckWitness reports whether the standing witness is one. It is the assertion of
-// what the reducer sees to.
+// CheckWitness returns an error if Spare isn't a valid witness. It asserts an
+// invariant that the reducer maintains.
 func (s *State) CheckWitness() error {
 	firm, bound := s.firm(s.Config, nil)
 	free := map[id.Rack]uint64{}
@@ -109,18 +111,19 @@
 	return nil
 }
 
-// find looks for a witness of configuration c with the placement added, if any. It
-// moves as few places of the standing witness as it can.
+// find returns a witness for configuration c and the running jobs, plus placement
+// added if it isn't nil. It keeps the places of the current witness if possible.
 func (s *State) find(c config.Config, added *record.Place) (witness.Witness, error) {
 	firm, bound := s.firm(c, added)
 	return witness.Keep(rooms(c, firm), s.Spare, needs(c, bound))
 }
 
-// firm returns what can't be taken back, and the cells of c that need no other place
-// because their home will do when they are free again.
+// firm returns the accelerators of each rack that firm jobs hold, and the cells of c
+// that are bound to their home: they need no place in the witness because their home
+// serves as one as soon as it is free again.
 func (s *State) firm(c config.Config, added *record.Place) (map[id.Rack]uint64, map[record.Cell]bool) {
 	firm, bound := map[id.Rack]uint64{}, map[record.Cell]bool{}
-	note := func(cell record.Cell, home, own block.Block) {
+	hold := func(cell record.Cell, home, own block.Block) {
 		b := own
 		if cell.Guarantee != "" {
 			b = home
@@ -131,17 +134,18 @@
 	}
 	for _, j := range s.running {
 		if j.Firm() {
-			note(j.Cell, j.Home, j.Block)
+			hold(j.Cell, j.Home, j.Block)
 		}
 	}
 	if added != nil {
-		note(added.Cell, added.Home, added.Block)
+		hold(added.Cell, added.Home, added.Block)
 	}
 	return firm, bound
 }
 
-// unbind gives the home of an ended job's cell back to the standing witness.
-func (s *State) unbind(j *Job) {
+// releaseHome makes the home of an ended job's cell the cell's place in the witness,
+// unless another firm job still uses the cell.
+func (s *State) releaseHome(j *Job) {
 	g, ok := s.Config.Guarantees[j.Cell.Guarantee]
 	if !ok || j.Cell.Index >= g.Count || g.Size != j.Home.Size {
 		return
@@ -156,14 +160,16 @@
 	}
 }
 
-// held returns what a firm job holds: the home of its cell, or its own block.
-func held(j *Job) block.Block {
+// heldBlock returns the block that a firm job holds: the home of its cell, or its own
+// block.
+func heldBlock(j *Job) block.Block {
 	if j.Cell.Guarantee != "" {
 		return j.Home
 	}
 	return j.Block
 }
 
+// rooms returns, for each rack, the usable accelerators that no firm job holds.
 func rooms(c config.Config, firm map[id.Rack]uint64) []witness.Room {
 	out := make([]witness.Room, 0, len(c.Racks))
 	for _, k := range config.Sorted(c.Racks) {
@@ -172,6 +178,7 @@
 	return out
 }
 
+// needs returns the cells of c that need a place in the witness.
 func needs(c config.Config, bound map[record.Cell]bool) []witness.Need {
 	var out []witness.Need
 	for _, k := range config.Sorted(c.Guarantees) {
@@ -186,8 +193,8 @@
 	return out
 }
 
-// used returns the accelerators of a rack that gangs hold.
-func (s *State) used(rack id.Rack) uint64 {
+// inUse returns the accelerators of a rack on which gangs run.
+func (s *State) inUse(rack id.Rack) uint64 {
 	var m uint64
 	for _, j := range s.running {
 		if j.Block.Rack == rack {
@@ -209,8 +216,8 @@
 	return m
 }
 
-// exists returns the accelerators that a rack has, drained or not.
-func exists(c config.Config, rack id.Rack) uint64 {
+// existing returns all accelerators of a rack, including drained ones.
+func existing(c config.Config, rack id.Rack) uint64 {
 	r, ok := c.Racks[rack]
 	if !ok {
 		return 0
--- a/core/state/doc.go
+++ b/core/state/doc.go
@@ -1,12 +1,12 @@
 // Package state replays the log into the state that all hosts share.
 //
 // State is a deterministic reducer: the same records give the same state on every
-// host, byte for byte, whoever replays them and whenever. It reads no clock and
-// draws no random number. Each entry of a record is accepted or void, for a reason
-// that depends on the earlier records only, so all hosts reach the same verdict.
+// host, byte for byte. It reads no clock and uses no random numbers. Each entry of a
+// record is either accepted or void, which depends on the earlier records only, so
+// all hosts compute the same verdict.
 //
-// What the reducer refuses can't happen, however confused a writer is: a second
-// owner of one epoch, two gangs on one accelerator, a second start of a job that
-// must not be repeated, a configuration that reverts, and a placement or a
-// configuration that would leave a guarantee without a place.
+// The reducer rejects the following, whatever a faulty writer appends to the log: a
+// second owner of one epoch, two gangs on one accelerator, a second start of a job
+// that must not be repeated, a return to an earlier configuration, and a placement or
+// a configuration that would leave a guarantee without a place.
 package state
--- a/core/state/errors.go
+++ b/core/state/errors.go
@@ -2,14 +2,15 @@
 
 import "errors"
 
-// The reasons for which an entry is void. Callers test for them with errors.Is.
+// Errors of the reducer: the reasons for which an entry is void, and those for which
+// a record or a snapshot can't be applied. Callers test for them with errors.Is.
 var (
 	// ErrDuplicate reports a batch that was applied before.
 	ErrDuplicate = errors.New("state: duplicate batch")
 	// ErrLate reports a batch whose basis is too old.
 	ErrLate = errors.New("state: batch is too late")
-	// ErrStaleEpoch reports a decision of a host that no longer owns scheduling,
-	// or a claim that replaces an epoch no longer in force.
+	// ErrStaleEpoch reports a decision of a host that is no longer the owner, or a
+	// claim that replaces an epoch that is no longer in force.
 	ErrStaleEpoch = errors.New("state: stale epoch")
 	// ErrStalePlan reports a plan whose basis is no longer in force.
 	ErrStalePlan = errors.New("state: stale plan")
@@ -24,9 +25,10 @@
 	// ErrBlockTaken reports a placement on accelerators that are in use, drained
 	// or unknown.
 	ErrBlockTaken = errors.New("state: block is taken")
-	// ErrKeyTaken reports a claim of a key that another request holds.
+	// ErrKeyTaken reports a claim or a release of an idempotency key that another
+	// request holds.
 	ErrKeyTaken = errors.New("state: key is taken")
-	// ErrFull reports that a bound of the state is reached.
+	// ErrFull reports that maxJobs or maxKeys is reached.
 	ErrFull = errors.New("state: full")
 	// ErrGap reports a record that doesn't follow the last one applied.
 	ErrGap = errors.New("state: gap in the log")
--- a/core/state/script_test.go
+++ b/core/state/script_test.go
@@ -14,10 +14,11 @@
 	"curlewsill.org/curlewsill/core/state"
 )
 
-// TestScripts feeds entries to the reducer, one record for each line, and compares the
-// verdicts. A line is ENTRY => VERDICT; "again" puts the last record on the log once
-// more. The site is one rack r1 of 64 accelerators, a guarantee g of 32 for customer a,
-// and a customer b.
+// TestScripts applies entries to the reducer, one record for each line, and compares
+// the verdicts. A line is ENTRY => VERDICT, where VERDICT is part of the error or
+// "accepted"; "again" appends the last record to the log once more. The configuration
+// is one rack r1 of 64 accelerators, a guarantee g of 32 for customer a, and a
+// customer b.
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, run)
 }
@@ -80,7 +81,8 @@
 	return "accepted"
 }
 
-// do carries out one line. Blocks are START+SIZE, homes and cells are those of g.
+// do runs one line and returns the verdict. Blocks and homes are START+SIZE in r1; a
+// placement with a home uses cell 0 of g.
 func (s *script) do(t *testing.T, f []string) string {
 	num := func(i int) int {
 		n, err := strconv.Atoi(f[i])
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -13,80 +13,83 @@
 	"curlewsill.org/curlewsill/core/witness"
 )
 
-// Bounds of the state. Everything that grows with use has one.
+// Bounds of the state, so that it can't grow without limit.
 const (
-	// Window is the number of records within which a batch must be applied and
-	// for which the key of a request stays claimed. At the log's full rate of 100
-	// records a second it is more than an hour.
+	// Window is the maximum number of records between the basis of a batch and the
+	// batch itself, and the number of records for which an idempotency key stays
+	// claimed. At the log's maximum rate of 100 records per second it is more than
+	// an hour.
 	Window = 400_000
-	// maxKeys bounds the claimed keys. When it is reached, further claims are
-	// void and their requests are refused as not run.
+	// maxKeys is the maximum number of claimed keys. When it is reached, further
+	// claims are void and their requests are rejected as not run.
 	maxKeys = 100_000
-	// maxJobs bounds the jobs that have not ended.
+	// maxJobs is the maximum number of jobs that haven't ended.
 	maxJobs = 50_000
-	// maxEnded is the number of ended jobs that are remembered. The oldest are
-	// forgotten first.
+	// maxEnded is the maximum number of ended jobs that are kept. The oldest are
+	// removed first.
 	maxEnded = 10_000
 )
 
-// JobState is a state of the job's chart.
+// JobState is a state of the job's state chart (job.chart).
 type JobState string
 
-// Pending and Running are the states in which a job has not ended.
+// Pending and Running are the states of a job that hasn't ended.
 const (
 	Pending JobState = "pending"
 	Running JobState = "running"
 )
 
-// Job is a job and what became of it.
+// Job is a submitted job with its state.
 type Job struct {
 	Spec record.Job `cbor:"1,keyasint" json:"spec"`
-	// State follows the chart of the job.
+	// State is the state of the job's state chart.
 	State JobState `cbor:"2,keyasint" json:"state"`
-	// Attempt counts the placements. A job that must not be repeated has at
-	// most one.
+	// Attempt is the number of placements, at most one for a job that must not be
+	// repeated.
 	Attempt int `cbor:"3,keyasint" json:"attempt"`
-	// Block, Cell and Home describe the current placement; they are valid while
-	// State is Running and keep the last placement afterwards.
+	// Block, Cell and Home describe the current placement while State is Running,
+	// and the last placement afterwards.
 	Block block.Block `cbor:"4,keyasint" json:"block"`
 	Cell  record.Cell `cbor:"5,keyasint" json:"cell"`
 	Home  block.Block `cbor:"6,keyasint" json:"home"`
-	// Lease is that of the last placement.
+	// Lease is the lease of the last placement.
 	Lease id.Lease `cbor:"9,keyasint" json:"lease"`
-	// Reason says why the job ended as it did, in words.
+	// Reason is a text that explains the outcome of the job.
 	Reason string `cbor:"7,keyasint,omitempty" json:"reason,omitempty"`
 	// Changed is the offset of the last record that changed the job.
 	Changed id.Offset `cbor:"8,keyasint" json:"changed"`
 }
 
-// Firm reports whether the job's placement holds accelerators that can't be taken
-// back: it uses a guarantee, or it must not be repeated.
+// Firm reports whether the job runs and can't be preempted, because it uses a
+// guarantee or must not be repeated.
 func (j *Job) Firm() bool {
 	return j.State == Running && (j.Cell.Guarantee != "" || j.Spec.Once)
 }
 
-// Owner is the host that schedules.
+// Owner is the host that owns scheduling.
 type Owner struct {
 	Host id.Host `cbor:"1,keyasint" json:"host"`
-	// Epoch only grows.
+	// Epoch is the offset of the accepted claim; it never decreases.
 	Epoch id.Epoch `cbor:"2,keyasint" json:"epoch"`
 }
 
-// Writer is what is remembered of one life of one host.
+// Writer is the last batch of one incarnation of one host.
 type Writer struct {
-	// Seq is the last batch applied; earlier ones are duplicates.
+	// Seq is the sequence number of the last batch applied. A batch with the same
+	// or a lower number is a duplicate.
 	Seq id.Seq `cbor:"1,keyasint"`
 	// Last is the offset of that batch.
 	Last id.Offset `cbor:"2,keyasint"`
 }
 
-// Life names a writer.
+// Life identifies a writer: one incarnation of one host.
 type Life struct {
 	Host        id.Host        `cbor:"1,keyasint"`
 	Incarnation id.Incarnation `cbor:"2,keyasint"`
 }
 
-// Key names a request that must not be repeated.
+// Key identifies a request that must not be repeated, by the idempotency key of its
+// customer.
 type Key struct {
 	Customer id.Customer `cbor:"1,keyasint"`
 	Key      string      `cbor:"2,keyasint"`
@@ -96,31 +99,32 @@
 type Claim struct {
 	Host    id.Host    `cbor:"1,keyasint"`
 	Request id.Request `cbor:"2,keyasint"`
-	// At is the offset of the claim; it is dropped Window records later.
+	// At is the offset of the claim, which is removed Window records later.
 	At id.Offset `cbor:"3,keyasint"`
 }
 
 // State is the replayed state. It is not safe for concurrent use. Readers must not
-// change what its fields refer to.
+// modify the maps and values to which its fields refer.
 type State struct {
-	// Applied is the offset of the last record applied; it only grows.
+	// Applied is the offset of the last record applied; it never decreases.
 	Applied id.Offset
 	// Config is the configuration in force and ConfigAt the offset of the record
-	// that set it; ConfigAt only grows.
+	// that set it. ConfigAt never decreases.
 	Config   config.Config
 	ConfigAt id.Offset
 	Owner    Owner
 	Jobs     map[id.Job]*Job
 	Writers  map[Life]Writer
 	Keys     map[Key]Claim
-	// Spare is the standing witness: a place for each guaranteed block that is not
-	// in use. The places are disjoint, usable, and clear of every job that can't be
-	// preempted.
+	// Spare is the current witness (see package witness): a place for each
+	// guaranteed block that isn't in use. The places are usable and overlap neither
+	// each other nor a job that can't be preempted.
 	Spare witness.Witness
 
-	// running is the part of Jobs that runs.
+	// running is the subset of Jobs in state Running.
 	running map[id.Job]*Job
-	// keyOrder and ended list keys and ended jobs, oldest first, for forgetting.
+	// keyOrder and ended list the claimed keys and the ended jobs, oldest first, in
+	// the order in which prune removes them.
 	keyOrder []Key
 	ended    []id.Job
 }
@@ -167,7 +171,7 @@
 
 var images = codec.New[image]()
 
-// Snapshot returns the state as bytes. Equal states give equal bytes.
+// Snapshot returns the encoding of the state. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) {
 	im := image{
 		Applied: s.Applied, Config: s.Config, ConfigAt: s.ConfigAt,
@@ -176,7 +180,7 @@
 	for _, k := range config.Sorted(s.Jobs) {
 		im.Jobs = append(im.Jobs, s.Jobs[k])
 	}
-	for _, l := range s.lives() {
+	for _, l := range s.sortedWriters() {
 		im.Writers = append(im.Writers, writerImage{l, s.Writers[l]})
 	}
 	for _, k := range s.keyOrder {
@@ -188,8 +192,8 @@
 	return images.Encode(im)
 }
 
-// Restore replaces the state by a snapshot. It returns ErrSnapshot, and changes
-// nothing, if the snapshot is damaged or covers less than the state does.
+// Restore replaces the state by a snapshot. If the snapshot is damaged or older than
+// the state, it returns ErrSnapshot and leaves the state unchanged.
 func (s *State) Restore(data []byte, digest uint64) error {
 	if xxhash.Sum64(data) != digest {
 		return fmt.Errorf("%w: digest mismatch", ErrSnapshot)
@@ -223,8 +227,8 @@
 	return nil
 }
 
-// Digest returns a hash of the whole state. Hosts that applied the same records
-// have the same digest; anything else is a fault of the program.
+// Digest returns a hash of the whole state. Hosts that applied the same records have
+// the same digest; a difference is a bug.
 func (s *State) Digest() (uint64, error) {
 	data, err := s.Snapshot()
 	if err != nil {
