--- a/core/election/election.go
+++ b/core/election/election.go
@@ -41,9 +41,9 @@
 	pollInterval     = 500 * time.Millisecond
 	fastPollInterval = 120 * time.Millisecond
 	// slowPollInterval is the pause for hosts at position slowPollFrom or later.
-	// Such a host claims no earlier than 2 s after it first misses the owner, if
-	// no host before it has claimed, so a poll may be that old by then. With many
-	// hosts, polls are a large part of all calls to the store.
+	// Such a host claims only 2 s after it first missed the owner, when all hosts
+	// before it could have claimed, so it may poll less often. With many hosts,
+	// polls are a large part of all calls to the store.
 	slowPollInterval = 1200 * time.Millisecond
 	slowPollFrom     = 8
 	// newOwnerGrace is how long after a claim the new owner isn't suspected. The
@@ -106,7 +106,7 @@
 // claim, or empty if there is none.
 func (e *Election) Look(now unit.Instant, members []Member, owner id.Host) {
 	if now.Sub(e.polledAt) > maxViewAge {
-		e.probes.agreedAt = 0 // this host may have been partitioned from the others itself
+		e.probes.agreedAt = 0 // this host may have been partitioned itself
 	}
 	e.members, e.polledAt = members, now
 	e.trackAbler(now)
--- a/core/election/silence.go
+++ b/core/election/silence.go
@@ -55,11 +55,11 @@
 }
 
 // misses reports whether the owner has answered no probe for the given time.
-func (s *probeResults) misses(now unit.Instant, owner id.Host, after time.Duration) bool {
-	if owner == "" || s.owner != owner {
+func (p *probeResults) misses(now unit.Instant, owner id.Host, after time.Duration) bool {
+	if owner == "" || p.owner != owner {
 		return false
 	}
-	return s.refused || s.unanswered >= minUnanswered && now.Sub(s.answeredAt) >= after
+	return p.refused || p.unanswered >= minUnanswered && now.Sub(p.answeredAt) >= after
 }
 
 // Watchers returns the hosts that probe the owner: the highest-ranked hosts without
--- a/core/node/message.go
+++ b/core/node/message.go
@@ -19,7 +19,7 @@
 // Event is an input of Step: one of the event types of this package.
 type Event interface{ event() }
 
-// Ticket matches a question of the surrounding process with its answer.
+// Ticket identifies a Propose, Draw or Inspect event in its answer.
 type Ticket uint64
 
 type (
