--- a/core/node/own.go
+++ b/core/node/own.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// claimOwnership claims ownership of scheduling if the election says so.
+// claimOwnership claims ownership of scheduling if the election decides so.
 func (n *Node) claimOwnership(now unit.Instant) {
 	if n.hostState != Ready || !n.logUp(now) || n.state.Applied < n.head || n.state.Owner.Host == n.self && n.sched != nil {
 		return
