--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -11,51 +11,70 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// A worker that crashes lists no end of what ran there, so that a task that crashes each worker that starts it uses up
-// no attempt. Its crashes are counted instead, in the record of its job.
+// A worker that crashes reports no task ends, so a task that crashes every
+// worker it starts on would never use up its attempts. Crashes are therefore
+// counted separately, per task, in the job's progress record.
 
 const (
-	// mostAtOnce is how many workers in a row a task may crash soon after its starts before its job is given up. The
-	// platform allows two more starts after the third crash, and to give up after the second. A task that only ran beside such a one
-	// gets there if workers crash of other causes soon after its next two starts as well, which it makes by itself.
-	mostAtOnce = 3
-	// mostCrashes is the same for crashes at any time after its starts: the third and two more.
-	mostCrashes = 5
-	// settledAfter is how long after a run's start its worker must have answered for a crash not to count as one soon after the
-	// start. Most tasks that crash workers do so at once. The longer, the more often a crash of another cause falls into it.
+	// maxEarlyCrashes is how many workers in a row may crash soon after starts of a
+	// task before its job fails. The platform allows two more starts after the
+	// third crash, and allows giving up after the second. A task that merely
+	// ran beside the culprit reaches this count only if workers crash for other
+	// causes soon after its next two starts, which run apart from other tasks.
+	maxEarlyCrashes = 3
+	// maxCrashes is the limit for crashes at any time after a start: the third
+	// crash plus the two more starts that the platform allows.
+	maxCrashes = 5
+	// settledAfter is how long after a run's start its worker must have
+	// answered so that a later crash does not count as one soon after the
+	// start. Most tasks that crash workers do so immediately. A longer time
+	// would attribute more unrelated crashes to the task.
 	settledAfter = 300 * time.Millisecond
-	// repeatedFrom is the count of crashes from which one more under a task doesn't speak for a cause in common: without it tasks that crash workers
-	// a while after their starts excuse each other for good.
-	repeatedFrom = 2
-	// soundAfter is how long after a run's start its worker must have answered for nothing to be held against the task any more,
-	// so that workers that crash of other causes, hours apart, don't end a long-running task.
-	soundAfter = 30 * time.Second
+	// minRepeatedCrashes is the number of crashes under a task from which a further
+	// one is no evidence of a common cause. Without it, tasks that crash
+	// workers some time after their starts would excuse each other
+	// indefinitely.
+	minRepeatedCrashes = 2
+	// crashResetAfter is how long after a run's start its worker must have answered
+	// for the crash counts of its task to be reset, so that unrelated worker
+	// crashes, hours apart, don't fail a long-running task.
+	crashResetAfter = 30 * time.Second
 )
 
-// crashed reports whether a worker's life, of whose end evidence has come, seems to have ended without a word and by no order of ours. Each later answer
-// of its successor in its place tells of the same end. One whose leases have lapsed and that the list still shows is taken to be cut off.
+// crashed reports whether an incarnation of a worker, for whose end there is
+// evidence e, seems to have ended unannounced and not by an order of the
+// system. Every later answer of its successor is evidence of the same end, so a
+// worker that is already replaced doesn't count again. A worker whose leases
+// have lapsed but that the list still shows is assumed to be cut off from the
+// network.
 func (w *worker) crashed(now unit.Instant, e evidence) bool {
 	announced := w.Draining && !w.endedEarly(now)
 	return !w.replaced && !announced && !w.held && (e != leaseLapsed || !w.listed)
 }
 
-// endedEarly reports whether a worker that has said that it leaves was over before it meant to: that is known by now, or it had stopped answering.
-// Without this, tasks that crash workers which are leaving are started again for as long as there are such workers.
+// endedEarly reports whether a draining worker ended before its announced time:
+// its end is known before that time, or it had stopped answering by then.
+// Without this, tasks that crash draining workers would be restarted for as
+// long as there are such workers.
 func (w *worker) endedEarly(now unit.Instant) bool {
-	return w.staysAt(now) || w.lostAt != 0 && w.staysAt(w.lostAt)
+	return w.mustBeUpAt(now) || w.lostAt != 0 && w.mustBeUpAt(w.lostAt)
 }
 
-// staysAt reports whether a worker that has said that it leaves should surely still be there at a time. It tells by its own clock how long it stays at
-// least; that shows at most what its last answer told and what has passed since that was asked for.
-func (w *worker) staysAt(at unit.Instant) bool {
+// mustBeUpAt reports whether a draining worker must still be up at a time. The
+// worker announces the earliest time of its end on its own clock. An upper
+// bound of that clock is the reading in its last answer plus the time since the
+// renewal left that it answered.
+func (w *worker) mustBeUpAt(at unit.Instant) bool {
 	if w.synced == 0 || w.toldClock == 0 {
 		return false
 	}
 	return w.toldClock+fleet.Clock(at.Sub(w.synced)) < w.leavesAt
 }
 
-// refused takes in that an order to start was refused by whoever got it, or that nobody got it. Unless an earlier copy of it may have been carried
-// out, the run hasn't begun: a worker that has crashed meanwhile did so without it.
+// refused processes the result that an order to start was refused by whoever
+// received it, or that it reached nobody. Unless an earlier copy of the order
+// may have been carried out, the run hasn't begun, so a crash of its worker in
+// the meantime isn't counted against it.
 func (d *Dispatcher) refused(s Start) {
 	w := d.addressee(s.Target)
 	if w == nil || s.Unsure {
@@ -68,29 +87,34 @@
 	d.retractCrash(w.ID, s.Task, s.Run, "the order to start it was refused")
 }
 
-// mayHaveBegun reports whether an order to start the run may have reached its worker.
-func (r *run) mayHaveBegun() bool {
+// mayHaveStarted reports whether an order to start the run may have reached its
+// worker.
+func (r *run) mayHaveStarted() bool {
 	return r.state != runOrdered && (r.started != 0 || r.unanswered || r.inFlight || r.resumed)
 }
 
-// blamable reports whether a crash of its worker can be the run's doing, as far as its job goes.
-func (r *run) blamable() bool {
-	if r.step == nil || !r.mayHaveBegun() {
+// mayCauseCrash reports whether the run may be the cause of a crash of its worker:
+// it may have begun, and its task is not done.
+func (r *run) mayCauseCrash() bool {
+	if r.step == nil || !r.mayHaveStarted() {
 		return false
 	}
 	p := &r.step.job.progress
 	return p.Outcome == job.Open && len(p.Tasks) > 0 && p.Tasks[r.step.base+r.task.Index].Phase != job.Done
 }
 
-// justBegun reports whether a run may have begun a moment before its worker crashed, which makes it the likely cause.
-func (r *run) justBegun() bool { return r.blamable() && r.workedFor() < settledAfter }
+// likelyCrashCause reports whether a run may have begun only shortly before its worker
+// crashed, which makes it the likely cause.
+func (r *run) likelyCrashCause() bool { return r.mayCauseCrash() && r.workedFor() < settledAfter }
 
-// hasCrashed reports whether workers crashed under earlier runs of the task so often that it may be the cause.
-func (r *run) hasCrashed() bool {
-	return r.blamable() && r.step.anyCrashes(r.task.Index, func(c job.CrashCount) bool { return c.All >= repeatedFrom })
+// crashedRepeatedly reports whether workers crashed under earlier runs of the task so
+// often that the task is a possible cause.
+func (r *run) crashedRepeatedly() bool {
+	return r.mayCauseCrash() && r.step.anyCrashCount(r.task.Index, func(c job.CrashCount) bool { return c.All >= minRepeatedCrashes })
 }
 
-// workedFor returns how long after the run's start its worker has answered; 0 if it hasn't.
+// workedFor returns how long after the run's start its worker last answered; 0
+// if it hasn't answered since.
 func (r *run) workedFor() time.Duration {
 	if r.started == 0 {
 		return 0
@@ -98,11 +122,12 @@
 	return max(0, r.worker.answered.Sub(r.started))
 }
 
-// countCrashes counts the end of a worker's life under all that may have begun there. It is called before the runs are given up.
+// countCrashes counts the crash of a worker for all runs that may have begun
+// there. It must be called before these runs are given up.
 func (d *Dispatcher) countCrashes(now unit.Instant, w *worker) {
 	e := &lifeEnd{
 		at: now, service: w.Service,
-		explained: slices.ContainsFunc(w.runs, (*run).justBegun), repeated: slices.ContainsFunc(w.runs, (*run).hasCrashed),
+		explained: slices.ContainsFunc(w.runs, (*run).likelyCrashCause), repeated: slices.ContainsFunc(w.runs, (*run).crashedRepeatedly),
 	}
 	for _, r := range w.runs {
 		if d.countCrash(now, r) {
@@ -114,15 +139,16 @@
 	d.excuseMass(w.Service)
 }
 
-// countCrash counts the end of a worker's life under a run, once, and reports whether it did.
+// countCrash counts the crash of a worker for one of its runs, at most once per
+// run, and reports whether it did.
 func (d *Dispatcher) countCrash(now unit.Instant, r *run) bool {
-	if !r.blamable() {
+	if !r.mayCauseCrash() {
 		return false
 	}
 	s := r.step
 	c := s.addCrashCount(r.task.Index)
 	if c.Run >= r.number {
-		return false // the owner before has counted it
+		return false // the previous owner has counted it
 	}
 	c.Run, c.Worker = r.number, r.worker.ID
 	c.All++
@@ -132,11 +158,12 @@
 	}
 	s.noteFailure(now, r.task.Index, r.worker)
 	d.mark(s.job)
-	d.noteRun(EventCrashCounted, r, fmt.Sprintf("%d of %d at once, %d of %d in all", c.AtOnce, mostAtOnce, c.All, mostCrashes), r.workedFor())
+	d.noteRun(EventCrashCounted, r, fmt.Sprintf("%d of %d at once, %d of %d in all", c.AtOnce, maxEarlyCrashes, c.All, maxCrashes), r.workedFor())
 	return true
 }
 
-// retractCrash takes back that a worker had crashed under a run; why says what speaks against it.
+// retractCrash takes back the counted crash of a worker under a run; why is the
+// evidence against it, for the log.
 func (d *Dispatcher) retractCrash(w id.Worker, t job.Task, number job.Run, why string) {
 	s := d.stepOfTask(t)
 	if s == nil {
@@ -157,24 +184,27 @@
 	d.note(Note{Event: EventCrashRetracted, Job: t.Job, Task: t, Worker: w, Run: number, Why: why})
 }
 
-// giveUpSpent ends the jobs of which a task has crashed as many workers as it may. They can't be done, and each further start
-// costs a worker for some seconds, with all that runs there. It waits until the last crash would have shown to be one of many.
+// giveUpSpent fails the jobs that have a task at its limit of crashes. They
+// can't be completed, and each further start costs a worker for some seconds,
+// with everything that runs there. It waits for the time in which the last
+// crash may still turn out to be one of many with a common cause.
 func (d *Dispatcher) giveUpSpent(now unit.Instant) {
 	for _, js := range slices.Clone(d.open) {
-		if all, ok := js.spentTask(now); ok {
+		if all, ok := js.taskBeyondCrashLimit(now); ok {
 			d.finish(now, js, job.Failed, fmt.Sprintf("%d workers in a row crashed under one of its tasks", all))
 		}
 	}
 }
 
-// spentTask reports whether a task of the job is to be given up, and after how many crashes.
-func (js *jobState) spentTask(now unit.Instant) (int, bool) {
+// taskBeyondCrashLimit reports whether a task of the job is to be given up, and after how
+// many crashes.
+func (js *jobState) taskBeyondCrashLimit(now unit.Instant) (int, bool) {
 	if len(js.progress.Crashes) == 0 {
 		return 0, false
 	}
 	for _, s := range js.steps {
 		for i := range s.step.Count {
-			if c := s.crashCount(i); c != nil && tooMany(*c) && s.waitedSinceCrash(now, i) >= commonCause {
+			if c := s.crashCount(i); c != nil && beyondCrashLimit(*c) && s.waitedSinceCrash(now, i) >= commonCause {
 				return c.All, true
 			}
 		}
@@ -182,46 +212,53 @@
 	return 0, false
 }
 
-// spent reports whether a task, or a member of its gang, has crashed so many workers that it is not to be started again.
+// spent reports whether a task, or a member of its gang, has reached the limit
+// of crashes, so that it is not to be started again.
 func (s *stepState) spent(index int) bool {
-	return s.anyCrashes(index, tooMany)
+	return s.anyCrashCount(index, beyondCrashLimit)
 }
 
-// crashedSoon reports whether the newest crash under a task came soon after its start, crashedOften whether so many did in all that it keeps its worker.
-func crashedSoon(c job.CrashCount) bool  { return c.AtOnce > 0 }
-func crashedOften(c job.CrashCount) bool { return c.All >= isolateFrom }
+// lastCrashEarly reports whether the latest crash under a task came soon after its
+// start. needsOwnWorker reports whether there were so many in total that its
+// worker takes no other tasks while it runs.
+func lastCrashEarly(c job.CrashCount) bool  { return c.AtOnce > 0 }
+func needsOwnWorker(c job.CrashCount) bool { return c.All >= isolateAfterCrashes }
 
-// tooMany reports whether a task has crashed as many workers as it may.
-func tooMany(c job.CrashCount) bool { return c.AtOnce >= mostAtOnce || c.All >= mostCrashes }
+// beyondCrashLimit reports whether a task has reached its limit of crashes.
+func beyondCrashLimit(c job.CrashCount) bool { return c.AtOnce >= maxEarlyCrashes || c.All >= maxCrashes }
 
-// clearSuspicion takes in that a worker tells of a run: one that has gone on for a while doesn't need its worker for itself any more,
-// and speaks for its task; that of a gang does so when all members have.
+// clearSuspicion updates the crash counts of a task whose run a worker has just
+// reported. Once the run has worked long enough, its worker may take other
+// tasks again, and later the counts are reset. For a gang, all members must
+// have worked that long.
 func (d *Dispatcher) clearSuspicion(r *run) {
 	if r.step == nil {
 		return
 	}
-	if !r.step.anyCrashes(r.task.Index, func(job.CrashCount) bool { return true }) {
+	if !r.step.anyCrashCount(r.task.Index, func(job.CrashCount) bool { return true }) {
 		return
 	}
-	worked := r.step.workedFor(r)
+	worked := r.step.confirmedRuntime(r)
 	if worked < settledAfter {
 		return
 	}
-	if r.step.anyCrashes(r.task.Index, crashedSoon) {
-		r.step.clearAtOnce(r.task.Index)
+	if r.step.anyCrashCount(r.task.Index, lastCrashEarly) {
+		r.step.resetEarlyCrashes(r.task.Index)
 		d.mark(r.step.job)
 	}
-	if !r.step.anyCrashes(r.task.Index, crashedOften) || worked >= soundAfter {
-		r.step.dropShields(r)
+	if !r.step.anyCrashCount(r.task.Index, needsOwnWorker) || worked >= crashResetAfter {
+		r.step.dropIsolationReserves(r)
 	}
-	if worked >= soundAfter {
+	if worked >= crashResetAfter {
 		r.step.dropCrashes(r.task.Index)
 		d.mark(r.step.job)
 	}
 }
 
-// workedFor returns for how long a run has worked, or its whole gang together. Members that wait for others, or are stopped, prove nothing.
-func (s *stepState) workedFor(r *run) time.Duration {
+// confirmedRuntime returns for how long a run, or its whole gang together, is known to
+// have worked. It is 0 for a gang with members missing or stopping: members
+// that only wait for others are no evidence that the task is harmless.
+func (s *stepState) confirmedRuntime(r *run) time.Duration {
 	if !s.step.Gang {
 		return r.workedFor()
 	}
@@ -238,13 +275,14 @@
 	return least
 }
 
-// dropShields gives back what is kept free beside a run, or beside its whole gang.
-func (s *stepState) dropShields(r *run) {
+// dropIsolationReserves releases the room that is kept free beside a run, or beside all
+// members of its gang.
+func (s *stepState) dropIsolationReserves(r *run) {
 	if !s.step.Gang {
-		r.dropShield()
+		r.dropIsolationReserve()
 		return
 	}
 	for _, m := range s.runs {
-		m.dropShield()
+		m.dropIsolationReserve()
 	}
 }
--- a/core/dispatch/crashcount.go
+++ b/core/dispatch/crashcount.go
@@ -6,19 +6,22 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// The counts of crashes stand in the record of a job, by the positions of its tasks.
+// The crash counts are part of the job's progress record, keyed by the position
+// of the task.
 
-// anyCrashes reports whether something is so of the count of a task, or of a member of its gang, which starts and is stopped with it.
-func (s *stepState) anyCrashes(index int, so func(job.CrashCount) bool) bool {
+// anyCrashCount reports whether the crash count of a task satisfies a predicate,
+// or that of any member of its gang, since a gang starts and stops as a whole.
+func (s *stepState) anyCrashCount(index int, match func(job.CrashCount) bool) bool {
 	for _, c := range s.job.progress.Crashes {
-		if s.startsWith(index, c.Task) && so(c) {
+		if s.startsWith(index, c.Task) && match(c) {
 			return true
 		}
 	}
 	return false
 }
 
-// startsWith reports whether the task at a position of the job's progress starts with the one of an index: as itself, or in its gang.
+// startsWith reports whether the task at a position of the job's progress is
+// the one at an index of the step, or a member of its gang.
 func (s *stepState) startsWith(index, position int) bool {
 	if s.step.Gang {
 		return position >= s.base && position < s.base+s.step.Count
@@ -26,8 +29,9 @@
 	return position == s.base+index
 }
 
-// clearAtOnce takes back what speaks for crashes soon after the start, of a task or all members of its gang.
-func (s *stepState) clearAtOnce(index int) {
+// resetEarlyCrashes resets the count of crashes soon after the start, for a task or
+// all members of its gang.
+func (s *stepState) resetEarlyCrashes(index int) {
 	all := s.job.progress.Crashes
 	for i := range all {
 		if s.startsWith(index, all[i].Task) {
@@ -36,8 +40,10 @@
 	}
 }
 
-// crashCount returns the count of a task, or nil if no worker has crashed under it. It may be changed until another one is added. Members of a gang
-// are counted one by one: a gang of 64 meets as many crashes of other causes as 64 tasks do, and a member that crashes workers does so in each run.
+// crashCount returns the crash count of a task, or nil if no worker has crashed
+// under it. The pointer is valid until a count is added or removed. Members of
+// a gang are counted separately: a gang of 64 meets as many unrelated crashes
+// as 64 tasks do, and a member that crashes workers does so in every run.
 func (s *stepState) crashCount(index int) *job.CrashCount {
 	all := s.job.progress.Crashes
 	for i := range all {
@@ -48,7 +54,8 @@
 	return nil
 }
 
-// addCrashCount is crashCount for a task that may have no count yet.
+// addCrashCount returns the crash count of a task, and adds an empty one if
+// there is none.
 func (s *stepState) addCrashCount(index int) *job.CrashCount {
 	if c := s.crashCount(index); c != nil {
 		return c
@@ -58,13 +65,14 @@
 	return &p.Crashes[len(p.Crashes)-1]
 }
 
-// dropCrashes forgets the count of a task, or those of its gang. The caller marks the job.
+// dropCrashes removes the crash count of a task, or those of all members of its
+// gang. The caller must mark the job as changed.
 func (s *stepState) dropCrashes(index int) {
 	p := &s.job.progress
 	p.Crashes = slices.DeleteFunc(p.Crashes, func(c job.CrashCount) bool { return s.startsWith(index, c.Task) })
 }
 
-// dropCrash forgets the count at a position.
+// dropCrash removes the crash count of the task at a position.
 func (s *stepState) dropCrash(position int) {
 	p := &s.job.progress
 	p.Crashes = slices.DeleteFunc(p.Crashes, func(c job.CrashCount) bool { return c.Task == position })
--- a/core/dispatch/crashes_test.go
+++ b/core/dispatch/crashes_test.go
@@ -6,12 +6,16 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// TestCrashes plays the scripts of testdata/crashes, in which workers end under tasks without a word.
+// TestCrashes runs the scripts of testdata/crashes, in which workers crash
+// under tasks.
 //
-// A task that crashed each worker that started it was started without end: its worker's next life answered in its place, the run was
-// given up ("task-lost", "another life at its address", 3.2 s after the start), and the next one was placed in the same millisecond on
-// another worker. Only ends that a worker lists used up attempts, and a worker that crashes lists none. 600 starts of one task
-// on 8 workers in 1,200 steps, under one owner as under a new one for each start.
+// It guards against a task that crashes every worker it starts on and is
+// restarted without end. The worker's next incarnation answers in its place,
+// the run is given up, and the task is placed on another worker at once. Only
+// task ends that a worker reports use up attempts, and a worker that crashes
+// reports none: before crashes were counted, one task was started 600 times on
+// 8 workers within 1,200 steps, under a single owner as well as under a new
+// owner for each start.
 func TestCrashes(t *testing.T) {
 	scripttest.EachIn(t, "crashes", func(t *testing.T, text string) { newScript(t).run(text) })
 }
--- a/core/dispatch/evacuation.go
+++ b/core/dispatch/evacuation.go
@@ -10,31 +10,39 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// The operator may evacuate a failure domain: nothing may start there until that is taken back. What runs there goes on.
+// The operator may evacuate a failure domain: no task may start there until the
+// evacuation is lifted. Tasks that already run there continue.
 //
-// The bound, Config.Evacuation after the operator's write, is met by three looks, each on the newest that the host has read: as a task is
-// placed, as its record is in the store, and as its order leaves. None passes if what the operator has asked for is known as of longer ago than
-// Config.NewsAge, so that an owner that reads late, was frozen or has just begun starts nothing.
-
-// startWay is how long an order takes at most from its last look to its worker: workers answer within a few milliseconds, and the
-// platform's client gives an order up after 0.8 s.
-const startWay = time.Second
-
-// NewsAge returns how old the owner's knowledge of evacuations may be when an order to start leaves.
-func (c Config) NewsAge() time.Duration { return max(0, c.Evacuation-startWay) }
-
-// Inform notes as of when all that the operator has asked for is known to the owner.
+// The deadline for an evacuation to take effect, Config.Evacuation after the
+// operator's write, is met by three checks against the newest records that the
+// host has read: when a task is placed, when the record of its placement is in
+// the store, and when its order leaves. All of them fail if the operator's
+// records were last read longer ago than Config.NewsAge. So an owner that reads
+// late, was frozen or has just taken over starts nothing.
+
+// maxStartLatency bounds the time from the last check of an order until it reaches its
+// worker: workers answer within a few milliseconds, and the platform's client
+// gives up on an order after 0.8 s.
+const maxStartLatency = time.Second
+
+// NewsAge returns the maximum age of the owner's knowledge of evacuations when
+// an order to start leaves.
+func (c Config) NewsAge() time.Duration { return max(0, c.Evacuation-maxStartLatency) }
+
+// Inform sets the time as of which the owner knows all evacuations that the
+// operator has asked for.
 func (d *Dispatcher) Inform(at unit.Instant) { d.informed = max(d.informed, at) }
 
-// StartRules say which orders to start may leave.
+// StartRules determine which orders to start may leave.
 type StartRules struct {
-	// Evacuated holds the failure domains where nothing may start.
+	// Evacuated holds the failure domains where no task may start.
 	Evacuated []id.Domain
-	// Until is when this is too old to go by.
+	// Until is when the rules expire; after that no order to start may leave.
 	Until unit.Instant
 }
 
-// StartRules returns the present rules. They hold for orders that wait for their turn after they were decided, too.
+// StartRules returns the current rules. They also apply to orders that are
+// already decided and wait to be sent.
 func (d *Dispatcher) StartRules() StartRules {
 	until := unit.Instant(math.MaxInt64)
 	switch {
@@ -47,7 +55,8 @@
 	return StartRules{Evacuated: d.evacuated, Until: until}
 }
 
-// Forbid returns why an order to start may not leave for a failure domain, or an empty text.
+// Forbid returns why an order to start may not leave for a failure domain, or
+// an empty string if it may.
 func (r StartRules) Forbid(now unit.Instant, domain id.Domain) string {
 	switch {
 	case now > r.Until:
@@ -61,15 +70,17 @@
 // mayStart reports whether tasks may be placed and ordered to start.
 func (d *Dispatcher) mayStart(now unit.Instant) bool { return d.grants(now) && d.knowsEvacuations(now) }
 
-// knowsEvacuations reports whether what the operator has asked for is known well enough for orders to start.
+// knowsEvacuations reports whether the knowledge of evacuations is recent
+// enough for orders to start.
 func (d *Dispatcher) knowsEvacuations(now unit.Instant) bool { return now <= d.StartRules().Until }
 
-// noteNews notes when nothing starts any more because the operator's records are not known, and when that is over.
+// noteNews logs when starts are withheld because the operator's records were
+// not read recently, and when they resume.
 func (d *Dispatcher) noteNews(now unit.Instant) {
 	d.noteWithheld(&d.uninformed, !d.knowsEvacuations(now), EventStartsWithheld, EventStartsResumed, age(now, d.informed))
 }
 
-// Evacuate takes in which failure domains are evacuated; all others are open.
+// Evacuate sets the evacuated failure domains; all others are open.
 func (d *Dispatcher) Evacuate(domains []id.Domain) {
 	before := d.evacuated
 	d.evacuated = slices.Clone(domains)
@@ -88,7 +99,8 @@
 	}
 }
 
-// noteDomain notes what became of a domain, with how much of the site it is.
+// noteDomain logs a change of a failure domain, with the numbers of workers and
+// runs that it has.
 func (d *Dispatcher) noteDomain(ev Event, name id.Domain) {
 	workers, runs := 0, 0
 	for _, w := range d.order {
@@ -100,11 +112,13 @@
 	d.note(Note{Event: ev, Why: fmt.Sprintf("domain %s: %d workers, %d runs there", name, workers, runs)})
 }
 
-// whyEvacuated is why a run doesn't start, or why its order isn't repeated.
+// whyEvacuated is the reason logged when a run isn't started, or its order
+// isn't repeated, because of an evacuation.
 const whyEvacuated = "its failure domain is evacuated"
 
-// shut reports whether a run, or a member of its gang, can't start any more because its domain is evacuated. The other members of the
-// gang would wait for it. One that has started goes on.
+// shut reports whether a run can no longer start because its domain, or that of
+// a member of its gang that hasn't started, is evacuated: the other members
+// would wait for that one. A run that has started continues.
 func (r *run) shut() bool {
 	return r.anyMember(func(m *run) bool { return m.started == 0 && m.worker.evacuated })
 }
--- a/core/dispatch/forgotten_test.go
+++ b/core/dispatch/forgotten_test.go
@@ -7,10 +7,12 @@
 	"curlewsill.org/curlewsill/core/fleet"
 )
 
-// TestAnswerToForgotten lists a worker again that was forgotten while a renewal to it was under way.
+// TestAnswerToForgotten lists a worker again that was removed while a renewal
+// to it was in flight.
 //
-// The answer to that renewal was taken for one to the renewal that had left since, so that two were under way from then on, and what
-// became of one settled the lease that the other was to grant.
+// It guards against matching the answer to that renewal with the one sent
+// since. Two renewals were in flight from then on, and the result of one
+// decided about the lease that the other was to grant.
 func TestAnswerToForgotten(t *testing.T) {
 	s := newScript(t)
 	s.run("worker w1\npass\n> renew w1 told 0\nrenew w1 unreachable\npass 11s\n> renew w1 told 0")
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -10,42 +10,48 @@
 )
 
 const (
-	// failStreak is how many runs of different jobs fail in a row before a worker
-	// is suspected, and failPause how long it then gets no tasks. Sound workers fail a
-	// run now and then, too.
-	failStreak = 3
-	failPause  = 5 * time.Second
-	// atOnce is within which time after its start a run fails on a worker that fails all that
-	// it starts; on a sound one it works for a while before. One such failure is enough to suspend
-	// the worker: each further one costs a gang.
-	atOnce = 200 * time.Millisecond
-	// blameMost is how many workers are suspended for failures at once of one job: beyond, the
-	// job is taken to be at fault. Of fewer than 50 workers it is badShare of them and one: the platform
-	// lets so many fail all they start.
-	blameMost = 8
-	badShare  = 1.0 / 7
-	// trialTime is how long the first run after a suspension must go on before the worker
-	// is taken for sound.
-	trialTime = 2 * time.Second
-	// mostSuspended is the part of a service's workers that may be suspended at a time, one at least: a
-	// job that fails everywhere would leave none, and hold all others up. The platform lets a seventh of the workers fail all they start.
-	mostSuspended = 1.0 / 3
-	// suspicionWeight is added for each failure in a row on a worker; it outweighs all
-	// else by which workers are compared, so that others are taken first.
-	suspicionWeight = 10
+	// suspendAfterFailures is how many runs of different jobs must fail in a row before a
+	// worker is suspended, and suspensionTime how long it then gets no tasks.
+	// Healthy workers fail a run now and then, too.
+	suspendAfterFailures = 3
+	suspensionTime  = 5 * time.Second
+	// immediateFailureTime is the time after its start within which a run fails on a worker
+	// that fails everything it starts; on a healthy worker a run works for a
+	// while before it fails. One such failure is enough to suspend the worker,
+	// since each further one costs a gang.
+	immediateFailureTime = 200 * time.Millisecond
+	// maxBlamedWorkers limits how many workers are suspended for immediate failures of
+	// one job; beyond it, the job is assumed to be at fault. With fewer than 50
+	// workers the limit is one plus maxBlamedShare of them, because the platform lets
+	// up to a seventh of the workers fail everything they start.
+	maxBlamedWorkers = 8
+	maxBlamedShare  = 1.0 / 7
+	// probationTime is how long the first run after a suspension must work before
+	// the worker is considered healthy.
+	probationTime = 2 * time.Second
+	// maxSuspendedShare is the share of a service's workers that may be suspended
+	// at the same time, at least one. Otherwise a job that fails everywhere
+	// would leave no workers for the others. It is above the share that can be
+	// bad: the platform lets a seventh of the workers fail everything they
+	// start.
+	maxSuspendedShare = 1.0 / 3
+	// failurePenalty is the placement cost added for each failure in a row on
+	// a worker. It outweighs all other criteria, so that other workers are
+	// preferred.
+	failurePenalty = 10
 	// avoidAfterFailure is how long a task isn't placed again where it has just
 	// failed, if there are other workers. It is less than the 3 s after which a
 	// waiting job counts as lost while there is room.
 	avoidAfterFailure = 2 * time.Second
 )
 
-// failure is where and when a run of a task has failed.
+// failure records where and when a run of a task failed.
 type failure struct {
 	worker *worker
 	at     unit.Instant
 }
 
-// noteFailure remembers that a run of a task of the step has failed on a worker.
+// noteFailure records that a run of a task of the step has failed on a worker.
 func (s *stepState) noteFailure(now unit.Instant, index int, w *worker) {
 	if s.failures == nil {
 		s.failures = map[int]failure{}
@@ -53,7 +59,8 @@
 	s.failures[s.failureKey(index)] = failure{worker: w, at: now}
 }
 
-// failureKey returns where failures of a task are kept: a gang fails as a whole.
+// failureKey returns the key of a task in the step's failures: the members of a
+// gang share one, since a gang fails as a whole.
 func (s *stepState) failureKey(index int) int {
 	if s.step.Gang {
 		return 0
@@ -61,8 +68,9 @@
 	return index
 }
 
-// elsewhere leaves out the workers on which one of the waiting tasks has just failed, if
-// there are others: a worker that fails all it starts has the most room.
+// elsewhere filters out the workers on which one of the waiting tasks has just
+// failed, unless no others are left. Without it, tasks would return to a worker
+// that fails everything it starts, since that one has the most room.
 func (c *candidate) elsewhere(now unit.Instant, workers []*worker) []*worker {
 	if len(c.step.failures) == 0 {
 		return workers
@@ -88,8 +96,9 @@
 	return out
 }
 
-// countFailures counts the failed runs of different jobs in a row on a worker, and suspends
-// it when there are too many, or when one fails at once.
+// countFailures counts the consecutive failed runs of different jobs on a
+// worker, and suspends the worker when there are too many, or when a run fails
+// immediately.
 func (d *Dispatcher) countFailures(now unit.Instant, r *run, e fleet.End) {
 	w := r.worker
 	switch e.How {
@@ -97,15 +106,16 @@
 		w.streak, w.lastFailed = 0, ""
 	case fleet.EndFailed:
 		d.countFailure(w, e.Task.Job)
-		if d.policy.SuspendAtOnce && r.failedAtOnce(now) && r.step.job.blames(w.ID, d.mostBlamed(w.Service)) {
-			w.streak = failStreak
+		if d.policy.SuspendAtOnce && r.failedImmediately(now) && r.step.job.blameWorker(w.ID, d.maxBlamed(w.Service)) {
+			w.streak = suspendAfterFailures
 		}
 		d.suspendFailing(now, w, "a task failed at once, or tasks of several jobs in a row")
 	case fleet.EndStopped, fleet.EndLapsed, fleet.EndBroken, fleet.EndAlone:
 	}
 }
 
-// countIgnored counts a run whose orders to start its worker ignored like one that failed there.
+// countIgnored counts a run whose worker answered none of the orders to start
+// it as a failed one.
 func (d *Dispatcher) countIgnored(now unit.Instant, r *run) {
 	if r.step != nil {
 		r.step.noteFailure(now, r.task.Index, r.worker)
@@ -114,7 +124,8 @@
 	d.suspendFailing(now, r.worker, "it leaves orders to start unanswered")
 }
 
-// countFailure counts a run that failed on a worker, once for each job in a row.
+// countFailure counts a failed run on a worker. Consecutive failures of the
+// same job count once.
 func (d *Dispatcher) countFailure(w *worker, j id.Job) {
 	if d.policy.SuspendFailing && w.lastFailed != j {
 		w.streak++
@@ -122,25 +133,27 @@
 	}
 }
 
-// suspendFailing keeps new tasks away from a worker for a while if too many runs failed there in a row.
+// suspendFailing suspends a worker for a while if too many runs failed there in
+// a row.
 func (d *Dispatcher) suspendFailing(now unit.Instant, w *worker, why string) {
-	if w.streak < failStreak {
+	if w.streak < suspendAfterFailures {
 		return
 	}
 	if !d.maySuspend(w) {
-		w.streak = failStreak - 1
+		w.streak = suspendAfterFailures - 1
 		return
 	}
-	w.pause(now, failPause)
-	d.note(Note{Event: EventWorkerSuspended, Worker: w.ID, Why: why, Age: failPause})
+	w.pause(now, suspensionTime)
+	d.note(Note{Event: EventWorkerSuspended, Worker: w.ID, Why: why, Age: suspensionTime})
 }
 
-// pause keeps new tasks away from a worker for a while. One look tells at once what it holds.
+// pause keeps new tasks away from a worker for a while.
 func (w *worker) pause(now unit.Instant, length time.Duration) {
 	w.pausedAt, w.pausedUntil = now, now.Add(length)
 }
 
-// maySuspend reports whether enough other workers of the same service aren't suspended.
+// maySuspend reports whether a worker may be suspended without exceeding the
+// share of its service's workers that may be suspended at the same time.
 func (d *Dispatcher) maySuspend(w *worker) bool {
 	listed, suspended := 0, 0
 	for _, o := range d.order {
@@ -152,11 +165,12 @@
 			suspended++
 		}
 	}
-	return suspended < max(1, int(mostSuspended*float64(listed)))
+	return suspended < max(1, int(maxSuspendedShare*float64(listed)))
 }
 
-// failedAtOnce reports whether a run that has just failed had hardly begun.
-func (r *run) failedAtOnce(now unit.Instant) bool {
+// failedImmediately reports whether a run that has just failed did so immediately
+// after its start.
+func (r *run) failedImmediately(now unit.Instant) bool {
 	if r.resumed {
 		return false
 	}
@@ -164,15 +178,16 @@
 	if began == 0 {
 		began = r.since
 	}
-	return now.Sub(began) <= atOnce
+	return now.Sub(began) <= immediateFailureTime
 }
 
-// mostBlamed returns how many workers of a service may be suspended for one job.
-func (d *Dispatcher) mostBlamed(name id.Service) int {
-	return min(blameMost, 1+int(badShare*float64(d.listed(name))))
+// maxBlamed returns how many workers of a service may be suspended because of
+// one job.
+func (d *Dispatcher) maxBlamed(name id.Service) int {
+	return min(maxBlamedWorkers, 1+int(maxBlamedShare*float64(d.listed(name))))
 }
 
-// listed returns how many workers of a service the list has.
+// listed returns how many workers of a service are on the platform's list.
 func (d *Dispatcher) listed(name id.Service) int {
 	n := 0
 	for _, w := range d.order {
@@ -183,31 +198,32 @@
 	return n
 }
 
-// blames notes that a run of the job failed at once on a worker, and reports whether the worker
-// is at fault, as far as the job's failures elsewhere tell: on more than most workers it is the job.
-func (js *jobState) blames(w id.Worker, most int) bool {
+// blameWorker records that a run of the job failed immediately on a worker, and
+// reports whether the worker is assumed to be at fault: if the job failed this
+// way on more than most workers, the job is.
+func (js *jobState) blameWorker(w id.Worker, maxWorkers int) bool {
 	if !slices.Contains(js.blamed, w) {
 		js.blamed = append(js.blamed, w)
 	}
-	return len(js.blamed) <= most
+	return len(js.blamed) <= maxWorkers
 }
 
-// onTrial reports whether a worker was suspended and has done nothing with success since.
-// It gets one run at a time until then.
-func (w *worker) onTrial() bool { return w.streak >= failStreak }
+// onTrial reports whether a worker was suspended and has completed nothing
+// since. It gets one run at a time until then.
+func (w *worker) onTrial() bool { return w.streak >= suspendAfterFailures }
 
-// endTrial ends a worker's trial if the run that it was given goes on for a while and has made progress: a
-// long-running task never ends with success.
+// endTrial ends a worker's probation if a run there has worked for a while and
+// made progress: a long-running task never ends with success.
 func (w *worker) endTrial(now unit.Instant) {
 	if !w.onTrial() {
 		return
 	}
 	for _, r := range w.runs {
-		if r.state == runRunning && now.Sub(r.started) >= trialTime && r.percent > 0 {
+		if r.state == runRunning && now.Sub(r.started) >= probationTime && r.percent > 0 {
 			w.streak, w.lastFailed = 0, ""
 		}
 	}
 }
 
-// suspicion is added to the leftover of a placement on a worker whose last runs failed.
-func (w *worker) suspicion() float64 { return suspicionWeight * float64(min(w.streak, failStreak)) }
+// suspicion returns the placement cost of a worker whose latest runs failed.
+func (w *worker) suspicion() float64 { return failurePenalty * float64(min(w.streak, suspendAfterFailures)) }
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -10,20 +10,27 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// A worker may begin again under its name, and its next life takes orders that were meant for the one before. All that ran there is
-// over; what may have come to the next life is looked for there before its task is placed anew.
-
-// lateOrders is how long after it left an order without an answer may be carried out on the platform.
-const lateOrders = 12 * time.Second
-
-// tellWithin is how old a worker's last answer may be as it is told which ends it may forget. It takes some 10 ms to note an end; a worker that
-// begins again takes longer, and longer still until it has ended something.
-const tellWithin = 250 * time.Millisecond
-
-// strayOrder is why a run is stopped on the next life under its worker's name.
-const strayOrder = "an order to start it may come to the next life under its worker's name"
-
-// strayStart is an order to start a run that is over, of which a copy got no answer.
+// A worker may restart under its name. Its next incarnation accepts orders that
+// were meant for the previous one. Everything that ran on the previous one has
+// ended, but a run whose order may have reached the next one is looked for
+// there before its task is placed again.
+
+// maxOrderDelay is how long after it left an unanswered order may still be carried
+// out by the platform.
+const maxOrderDelay = 12 * time.Second
+
+// maxAnswerAgeForAck is how recent a worker's last answer must be for a renewal to
+// acknowledge task ends, which lets the worker forget them. Recording an end
+// takes some 10 ms; a worker takes longer than this to restart, and longer
+// still until it has ended a task.
+const maxAnswerAgeForAck = 250 * time.Millisecond
+
+// whyStrayOrder is the reason logged when a run is stopped on the next incarnation
+// of its worker.
+const whyStrayOrder = "an order to start it may reach the next life under its worker's name"
+
+// strayStart is an order to start a run that has ended, with a copy that got no
+// answer.
 type strayStart struct {
 	task   job.Task
 	number job.Run
@@ -31,13 +38,16 @@
 	asked unit.Instant
 }
 
-// precedes reports whether a life that isn't known to be over has the name of another one.
-func (w *worker) precedes(o *worker) bool { return w != o && w.name == o.name && !w.replaced }
+// unreplacedNamesake reports whether an incarnation that isn't known to have ended has
+// the same name as another one.
+func (w *worker) unreplacedNamesake(o *worker) bool { return w != o && w.name == o.name && !w.replaced }
 
-// successor returns the life that has answered in place of another one under its name. Its own entry may not have been read yet. If a third one has
-// answered in its place it is asked once more, and hands on what it inherits.
-func (d *Dispatcher) successor(now unit.Instant, w *worker, life id.Worker) *worker {
-	next := d.worker(now, life)
+// successor returns the incarnation that answered in place of another one of
+// its name. Its own list entry may not have been read yet. If a third one has
+// already replaced it, the successor is asked once more, and then passes on the
+// runs that it inherits.
+func (d *Dispatcher) successor(now unit.Instant, w *worker, successorID id.Worker) *worker {
+	next := d.worker(now, successorID)
 	if next.Address == "" {
 		next.Address, next.Machine = w.Address, w.Machine
 	}
@@ -45,18 +55,22 @@
 	return next
 }
 
-// strayed notes that an order which grants a lease left at a time and got no answer. It returns when that lease has surely run out on the next life
-// under the worker's name, by whose clock it begins as the order is carried out; 0 if there can't be such a life.
+// strayed records that an order which grants a lease left at a time and got no
+// answer. It returns when that lease has certainly expired on the next
+// incarnation under the worker's name; the lease starts there, on its clock,
+// when the order is carried out. It returns 0 if there can't be such an
+// incarnation.
 func (d *Dispatcher) strayed(w *worker, sent unit.Instant) unit.Instant {
 	if !fleet.TellsStart(w.ID) {
 		return 0
 	}
-	until := d.lapseOf(sent.Add(lateOrders))
+	until := d.lapseOf(sent.Add(maxOrderDelay))
 	w.strayUntil = max(w.strayUntil, until)
 	return until
 }
 
-// inherit makes the next life under a name answer for the orders that it may have taken, or may yet take, in place of the one before.
+// inherit transfers orders that the next incarnation under a name may have
+// received, or may still receive, from the previous one to it.
 func (d *Dispatcher) inherit(now unit.Instant, w, next *worker) {
 	if w.renewalLapse != 0 {
 		d.strayed(w, now)
@@ -65,42 +79,44 @@
 		if r.startLapse != 0 {
 			d.strayed(w, now)
 		}
-		if r.mayStray(now) {
+		if r.mayReachSuccessor(now) {
 			d.moveRun(now, r, next)
 		}
 	}
 	for _, s := range w.strays {
-		if now.Sub(s.asked) <= lateOrders {
+		if now.Sub(s.asked) <= maxOrderDelay {
 			d.blockStart(now, next, s)
-			next.strays = append(next.strays, s) // the life after that knows of no stop
+			next.strays = append(next.strays, s) // a later incarnation knows nothing of that stop
 		}
 	}
 	w.strays = nil
 	next.toldStray = max(next.toldStray, w.toldStray)
 	next.grantedUntil = max(next.grantedUntil, w.strayUntil)
 	next.strayUntil = max(next.strayUntil, w.strayUntil)
-	if rest := w.toldStray.Add(lateOrders).Sub(now); w.toldStray != 0 && rest > 0 {
-		next.pause(now, rest)
-		d.note(Note{Event: EventWorkerSuspended, Worker: next.ID, Why: "a renewal that may come late would let it forget ends that nobody has read", Age: rest})
+	if remaining := w.toldStray.Add(maxOrderDelay).Sub(now); w.toldStray != 0 && remaining > 0 {
+		next.pause(now, remaining)
+		d.note(Note{Event: EventWorkerSuspended, Worker: next.ID, Why: "a delayed renewal could make it forget task ends that were not read yet", Age: remaining})
 	}
 	next.nextHold = min(next.nextHold, now)
 }
 
-// mayStray reports whether an order to start the run may reach, or may have reached, the next life under its worker's name.
-func (r *run) mayStray(now unit.Instant) bool {
-	unanswered := (r.unanswered || r.startLapse != 0) && now.Sub(r.asked) <= lateOrders
+// mayReachSuccessor reports whether an order to start the run may reach, or may have
+// reached, the next incarnation under its worker's name.
+func (r *run) mayReachSuccessor(now unit.Instant) bool {
+	unanswered := (r.unanswered || r.startLapse != 0) && now.Sub(r.asked) <= maxOrderDelay
 	answeredOnly := r.started != 0 && r.worker.synced <= r.started
-	unsure := r.reported == 0 && (r.resumed || r.inherited != "" || answeredOnly) // nothing says that this life began it
+	unsure := r.reported == 0 && (r.resumed || r.inherited != "" || answeredOnly) // nothing proves that this incarnation started it
 	return r.state != runOrdered && (unanswered || unsure)
 }
 
-// moveRun makes a run count as one of the next life under its worker's name, until that says whether it has it.
+// moveRun assigns a run to the next incarnation under its worker's name until
+// that one reports whether it has the run.
 func (d *Dispatcher) moveRun(now unit.Instant, r *run, next *worker) {
 	if next.runs.get(r.task) != nil {
 		return
 	}
 	old := r.worker
-	r.dropShield()
+	r.dropIsolationReserve()
 	old.recount(func() { old.runs.remove(r.task) })
 	old.used = old.used.Sub(r.taken())
 	d.inPlace--
@@ -123,32 +139,38 @@
 	}
 }
 
-// blockStart keeps an order whose fate is unknown from starting a run that is over: a worker refuses a run that was stopped before it came.
+// blockStart keeps an unanswered order from starting a run that has ended: a
+// worker refuses to start a run that it was ordered to stop before.
 func (d *Dispatcher) blockStart(now unit.Instant, next *worker, s strayStart) {
 	if r := next.runs.get(s.task); r != nil {
-		r.unanswered = true // a stop of the later run keeps the earlier from starting, too
+		r.unanswered = true // stopping the later run also keeps the earlier one from starting
 		return
 	}
 	r := &run{task: s.task, number: s.number, state: runStarting, worker: next, since: now, resumed: true}
 	if step := d.stepOfTask(s.task); step != nil {
-		r.need = step.step.Reserved() // it may be there already
+		r.need = step.step.Reserved() // it may already run there
 	}
 	d.occupy(r)
-	d.stop(now, r, strayOrder)
+	d.stop(now, r, whyStrayOrder)
 }
 
-// inheritedMissing takes in that the next life under a name doesn't tell of a run that was placed on the one before. An order that got no answer may
-// still come to it; else the run was over with that life, or has ended here between the worker's two lists.
+// inheritedMissing processes an answer of the next incarnation under a name
+// that doesn't list a run placed on the previous one. If an order got no
+// answer, it may still reach it, so the run is stopped there. Otherwise the run
+// ended with the previous incarnation, or has ended here while the worker
+// collected its two lists.
 func (d *Dispatcher) inheritedMissing(now unit.Instant, r *run, sent unit.Instant) {
 	if r.unanswered {
-		d.stopRun(now, r, strayOrder)
+		d.stopRun(now, r, whyStrayOrder)
 		return
 	}
-	d.miss(now, r, sent)
+	d.recordMissing(now, r, sent)
 }
 
-// inheritedFound takes in that the next life under a name tells of a run that was placed on the one before. If a single order to start had
-// left, that one never had it, and its end is not the run's doing.
+// inheritedFound processes an answer of the next incarnation under a name that
+// reports a run placed on the previous one. If only one order to start was
+// sent, the previous one never had the run, so its crash isn't counted against
+// the run.
 func (d *Dispatcher) inheritedFound(r *run) {
 	if r.inherited == "" {
 		return
@@ -159,24 +181,29 @@
 	r.inherited = ""
 }
 
-// keepStray notes, as a run is over, an order to start it that may be carried out yet.
+// keepStray records, when a run has ended, an order to start it that may still
+// be carried out.
 func (r *run) keepStray() {
 	w := r.worker
 	if !r.unanswered && r.startLapse == 0 || !fleet.TellsStart(w.ID) {
 		return
 	}
-	w.strays = slices.DeleteFunc(w.strays, func(s strayStart) bool { return r.asked.Sub(s.asked) > lateOrders })
+	w.strays = slices.DeleteFunc(w.strays, func(s strayStart) bool { return r.asked.Sub(s.asked) > maxOrderDelay })
 	w.strays = append(w.strays, strayStart{task: r.task, number: r.number, asked: r.asked})
 }
 
-// tell returns the last end that a renewal lets the worker forget; 0 for none. The next life under its name may get the renewal, and would
-// forget ends of its own that nobody has read, so that their tasks would run again: each number is told once, and only shortly after this
-// life has answered. Another renewal asks for such an answer first.
+// tell returns the number of the last end that a renewal acknowledges, so that
+// the worker forgets the ends up to it; 0 for none. The next incarnation under
+// the name may receive the renewal instead, and would forget ends of its own
+// that were never read, so that their tasks would run again. So each number is
+// sent only once, and only shortly after this incarnation has answered. If its
+// last answer is too old, another renewal without an acknowledgement is sent
+// first.
 func (w *worker) tell(now unit.Instant) uint64 {
 	switch {
 	case !fleet.TellsStart(w.ID):
 		return w.durable
-	case w.told >= w.durable || w.lastUnanswered || now.Sub(w.answered) > tellWithin:
+	case w.told >= w.durable || w.lastUnanswered || now.Sub(w.answered) > maxAnswerAgeForAck:
 		return 0
 	}
 	return w.durable
--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -7,27 +7,35 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// A machine has one life after the other, each a worker of its own, and the list may show two of them, in an order that
-// says nothing of age: most runs that were given up by that order would still be there. Only answers tell.
+// A machine has one incarnation after the other, each a worker of its own. The
+// list may show two of them at a time, in an order that says nothing about
+// their age: most runs that were given up because of that order were still
+// running. Only answers of workers show which incarnation is current.
 
-// evidence is what shows that nothing runs any more on a worker that hasn't said so.
+// evidence is the reason to conclude that nothing runs any more on a worker
+// that hasn't reported so itself.
 type evidence string
 
 const (
-	// leaseLapsed: every lease there has run out by the worst case of the worker's clock.
+	// leaseLapsed: every lease there has expired, by the worst case of the
+	// worker's clock.
 	leaseLapsed evidence = "its lease has lapsed"
-	// anotherAnswers: an order to the worker was answered by another life at its address.
+	// anotherAnswers: an order to the worker was answered by another
+	// incarnation at its address.
 	anotherAnswers evidence = "another life at its address"
-	// sameName: another life answered an order that left after this one had begun under their name. Of two lives under a name the later begins
-	// after the end of the earlier, so that it is the later one whatever the starts say.
+	// sameName: another incarnation answered an order that left after this one
+	// had begun under their name. Incarnations under one name never overlap, so
+	// the one that answered is the later one, whatever the start times in their
+	// ids.
 	sameName evidence = "another life under its name"
-	// laterAnswered: another life at its address, or of its machine, has answered an order that left
-	// after the worker's last answer had come.
+	// laterAnswered: another incarnation at its address, or on its machine, has
+	// answered an order that left after the worker's last answer had arrived.
 	laterAnswered evidence = "a later life has answered"
 )
 
-// loseAll gives up every run on a worker. A lease that may still hold is an invariant that is violated:
-// nothing is given up then.
+// loseAll gives up every run on a worker, and counts its crash if it is one. If
+// a lease may still be valid, it reports a violated invariant and gives up
+// nothing.
 func (d *Dispatcher) loseAll(now unit.Instant, w *worker, e evidence) {
 	if w.crashed(now, e) {
 		d.countCrashes(now, w)
@@ -35,7 +43,7 @@
 	d.loseRuns(now, w, e)
 }
 
-// loseRuns is loseAll for a life whose end was counted.
+// loseRuns gives up every run like loseAll, without counting a crash.
 func (d *Dispatcher) loseRuns(now unit.Instant, w *worker, e evidence) {
 	for _, r := range w.sorted() {
 		if e == leaseLapsed && now <= w.lapse() {
@@ -48,8 +56,9 @@
 	}
 }
 
-// replace gives up a life of a worker in whose place another one has answered; next is that one if both have one name, and else nil.
-// If the life is listed again, it is asked again.
+// replace gives up an incarnation of a worker in whose place another one has
+// answered; next is the successor if both have the same name, and nil
+// otherwise. If the incarnation is listed again later, it is asked again.
 func (d *Dispatcher) replace(now unit.Instant, w *worker, e evidence, next *worker) {
 	n := Note{Event: EventWorkerReplaced, Worker: w.ID, Why: string(e), Age: w.silentFor(now)}
 	if next != nil {
@@ -68,29 +77,32 @@
 	d.loseRuns(now, w, e)
 	w.listed, w.replaced, w.synced = false, true, 0
 	for _, o := range d.order {
-		if o.rivals(w) {
+		if o.conflictsWith(w) {
 			d.endContest(o)
 		}
 	}
 }
 
-// rivals reports whether two workers can't both be the present life of a machine.
-func (w *worker) rivals(o *worker) bool {
+// conflictsWith reports whether at most one of two workers can be the current
+// incarnation of its machine.
+func (w *worker) conflictsWith(o *worker) bool {
 	if w == o {
 		return false
 	}
 	return w.name == o.name || w.Address != "" && w.Address == o.Address || w.Machine != "" && w.Machine == o.Machine
 }
 
-// contest notes that a worker and its rivals are lives of the same machine. Each of them is asked at once, and
-// gets no new tasks until it has answered. A life that was replaced before contests nobody until it answers.
+// contest records that a worker conflicts with others that claim to be the same
+// machine. Each of them is asked at once, and gets no new tasks until it has
+// answered. An incarnation that was replaced before conflicts with no others
+// until it answers.
 func (d *Dispatcher) contest(now unit.Instant, w *worker) {
 	if w.replaced {
 		w.replaced, w.contested = false, now
 		return
 	}
 	for _, o := range d.order {
-		if !o.rivals(w) || !o.stands() && !o.precedes(w) || w.contested != 0 && o.contested != 0 {
+		if !o.conflictsWith(w) || !o.mayBeCurrent() && !o.unreplacedNamesake(w) || w.contested != 0 && o.contested != 0 {
 			continue
 		}
 		d.note(Note{Event: EventWorkerContested, Worker: w.ID, Why: "by " + string(o.ID), Age: w.silentFor(now)})
@@ -100,40 +112,45 @@
 	}
 }
 
-// stands reports whether a worker may be the present life of its machine, as far as is known.
-func (w *worker) stands() bool { return !w.replaced && (w.listed || len(w.runs) > 0) }
+// mayBeCurrent reports whether a worker may be the current incarnation of its
+// machine, as far as is known.
+func (w *worker) mayBeCurrent() bool { return !w.replaced && (w.listed || len(w.runs) > 0) }
 
-// confirmed reports whether a worker has answered this owner, and since another life was listed beside it.
+// confirmed reports whether a worker has answered this owner, by an answer
+// asked for after any conflicting incarnation was last listed.
 func (w *worker) confirmed() bool { return w.synced > w.contested }
 
-// follow takes in that a worker has answered: rivals whose last answer had come before the order left
-// that it answered are earlier lives.
+// follow processes an answer of a worker with conflicts: workers that conflict
+// with it are earlier incarnations if their last answer arrived before the
+// order left that it has answered.
 func (d *Dispatcher) follow(now unit.Instant, w *worker) {
 	if w.contested == 0 {
 		return
 	}
 	for _, o := range d.order {
 		switch {
-		case o.precedes(w) && o.since < w.synced:
+		case o.unreplacedNamesake(w) && o.since < w.synced:
 			d.replace(now, o, sameName, w)
-		case o.rivals(w) && o.stands() && o.answered != 0 && o.answered < w.synced:
+		case o.conflictsWith(w) && o.mayBeCurrent() && o.answered != 0 && o.answered < w.synced:
 			d.replace(now, o, laterAnswered, nil)
 		}
 	}
 	d.endContest(w)
 }
 
-// endContest notes that a worker has no rival any more, if that is so.
+// endContest clears the conflict of a worker if no other worker conflicts with
+// it any more.
 func (d *Dispatcher) endContest(w *worker) {
 	for _, o := range d.order {
-		if o.rivals(w) && o.stands() {
+		if o.conflictsWith(w) && o.mayBeCurrent() {
 			return
 		}
 	}
 	w.contested = 0
 }
 
-// silentFor returns how long ago the worker's last answer came; 0 if it has never answered this owner.
+// silentFor returns how long ago the worker's last answer arrived; 0 if it has
+// never answered this owner.
 func (w *worker) silentFor(now unit.Instant) time.Duration {
 	if w.answered == 0 {
 		return 0
--- a/core/dispatch/lives_internal_test.go
+++ b/core/dispatch/lives_internal_test.go
@@ -14,31 +14,30 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// TestForgetsEarlierLives guards against an owner whose passes cost by all workers that it ever knew.
+// TestForgetsEarlierLives guards against an owner whose passes take time in
+// proportion to all workers that it ever knew.
 //
-// Symptom: passes of an owner that stays in office grow longer from day to day.
-// Sequence: workers crash or are replaced and come back as new lives. What an earlier life ran is given
-// up and its lease lapses, but it stays among the workers over which each pass walks, and which each
-// entry of the platform's list is compared with.
-// Cause: workers are never forgotten.
-// Settled by: a pass over 350 idle workers takes 0.013 ms with their first lives and 0.68 ms after 40
-// more of each.
+// Workers crash or are replaced, and come back as new incarnations. If the
+// earlier ones are never removed after their runs are given up and their leases
+// have expired, every pass iterates over them, and every entry of the
+// platform's list is compared with them: a pass over 350 idle workers took
+// 0.013 ms with their first incarnations and 0.68 ms after 40 more of each.
 func TestForgetsEarlierLives(t *testing.T) {
-	const workers, lives = 48, 20
+	const workers, incarnations = 48, 20
 	c := Config{MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, SaveEvery: time.Second, KeepEnded: 2 * time.Minute}
 	d := New(c, policy.New(), 1, jobtable.New())
 	now := unit.At(time.Unix(1000, 0))
-	for life := range lives {
+	for incarnation := range incarnations {
 		for i := range workers {
 			d.List(now, fleet.Listing{
-				ID: id.Worker(fmt.Sprintf("worker-%d-%d", i, life)), Address: fmt.Sprintf("address-%d", i), Service: "svc",
+				ID: id.Worker(fmt.Sprintf("worker-%d-%d", i, incarnation)), Address: fmt.Sprintf("address-%d", i), Service: "svc",
 				Capacity: job.Resources{CPU: 32000, Memory: unit.GiB, Accelerators: 8},
 			})
 		}
 		d.Pass(now, now)
 		for _, o := range d.Take().Renews {
-			v := fleet.Unreachable // earlier lives say nothing any more
-			if strings.HasSuffix(string(o.Worker), fmt.Sprintf("-%d", life)) {
+			v := fleet.Unreachable // earlier incarnations don't answer
+			if strings.HasSuffix(string(o.Worker), fmt.Sprintf("-%d", incarnation)) {
 				v = fleet.Carried
 			}
 			d.Renewed(now, RenewResult{Renew: o, Sent: now, Verdict: v})
@@ -48,6 +47,6 @@
 		d.Take()
 	}
 	if got := len(d.order); got > 2*workers {
-		t.Errorf("%d workers are known after %d lives of %d, of which %d are listed", got, lives, workers, workers)
+		t.Errorf("%d workers are known after %d incarnations of %d, of which %d are listed", got, incarnations, workers, workers)
 	}
 }
--- a/core/dispatch/loss.go
+++ b/core/dispatch/loss.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// acceleratorCores is how many cores an accelerator counts for, by the platform's
-	// prices.
+	// acceleratorCores is how many cores an accelerator is worth, by the
+	// platform's prices.
 	acceleratorCores = 8
-	// lastingLoss is what stopping a long-running task costs, as time of its cores: the
-	// platform wants it back within 6 s.
-	lastingLoss = 6 * time.Second
+	// longRunningLoss is the cost of stopping a long-running task, as working time
+	// lost: the platform requires it to be back within 6 s.
+	longRunningLoss = 6 * time.Second
 )
 
-// cores returns the run's weight for wasted work: accelerators count as
-// acceleratorCores each.
+// cores returns the run's weight when wasted work is compared: its cores, with
+// each accelerator counted as acceleratorCores.
 func (r *run) cores() float64 {
 	return float64(r.need.CPU)/1000 + acceleratorCores*float64(r.need.Accelerators)
 }
 
-// unsaved returns the core-seconds that stopping the run now would throw away.
+// unsaved returns the core-seconds of work that stopping the run now would
+// throw away.
 func (r *run) unsaved(now unit.Instant, saveEvery time.Duration) float64 {
 	if r.started == 0 {
 		return 0
 	}
 	age := now.Sub(r.started)
 	if r.step != nil && r.step.step.LongRunning {
-		age = lastingLoss // it makes no progress that could be lost, but is away
+		age = longRunningLoss // it has no progress to lose; the cost is its downtime
 	}
 	if r.step != nil && r.step.step.Checkpointing {
 		age = min(age, saveEvery)
@@ -36,13 +37,14 @@
 	return age.Seconds() * r.cores()
 }
 
-// lossOf returns the core-seconds that are lost when a run, and so its gang, stops.
+// lossOf returns the core-seconds that are lost when a run, and so its gang, is
+// stopped.
 func (d *Dispatcher) lossOf(now unit.Instant, r *run) float64 {
 	if !r.step.step.Gang {
 		return r.unsaved(now, d.config.SaveEvery)
 	}
 	sum := 0.0
-	for i := range r.step.step.Count { // in order, so that the sum is the same on every host
+	for i := range r.step.step.Count { // a fixed order makes the floating-point sum the same on every host
 		if m := r.step.runs[i]; m != nil {
 			sum += m.unsaved(now, d.config.SaveEvery)
 		}
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -6,18 +6,19 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// toldAfterAll is why a crash isn't held against a run.
-const toldAfterAll = "its worker tells of the run"
+// whyReported is the reason logged when a counted crash is retracted because
+// the worker reports the run after all.
+const whyReported = "its worker reports the run"
 
-// end takes in that a run has ended.
+// end processes the end of a run that a worker reports.
 func (d *Dispatcher) end(now unit.Instant, w *worker, e fleet.End) {
 	r := w.run(e.Task, e.Run)
 	n := Note{Event: EventTaskEnded, Job: e.Task.Job, Task: e.Task, Worker: w.ID, Run: e.Run, Why: e.How.String()}
 	if r == nil {
 		n.Event = EventUnknownEnd
 		d.note(n)
-		d.retractCrash(w.ID, e.Task, e.Run, toldAfterAll)
-		d.lateSuccess(now, e)
+		d.retractCrash(w.ID, e.Task, e.Run, whyReported)
+		d.successAfterLoss(now, e)
 		return
 	}
 	n.Age = now.Sub(r.since)
@@ -35,16 +36,17 @@
 	d.countFailures(now, r, e)
 	switch e.How {
 	case fleet.EndDone:
-		d.done(now, r)
+		d.runSucceeded(now, r)
 	case fleet.EndFailed:
-		d.failed(now, r)
+		d.runFailed(now, r)
 	case fleet.EndStopped, fleet.EndLapsed, fleet.EndBroken, fleet.EndAlone:
 		d.lose(now, r, e.How.String())
 	}
 }
 
-// done takes in a success. One member's success stands for its whole gang.
-func (d *Dispatcher) done(now unit.Instant, r *run) {
+// runSucceeded processes the success of a run. One member's success counts for its
+// whole gang.
+func (d *Dispatcher) runSucceeded(now unit.Instant, r *run) {
 	s := r.step
 	if s.step.LongRunning {
 		d.lose(now, r, "ended")
@@ -55,9 +57,10 @@
 	d.complete(now, s.job)
 }
 
-// lateSuccess takes in a success of a run that was given up: the task is done, and what runs of it elsewhere is
-// stopped. Without it the work is done once more.
-func (d *Dispatcher) lateSuccess(now unit.Instant, e fleet.End) {
+// successAfterLoss processes the success of a run that was given up before: the task
+// is done, and its newer run is stopped. Without this, the work would be done
+// twice.
+func (d *Dispatcher) successAfterLoss(now unit.Instant, e fleet.End) {
 	s := d.stepOfTask(e.Task)
 	if e.How != fleet.EndDone || s == nil || s.job.progress.Outcome != job.Open {
 		return
@@ -77,7 +80,7 @@
 	d.complete(now, js)
 }
 
-// markDone notes that a task is done, and with it its gang.
+// markDone marks a task as done, and with it its gang.
 func (d *Dispatcher) markDone(s *stepState, index int) {
 	tasks := s.together(index)
 	for i := range tasks {
@@ -96,19 +99,20 @@
 	}
 }
 
-// complete ends a job of which no step is open.
+// complete ends a job that has no open steps.
 func (d *Dispatcher) complete(now unit.Instant, js *jobState) {
 	if js.open == 0 {
 		d.finish(now, js, job.Completed, "all tasks are done")
 	}
 }
 
-// failed takes in a failure, which uses up one attempt of the task or its gang.
-func (d *Dispatcher) failed(now unit.Instant, r *run) {
+// runFailed processes the failure of a run, which uses up one attempt of its task
+// or gang.
+func (d *Dispatcher) runFailed(now unit.Instant, r *run) {
 	s := r.step
 	js := s.job
 	if js.progress.Tasks[s.base+r.task.Index].Phase == job.Done {
-		d.release(r) // an earlier run was done: nothing is to be tried again
+		d.release(r) // an earlier run succeeded, so there is nothing to retry
 		return
 	}
 	s.noteFailure(now, r.task.Index, r.worker)
@@ -127,38 +131,40 @@
 	}
 	d.mark(js)
 	d.lose(now, r, "failed")
-	r.keepFailure()
+	r.rememberFailedWorker()
 	if worst >= js.spec.MaxAttempts && !s.step.LongRunning {
 		d.finish(now, js, job.Failed, "out of attempts")
 	}
 }
 
-// keepFailure notes in the task's record that its last run has failed and was counted. Without it the next owner
-// counted another member's failure in the same run of a gang again.
-func (r *run) keepFailure() {
+// rememberFailedWorker keeps the worker in the task's record, which marks the failure of
+// the task's last run as counted. Otherwise the next owner would count the
+// failure of another member in the same run of a gang as a second one.
+func (r *run) rememberFailedWorker() {
 	t := &r.step.job.progress.Tasks[r.step.base+r.task.Index]
 	if t.Phase == job.Waiting {
 		t.Worker = r.worker.ID
 	}
 }
 
-// compare takes in what a worker says that it runs.
+// compare compares the runs that a worker reports with those that are placed on
+// it.
 func (d *Dispatcher) compare(now unit.Instant, w *worker, res RenewResult, ended map[job.Task]bool) {
 	listed := map[job.Task]bool{}
 	for _, x := range res.Report.Running {
 		listed[x.Task] = true
 		r := w.runs.get(x.Task)
 		if r == nil && !ended[x.Task] {
-			r = d.discover(now, w, x)
+			r = d.stopUnknownRun(now, w, x)
 		}
 		if r == nil || r.number != x.Run {
 			continue
 		}
 		if r.state == runStopping && r.stopDone != 0 && now.Sub(r.stopDone) > stopPatience*d.config.StopTime {
-			r.stopDone = 0 // it should have ended long ago: resend orders it again
+			r.stopDone = 0 // it should have ended long ago: resend repeats the order to stop
 		}
 		d.inheritedFound(r)
-		r.progressed(now, x.Percent)
+		r.recordProgress(now, x.Percent)
 		r.checkpoint, r.percent, r.load, r.reported, r.missed = x.Checkpoint, x.Percent, x.Load, now, 0
 		if r.apply(evStarted) && r.started == 0 {
 			r.started = now
@@ -167,31 +173,35 @@
 	}
 	for _, r := range w.sorted() {
 		if listed[r.task] || ended[r.task] || res.Report.MoreEnds {
-			continue // its end may be among those that the next answer tells
+			continue // its end may be among those in the next answer
 		}
 		if r.inherited != "" && r.state != runStopping {
 			d.inheritedMissing(now, r, res.Sent)
 			continue
 		}
-		if d.overdue(r, res.Sent) {
-			d.miss(now, r, res.Sent)
+		if d.mustBeReported(r, res.Sent) {
+			d.recordMissing(now, r, res.Sent)
 		}
 	}
 }
 
-// overdue reports whether an answer to a renewal that left at a time would tell of a run that is there or may come: the
-// worker had confirmed its start or its stop, or each copy of its order to start is refused as late by then.
-func (d *Dispatcher) overdue(r *run, sent unit.Instant) bool {
+// mustBeReported reports whether the answer to a renewal that left at a time must list
+// the run if it is there or can still come: the worker had confirmed its start
+// or its stop before, or every copy of the order to start it is too late to be
+// accepted.
+func (d *Dispatcher) mustBeReported(r *run, sent unit.Instant) bool {
 	started := r.started != 0 && sent > r.started
 	stopped := r.state == runStopping && r.stopDone != 0 && sent > r.stopDone
 	late := r.state != runOrdered && r.asked != 0 && sent > d.lapseOf(r.asked.Add(assuredFor))
 	return started || stopped || late
 }
 
-// miss takes in that a run is in neither list of an answer. A worker that takes the two one after the other may miss a
-// run that ends between them, so that only the second answer in a row counts: else a task
-// may be started again after it was done.
-func (d *Dispatcher) miss(now unit.Instant, r *run, sent unit.Instant) {
+// recordMissing processes an answer that lists a run neither as running nor as ended. A
+// worker that collects the two lists one after the other may miss a run that
+// ends in between. So the run is given up only when a second answer in a row,
+// requested after the first one arrived, lacks it too; otherwise a task could
+// be started again after it was done.
+func (d *Dispatcher) recordMissing(now unit.Instant, r *run, sent unit.Instant) {
 	if r.missed == 0 || sent <= r.missed {
 		r.missed = max(r.missed, now)
 		return
@@ -201,10 +211,11 @@
 	d.lose(now, r, "not listed by its worker")
 }
 
-// discover takes in a run that no record tells of, and stops it. Until it has ended its task isn't started again.
-func (d *Dispatcher) discover(now unit.Instant, w *worker, x fleet.Running) *run {
+// stopUnknownRun adds a run that a worker reports but no record mentions, and stops
+// it. Its task isn't started again until that run has ended.
+func (d *Dispatcher) stopUnknownRun(now unit.Instant, w *worker, x fleet.Running) *run {
 	r := &run{task: x.Task, number: x.Run, state: runRunning, worker: w, since: now, started: now, resumed: true}
-	d.retractCrash(w.ID, x.Task, x.Run, toldAfterAll)
+	d.retractCrash(w.ID, x.Task, x.Run, whyReported)
 	if s := d.stepOfTask(x.Task); s != nil {
 		r.need = s.step.Reserved()
 		if s.runs[x.Task.Index] == nil {
@@ -212,7 +223,7 @@
 		}
 	}
 	d.occupy(r)
-	w.grantedUntil = max(w.grantedUntil, d.lapseOf(now.Add(assuredFor))) // some lease holds, perhaps of an order that was late
+	w.grantedUntil = max(w.grantedUntil, d.lapseOf(now.Add(assuredFor))) // a lease is valid there, perhaps from a delayed order
 	d.stop(now, r, "no placement is known for it")
 	return r
 }
--- a/core/dispatch/stall.go
+++ b/core/dispatch/stall.go
@@ -6,33 +6,44 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Tasks on a worker may stand still while it answers all orders. One such member holds its whole gang up, and an urgent job with it, for as long as
-// that lasts. A run that makes no progress while others do is stopped and started elsewhere.
+// Tasks on a worker may stall while it still answers all orders. One stalled
+// member holds up its whole gang, and an urgent job with it, for as long as
+// that lasts. So a run that makes no progress while others do is stopped and
+// started elsewhere.
 
 const (
-	// stallAfter is the least time without progress of an urgent run. A run of 2.5 s shows another percent each 25 ms, one of a minute each 0.6 s.
-	stallAfter = 900 * time.Millisecond
-	// patientStall is the same for others. They have time until their workers go on, and stopping them throws more work away.
-	patientStall = 6 * time.Second
-	// aheadPercent is by how many percent another member of a gang must be ahead. Members differ by their workers' speed, up to one and a half
-	// times, so that it is more than half a second of a run of 2.5 s.
-	aheadPercent = 20
-	// almostDone is the progress from which a run may be waiting for the others of its gang.
+	// urgentStallTime is how long an urgent run must at least be without progress to
+	// be stopped. A run of 2.5 s gains a percent every 25 ms, one of a minute
+	// every 0.6 s.
+	urgentStallTime = 900 * time.Millisecond
+	// patientStallTime is the same for other runs. They can wait for their workers
+	// to recover, and stopping them throws more work away.
+	patientStallTime = 6 * time.Second
+	// minLeadPercent is how many percentage points another member of the gang
+	// must be ahead. The speeds of members' workers differ by a factor of up to
+	// 1.5. In a run of 2.5 s, the lead corresponds to more than half a second.
+	minLeadPercent = 20
+	// almostDone is the progress from which a run may be waiting for the other
+	// members of its gang.
 	almostDone = 98
-	// slowestEstimate times the customer's guess is how long a task may take, since guesses may be far too short. It shows another percent in each
-	// hundredth of that.
-	slowestEstimate = 10
-	// mostStalls is how many runs of one task, or gang, are stopped for it. Beyond, it is taken to be the task's way.
-	mostStalls = 2
-	// urgentWait is renewWait on a worker with an urgent run: progress is seen as answers come.
+	// maxEstimateFactor times the customer's estimate is how long a task may
+	// take, since estimates may be far too short. Within each hundredth of that
+	// time its progress must grow by a percent.
+	maxEstimateFactor = 10
+	// maxStallStops is how many runs of one task, or gang, are stopped for lack of
+	// progress. After that, the lack is assumed to be normal for the task.
+	maxStallStops = 2
+	// urgentWait replaces renewWait on a worker with an urgent run: progress is
+	// only seen when answers arrive.
 	urgentWait = time.Second
 )
 
-// whyStalled is why a run is stopped that makes no progress.
+// whyStalled is the reason logged when a run without progress is stopped.
 const whyStalled = "it makes no progress"
 
-// progressed takes in the progress of a run that its worker tells. Before the first report it counts from the run's start.
-func (r *run) progressed(now unit.Instant, percent int) {
+// recordProgress records the progress that a worker reports for a run. Before the
+// first progress, the time without it counts from the run's start.
+func (r *run) recordProgress(now unit.Instant, percent int) {
 	switch {
 	case r.advanced == 0 && percent == 0 && r.started != 0:
 		r.advanced = r.started
@@ -44,7 +55,8 @@
 	}
 }
 
-// stopStalled stops the runs on a worker that has just answered which make no progress, and suspends the worker.
+// stopStalled stops the runs without progress on a worker that has just
+// answered, and suspends the worker.
 func (d *Dispatcher) stopStalled(now unit.Instant, w *worker) {
 	if !d.policy.MoveStalled {
 		return
@@ -56,13 +68,13 @@
 		}
 	}
 	for _, r := range stalled {
-		if r.state == runRunning { // else it was stopped with another member of its gang
+		if r.state == runRunning { // otherwise it was stopped with another member of its gang
 			d.stopStalledRun(now, r)
 		}
 	}
 }
 
-// stopStalledRun stops one run that makes no progress.
+// stopStalledRun stops one run that makes no progress, and suspends its worker.
 func (d *Dispatcher) stopStalledRun(now unit.Instant, r *run) {
 	s, w := r.step, r.worker
 	if s.stalls == nil {
@@ -70,44 +82,48 @@
 	}
 	s.stalls[s.failureKey(r.task.Index)]++
 	s.noteFailure(now, r.task.Index, w)
-	w.streak = failStreak
+	w.streak = suspendAfterFailures
 	d.suspendFailing(now, w, "a task makes no progress there")
 	d.stopRun(now, r, whyStalled)
 }
 
-// stalled reports whether a run that its worker has just told of makes no progress.
+// stalled reports whether a run that its worker has just reported makes no
+// progress.
 func (d *Dispatcher) stalled(now unit.Instant, r *run) bool {
 	s := r.step
 	if s == nil || r.state != runRunning || r.reported != now || r.percent >= almostDone {
 		return false
 	}
-	if s.step.LongRunning || r.fills() || s.stalls[s.failureKey(r.task.Index)] >= mostStalls {
+	if s.step.LongRunning || r.fills() || s.stalls[s.failureKey(r.task.Index)] >= maxStallStops {
 		return false
 	}
-	since, atWork := s.atWorkSince(r)
-	if !atWork {
+	since, working := s.workingSince(r)
+	if !working {
 		return false
 	}
-	quiet := now.Sub(max(since, r.advanced))
-	if quiet < max(s.stallLimit(), r.lostWork(since, d.config.SaveEvery)) {
+	stalledFor := now.Sub(max(since, r.advanced))
+	if stalledFor < max(s.stallLimit(), r.redoTime(since, d.config.SaveEvery)) {
 		return false
 	}
 	if s.step.Gang {
 		return s.othersAhead(r)
 	}
-	return quiet >= slowestEstimate*s.step.Estimate/100 && r.worker.standsStill(now)
+	return stalledFor >= maxEstimateFactor*s.step.Estimate/100 && r.worker.allStalled(now)
 }
 
-// stallLimit returns the least time without progress for which a run of the step is stopped.
+// stallLimit returns how long a run of the step must at least be without
+// progress to be stopped.
 func (s *stepState) stallLimit() time.Duration {
 	if s.job.spec.Priority == 0 {
-		return stallAfter
+		return urgentStallTime
 	}
-	return patientStall
+	return patientStallTime
 }
 
-// atWorkSince returns when a run began to work, which for a member of a gang is when all had begun, and false if it isn't at work.
-func (s *stepState) atWorkSince(r *run) (unit.Instant, bool) {
+// workingSince returns when a run began to work; for a member of a gang, that is
+// when the last member began. It returns false if the run, or a member of its
+// gang, isn't running.
+func (s *stepState) workingSince(r *run) (unit.Instant, bool) {
 	if !s.step.Gang {
 		return r.started, r.started != 0
 	}
@@ -124,8 +140,9 @@
 	return last, true
 }
 
-// lostWork returns how long a new start needs to come as far as the run has come.
-func (r *run) lostWork(since unit.Instant, saveEvery time.Duration) time.Duration {
+// redoTime returns how long a new run would need to reach the progress of this
+// one.
+func (r *run) redoTime(since unit.Instant, saveEvery time.Duration) time.Duration {
 	worked := max(0, r.advanced.Sub(since))
 	if r.step.step.Checkpointing {
 		return min(worked, saveEvery)
@@ -133,31 +150,33 @@
 	return worked
 }
 
-// othersAhead reports whether another member of the run's gang has come further.
+// othersAhead reports whether another member of the run's gang is ahead by at
+// least minLeadPercent.
 func (s *stepState) othersAhead(r *run) bool {
 	for _, m := range s.runs {
-		if m != r && m.percent >= r.percent+aheadPercent {
+		if m != r && m.percent >= r.percent+minLeadPercent {
 			return true
 		}
 	}
 	return false
 }
 
-// standsStill reports whether nothing on a worker has made progress lately, of two runs at least, one of them of a step that shows some: others may
-// show none by their nature.
-func (w *worker) standsStill(now unit.Instant) bool {
-	atWork, shows := 0, false
+// allStalled reports whether no run on a worker has made progress lately.
+// There must be at least two, one of them of a step whose runs report progress:
+// some tasks never report any.
+func (w *worker) allStalled(now unit.Instant) bool {
+	working, shows := 0, false
 	for _, r := range w.runs {
 		if r.state != runRunning || r.reported != now {
 			continue
 		}
-		if now.Sub(r.advanced) < stallAfter {
+		if now.Sub(r.advanced) < urgentStallTime {
 			return false
 		}
-		atWork++
+		working++
 		shows = shows || r.step != nil && r.step.showsProgress
 	}
-	return atWork >= 2 && shows
+	return working >= 2 && shows
 }
 
 // urgent reports whether an urgent run is at work on a worker.
--- a/core/dispatch/suspect.go
+++ b/core/dispatch/suspect.go
@@ -7,33 +7,43 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// A task under which a worker has crashed may be the cause, or have run beside it. Started where nothing else is new, it
-// shows by itself which: who else ran there has gone on for a while, and isn't blamed if the worker crashes again.
+// A task under which a worker has crashed may be the cause, or may only have
+// run beside the cause. To tell the two apart it is restarted as the only
+// recently started task on a worker: the tasks that have run there for a while
+// aren't blamed if the worker crashes again.
 
 const (
-	// isolateFrom is the count of crashes from which a task keeps its worker for as long as it runs: it seems to crash
-	// workers after it has worked for a while, and two starts are left to it.
-	isolateFrom = 3
-	// ownWorkerWait is how long a suspect waits for an empty worker before it goes beside others.
-	ownWorkerWait = time.Second
-	// settledWait is how long it waits for one on which all that runs has gone on for a while, before it is placed like any
-	// other task, unless one more crash would end its job. A service of which all workers begin something each second has none.
-	settledWait = 5 * time.Second
-	// shieldedWait is how long a renewal may wait for news on a worker where room is kept free beside a suspect: the answer shows that
-	// the worker has not crashed. It costs a renewal each 100 ms for some 400 ms.
+	// isolateAfterCrashes is the number of crashes from which a task keeps its worker
+	// to itself for as long as it runs: it seems to crash workers after some
+	// time of work, and only two starts are left to it.
+	isolateAfterCrashes = 3
+	// emptyWorkerWait is how long a suspect waits for an empty worker before it
+	// is placed beside others.
+	emptyWorkerWait = time.Second
+	// isolationMaxWait is how long a suspect waits for a worker whose other runs
+	// have all worked for a while; after that it is placed like any other task,
+	// unless one more crash would fail its job. There may be no such worker in
+	// a service where every worker starts a task each second.
+	isolationMaxWait = 5 * time.Second
+	// shieldedWait is how long a renewal may wait for news on a worker where
+	// room is kept free beside a suspect; the answer shows that the worker has
+	// not crashed. The cost is a renewal every 100 ms for some 400 ms.
 	shieldedWait = 100 * time.Millisecond
-	// steadyAfter is how long a worker must be known to be preferred for suspects. One that has just crashed of itself may do so
-	// again, and has most room.
-	steadyAfter = 10 * time.Second
+	// steadyWorkerAge is how long a worker must be known to be preferred for
+	// suspects. A worker that has just crashed by its own fault may crash
+	// again, and has the most room.
+	steadyWorkerAge = 10 * time.Second
 )
 
-// suspect reports whether a task is to be started apart from others.
+// suspect reports whether a task is to be started apart from other tasks
+// because workers crashed under it.
 func (d *Dispatcher) suspect(s *stepState, index int) bool {
-	return d.policy.IsolateSuspects && s.anyCrashes(index, func(c job.CrashCount) bool { return crashedSoon(c) || crashedOften(c) })
+	return d.policy.IsolateSuspects && s.anyCrashCount(index, func(c job.CrashCount) bool { return lastCrashEarly(c) || needsOwnWorker(c) })
 }
 
-// placeSuspects places the suspects among a candidate's waiting tasks and takes those that don't go among others out of it. It reports whether
-// none of these is left.
+// placeSuspects places the suspects among a candidate's waiting tasks, and
+// removes those from it that must not be placed like other tasks. It reports
+// whether no suspect was left without a place.
 func (d *Dispatcher) placeSuspects(now unit.Instant, c *candidate, fits []*worker) bool {
 	if len(c.step.job.progress.Crashes) == 0 {
 		return true
@@ -42,7 +52,7 @@
 	var others []int
 	for _, i := range c.waiting {
 		switch {
-		case !d.suspect(s, i) || s.waitedSinceCrash(now, i) >= settledWait && s.crashCount(i).AtOnce < mostAtOnce-1:
+		case !d.suspect(s, i) || s.waitedSinceCrash(now, i) >= isolationMaxWait && s.crashCount(i).AtOnce < maxEarlyCrashes-1:
 			others = append(others, i)
 		case !d.placeSuspect(now, s, i, fits):
 			all = false
@@ -52,9 +62,10 @@
 	return all
 }
 
-// placeSuspect places a suspect if there is a worker for it.
+// placeSuspect places a suspect if there is a suitable worker, and reports
+// whether it did.
 func (d *Dispatcher) placeSuspect(now unit.Instant, s *stepState, index int, fits []*worker) bool {
-	for _, tier := range s.shelters(now, index, fits) {
+	for _, tier := range s.isolationTiers(now, index, fits) {
 		if w := d.choose(now, s, tier.workers, true); w != nil {
 			r := d.place(s, index, w, s.nextRun(index))
 			d.isolate(r, tier.why)
@@ -64,9 +75,9 @@
 	return false
 }
 
-// placeSuspectGang is placeSuspect for a gang. Its members may share workers.
+// placeSuspectGang does the same for a gang, whose members may share workers.
 func (d *Dispatcher) placeSuspectGang(now unit.Instant, c candidate, fits []*worker) bool {
-	for _, tier := range c.step.shelters(now, 0, fits) {
+	for _, tier := range c.step.isolationTiers(now, 0, fits) {
 		chosen := d.chooseGang(now, c, tier.workers, d.plainRoom)
 		if chosen.workers == nil {
 			continue
@@ -80,39 +91,43 @@
 	return false
 }
 
-// gangApart reports whether a candidate is a gang that is to be started apart from others.
+// gangApart reports whether a candidate is a gang that is to be started apart
+// from other tasks.
 func (d *Dispatcher) gangApart(now unit.Instant, c *candidate) bool {
-	return c.step.step.Gang && d.suspect(c.step, 0) && c.step.waitedSinceCrash(now, 0) < settledWait
+	return c.step.step.Gang && d.suspect(c.step, 0) && c.step.waitedSinceCrash(now, 0) < isolationMaxWait
 }
 
-// shelter is a set of workers where a suspect may start, and why.
-type shelter struct {
+// isolationTier is a set of workers where a suspect may start, and the reason to
+// choose it.
+type isolationTier struct {
 	workers []*worker
 	why     string
 }
 
-// shelters returns where a suspect may start, the best first.
-func (s *stepState) shelters(now unit.Instant, index int, fits []*worker) []shelter {
+// isolationTiers returns the sets of workers where a suspect may start, in order of
+// preference.
+func (s *stepState) isolationTiers(now unit.Instant, index int, fits []*worker) []isolationTier {
 	var steady, empty, settled []*worker
 	for _, w := range fits {
 		switch {
-		case w.empty() && now.Sub(w.since) >= steadyAfter:
+		case w.empty() && now.Sub(w.since) >= steadyWorkerAge:
 			steady = append(steady, w)
 		case w.empty():
 			empty = append(empty, w)
-		case w.settled():
+		case w.runsSettled():
 			settled = append(settled, w)
 		}
 	}
-	out := []shelter{{steady, "a worker of its own"}, {empty, "a worker of its own, which is new"}}
-	if s.waitedSinceCrash(now, index) >= ownWorkerWait {
-		out = append(out, shelter{settled, "beside tasks that have gone on for a while"})
+	out := []isolationTier{{steady, "an empty worker"}, {empty, "an empty worker, known only recently"}}
+	if s.waitedSinceCrash(now, index) >= emptyWorkerWait {
+		out = append(out, isolationTier{settled, "beside tasks that have run for a while"})
 	}
 	return out
 }
 
-// settled reports whether all that runs on a worker has gone on for a while, so that it isn't blamed for a crash.
-func (w *worker) settled() bool {
+// runsSettled reports whether all runs on a worker have worked for a while, so that
+// they aren't blamed for a crash.
+func (w *worker) runsSettled() bool {
 	for _, r := range w.runs {
 		if r.workedFor() < settledAfter {
 			return false
@@ -121,41 +136,44 @@
 	return true
 }
 
-// waitedSinceCrash returns how long ago this owner learned of a suspect's last crash, or of its job.
+// waitedSinceCrash returns how long ago this owner learned of a suspect's last
+// crash, or of its job if that was later.
 func (s *stepState) waitedSinceCrash(now unit.Instant, index int) time.Duration {
 	return now.Sub(max(s.job.seen, s.failures[s.failureKey(index)].at))
 }
 
-// isolate keeps what is free beside a run that was just placed from all others.
+// isolate reserves the free room of a worker beside a run that was just placed
+// there, so that no other task is.
 func (d *Dispatcher) isolate(r *run, why string) {
-	r.raiseShield()
+	r.setIsolationReserve()
 	d.noteRun(EventTaskIsolated, r, why, 0)
 }
 
-// raiseShield keeps what is free on its worker free beside a run.
-func (r *run) raiseShield() {
+// setIsolationReserve reserves all room that is free on a run's worker.
+func (r *run) setIsolationReserve() {
 	free := r.worker.free()
 	r.shield = job.Resources{CPU: max(0, free.CPU), Memory: max(0, free.Memory), Accelerators: max(0, free.Accelerators)}
 	r.worker.used = r.worker.used.Add(r.shield)
 }
 
-// reshield keeps free beside suspects what a worker's room leaves that has changed.
+// reshield adjusts the room reserved beside suspects on a worker whose capacity
+// or use has changed.
 func (w *worker) reshield() {
 	for _, r := range w.runs {
 		if r.shield != (job.Resources{}) {
-			r.dropShield()
-			r.raiseShield()
+			r.dropIsolationReserve()
+			r.setIsolationReserve()
 		}
 	}
 }
 
-// dropShield gives back what is kept free beside a run.
-func (r *run) dropShield() {
+// dropIsolationReserve releases the room that is reserved beside a run.
+func (r *run) dropIsolationReserve() {
 	r.worker.used = r.worker.used.Sub(r.shield)
 	r.shield = job.Resources{}
 }
 
-// shielded reports whether room is kept free beside some run of the worker.
+// shielded reports whether room is reserved beside some run of the worker.
 func (w *worker) shielded() bool {
 	for _, r := range w.runs {
 		if r.shield != (job.Resources{}) {
--- a/core/dispatch/unanswered_test.go
+++ b/core/dispatch/unanswered_test.go
@@ -7,14 +7,14 @@
 	"curlewsill.org/curlewsill/core/world"
 )
 
-// TestStartsThatAreNeverAnswered guards against tasks that are bound to a worker which never takes them.
+// TestStartsThatAreNeverAnswered guards against tasks that stay bound to a
+// worker that never accepts them, while nearly all room is free.
 //
-// Symptom: accepted work never begins although nearly all room is free.
-// Sequence: a worker answers renewals, so that its lease is kept, but no order to start. A task is placed
-// there; its order is repeated every 300 ms for as long as the worker lives, and the task is never
-// placed elsewhere.
-// Cause: a run whose order gets no answer is given up only when its worker's lease has lapsed.
-// Settled by: 8 of 80 tasks, placed on one of ten workers, have not ended after 60 s and not after 120 s.
+// The worker answers renewals, so that its lease is kept, but no order to
+// start. If a run whose orders get no answer is given up only when its worker's
+// lease has expired, the order is repeated every 300 ms for as long as the
+// worker lives, and the task is never placed elsewhere: 8 of 80 tasks, placed
+// on one of ten workers, had not ended after 120 s.
 func TestStartsThatAreNeverAnswered(t *testing.T) {
 	w := newWorld(t, 10, 0)
 	w.Run(time.Second)
--- a/core/dispatch/unheeded_test.go
+++ b/core/dispatch/unheeded_test.go
@@ -8,10 +8,13 @@
 	"curlewsill.org/curlewsill/core/fleet"
 )
 
-// TestUnheededStop gives a task to a worker that answers renewals and leaves every other order unanswered.
+// TestUnheededStop gives a task to a worker that answers renewals and no other
+// orders.
 //
-// The run is ordered to stop after 4 s, and that order gets no answer either. The worker refuses an order to start once its lease is
-// over, and tells of no run, but the run was waited for as long as the worker answers.
+// The run is ordered to stop after 4 s, and that order gets no answer either.
+// The worker refuses late orders to start once their lease has expired, and
+// reports no run. The test guards against an owner that nevertheless waits for
+// the run as long as the worker answers.
 func TestUnheededStop(t *testing.T) {
 	s := newScript(t)
 	s.run("worker w1\npass\n> renew w1 told 0\nrenew w1 carried\njob j1\npass 10ms\n> renew w1 told 0\nwrite\n> start j1.0.0.0 run 1 on w1")
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -13,38 +13,44 @@
 	"curlewsill.org/curlewsill/core/upkeep"
 )
 
-// upkeepAgain is when an order to take a machine down that got no answer is repeated.
-// The platform answers one that was done in the same way.
-const upkeepAgain = time.Second
+// upkeepRetry is the delay before an unanswered order to take a machine down is
+// repeated. The platform gives a repeated order the same answer as the one that
+// it carried out.
+const upkeepRetry = time.Second
 
-// unsureFor is how long an order without an answer may be why its machine is down: orders may be carried out 12 s
-// late, and a machine is down for 2 s.
-const unsureFor = 15 * time.Second
+// unansweredFor is how long an unanswered order may be the reason that its machine
+// is down: orders may be carried out 12 s late, and a machine stays down for 2
+// s.
+const unansweredFor = 15 * time.Second
 
-// wave is one wave of maintenance and what the store knows of it.
+// wave is one wave of maintenance and its state in the store.
 type wave struct {
 	number id.Wave
 	plan   *upkeep.Plan
 	record jobtable.Wave
 	// changed is set while the store's record is older than record.
 	changed bool
-	// finished is set once the operator was told so.
+	// finished is set once the operator was informed that the wave has
+	// finished.
 	finished bool
-	// carried holds when it was known that the order to take a machine down was carried out.
+	// carried holds, by machine, when the owner learned that the order to take
+	// it down was carried out.
 	carried map[id.Machine]unit.Instant
-	// unanswered holds when the orders that got no answer are repeated.
-	unanswered map[id.Machine]unit.Instant
-	// unsure holds when the newest order about a machine got no answer: it may have been carried out, or may be.
-	unsure map[id.Machine]unit.Instant
+	// retryAt holds, by machine, when an order that got no answer is due to
+	// be repeated.
+	retryAt map[id.Machine]unit.Instant
+	// unansweredAt holds, by machine, when the newest order got no answer: it may
+	// have been carried out, or may still be.
+	unansweredAt map[id.Machine]unit.Instant
 }
 
-// SetWave takes in a wave that the operator asks for. One that an earlier owner has begun
-// goes on where the store's record says.
+// SetWave adds a wave that the operator asks for. A wave that an earlier owner
+// has begun continues from the store's record.
 func (d *Dispatcher) SetWave(now, wall unit.Instant, w upkeep.Wave) {
 	if d.waves[w.Number] != nil {
 		return
 	}
-	x := &wave{number: w.Number, unanswered: map[id.Machine]unit.Instant{}, carried: map[id.Machine]unit.Instant{}, unsure: map[id.Machine]unit.Instant{}}
+	x := &wave{number: w.Number, retryAt: map[id.Machine]unit.Instant{}, carried: map[id.Machine]unit.Instant{}, unansweredAt: map[id.Machine]unit.Instant{}}
 	rec, known := d.table.Wave(w.Number)
 	if !known {
 		rec.Seen, x.changed = wall, true
@@ -60,8 +66,8 @@
 	d.note(Note{Event: EventWaveSeen, Why: fmt.Sprintf("wave %d: %d machines, %d begun", w.Number, len(w.Machines), len(rec.Begun)), Estimate: w.Within})
 }
 
-// maintain moves the waves on. A new owner waits: the former one may have ordered a machine
-// about a moment ago.
+// maintain advances the waves. A new owner first waits, since the previous one
+// may have ordered a machine down a moment ago.
 func (d *Dispatcher) maintain(now unit.Instant) {
 	if len(d.waves) == 0 {
 		return
@@ -72,12 +78,12 @@
 		}
 	}
 	for _, w := range d.order {
-		w.held = d.holds(w.Machine)
+		w.held = d.heldForUpkeep(w.Machine)
 	}
 }
 
-// holds reports whether a machine is to take no new tasks because of a wave.
-func (d *Dispatcher) holds(m id.Machine) bool {
+// heldForUpkeep reports whether a machine is to take no new tasks because of a wave.
+func (d *Dispatcher) heldForUpkeep(m id.Machine) bool {
 	for _, x := range d.waves {
 		if x.plan.Held(m) {
 			return true
@@ -86,7 +92,7 @@
 	return false
 }
 
-// advanceWave begins to empty machines and orders down those that are empty.
+// advanceWave selects machines to empty, and orders down those that are empty.
 func (d *Dispatcher) advanceWave(now unit.Instant, x *wave) {
 	x.plan.Settle(now)
 	chosen := x.plan.Choose(now, func(m id.Machine) (float64, bool) { return d.emptyingCost(now, m) })
@@ -94,11 +100,11 @@
 		d.note(Note{Event: EventUpkeepBegins, Why: fmt.Sprintf("machine %s of wave %d is emptied", m, x.number)})
 	}
 	for _, m := range x.plan.Emptying() {
-		d.empty(now, x, m)
+		d.emptyMachine(now, x, m)
 	}
-	for _, m := range slices.Sorted(maps.Keys(x.unanswered)) {
-		if now >= x.unanswered[m] {
-			delete(x.unanswered, m)
+	for _, m := range slices.Sorted(maps.Keys(x.retryAt)) {
+		if now >= x.retryAt[m] {
+			delete(x.retryAt, m)
 			d.orderDown(x, m)
 		}
 	}
@@ -109,8 +115,9 @@
 	}
 }
 
-// emptyingCost returns the core-seconds that emptying a machine would throw away now. It
-// returns false if the machine isn't up, or runs tasks that may not be stopped now.
+// emptyingCost returns the core-seconds of work that emptying a machine now
+// would throw away. It returns false if the machine isn't up, or runs tasks
+// that may not be stopped now.
 func (d *Dispatcher) emptyingCost(now unit.Instant, m id.Machine) (float64, bool) {
 	w := d.lifeOn(m)
 	if w == nil || w.Draining {
@@ -123,17 +130,18 @@
 	return cost, mayStopAll(runs...)
 }
 
-// withStep leaves out runs whose jobs aren't known any more. It takes the slice over.
+// withStep removes the runs whose jobs are no longer known. It modifies the
+// slice.
 func withStep(runs []*run) []*run {
 	return slices.DeleteFunc(runs, func(r *run) bool { return r.step == nil })
 }
 
-// empty orders a machine down if nothing runs there, and stops what runs when the wave can't
-// wait any longer.
-func (d *Dispatcher) empty(now unit.Instant, x *wave, m id.Machine) {
+// emptyMachine orders a machine down if nothing runs there, and stops its runs when
+// the wave can't wait any longer.
+func (d *Dispatcher) emptyMachine(now unit.Instant, x *wave, m id.Machine) {
 	w := d.lifeOn(m)
 	if w == nil {
-		return // its next life will be emptied
+		return // the next incarnation will be emptied
 	}
 	if len(w.runs) == 0 {
 		if x.plan.Order(now, m) {
@@ -151,13 +159,14 @@
 	}
 }
 
-// orderDown orders a machine down, for the first time or again.
+// orderDown issues an order to take a machine down, for the first time or
+// again.
 func (d *Dispatcher) orderDown(x *wave, m id.Machine) {
 	d.orders.Upkeeps = append(d.orders.Upkeeps, Upkeep{Machine: m, Wave: x.number, Epoch: d.epoch})
 	d.note(Note{Event: EventUpkeepOrdered, Why: fmt.Sprintf("machine %s of wave %d", m, x.number)})
 }
 
-// Upkept takes in what became of an order to take a machine down.
+// Upkept processes the result of an order to take a machine down.
 func (d *Dispatcher) Upkept(now unit.Instant, res UpkeepResult) {
 	x := d.waves[res.Upkeep.Wave]
 	if x == nil || res.Upkeep.Epoch != d.epoch {
@@ -177,17 +186,17 @@
 	case fleet.Stale, fleet.Invalid:
 		x.plan.Drop(m)
 	case fleet.Busy, fleet.Unreachable:
-		if at := x.unsure[m]; at != 0 && now.Sub(at) < unsureFor {
-			x.unanswered[m] = now.Add(upkeepAgain) // it may be down on that order, and counts as such
+		if at := x.unansweredAt[m]; at != 0 && now.Sub(at) < unansweredFor {
+			x.retryAt[m] = now.Add(upkeepRetry) // the unanswered order may have taken it down: it counts as down
 			return
 		}
 		x.plan.Refused(now, m)
 	case fleet.Unknown, fleet.Expired, fleet.NoRoom, fleet.NoTicket, fleet.Replaced:
-		x.unanswered[m], x.unsure[m] = now.Add(upkeepAgain), now
+		x.retryAt[m], x.unansweredAt[m] = now.Add(upkeepRetry), now
 	}
 }
 
-// waveRecords returns the records of the waves that have moved on.
+// waveRecords returns the records of the waves that have changed.
 func (d *Dispatcher) waveRecords() ([]jobtable.Record, error) {
 	var out []jobtable.Record
 	for _, n := range slices.Sorted(maps.Keys(d.waves)) {
