--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -16,11 +16,12 @@
 // counted separately, per task, in the job's progress record.
 
 const (
-	// maxEarlyCrashes is how many workers in a row may crash soon after starts of a
-	// task before its job fails. The platform allows two more starts after the
-	// third crash, and allows giving up after the second. A task that merely
-	// ran beside the culprit reaches this count only if workers crash for other
-	// causes soon after its next two starts, which run apart from other tasks.
+	// maxEarlyCrashes is how many workers in a row may crash soon after starts
+	// of a task before its job fails. The platform allows two more starts after
+	// the third crash, and allows giving up after the second. A task that
+	// merely ran beside the culprit reaches this count only if workers crash
+	// for other causes soon after its next two starts, which run apart from
+	// other tasks.
 	maxEarlyCrashes = 3
 	// maxCrashes is the limit for crashes at any time after a start: the third
 	// crash plus the two more starts that the platform allows.
@@ -30,14 +31,14 @@
 	// start. Most tasks that crash workers do so immediately. A longer time
 	// would attribute more unrelated crashes to the task.
 	settledAfter = 300 * time.Millisecond
-	// minRepeatedCrashes is the number of crashes under a task from which a further
-	// one is no evidence of a common cause. Without it, tasks that crash
-	// workers some time after their starts would excuse each other
+	// minRepeatedCrashes is the number of crashes under a task from which a
+	// further one is no evidence of a common cause. Without it, tasks that
+	// crash workers some time after their starts would excuse each other
 	// indefinitely.
 	minRepeatedCrashes = 2
-	// crashResetAfter is how long after a run's start its worker must have answered
-	// for the crash counts of its task to be reset, so that unrelated worker
-	// crashes, hours apart, don't fail a long-running task.
+	// crashResetAfter is how long after a run's start its worker must have
+	// answered for the crash counts of its task to be reset, so that unrelated
+	// worker crashes, hours apart, don't fail a long-running task.
 	crashResetAfter = 30 * time.Second
 )
 
@@ -93,8 +94,8 @@
 	return r.state != runOrdered && (r.started != 0 || r.unanswered || r.inFlight || r.resumed)
 }
 
-// mayCauseCrash reports whether the run may be the cause of a crash of its worker:
-// it may have begun, and its task is not done.
+// mayCauseCrash reports whether the run may be the cause of a crash of its
+// worker: it may have begun, and its task is not done.
 func (r *run) mayCauseCrash() bool {
 	if r.step == nil || !r.mayHaveStarted() {
 		return false
@@ -103,12 +104,12 @@
 	return p.Outcome == job.Open && len(p.Tasks) > 0 && p.Tasks[r.step.base+r.task.Index].Phase != job.Done
 }
 
-// likelyCrashCause reports whether a run may have begun only shortly before its worker
-// crashed, which makes it the likely cause.
+// likelyCrashCause reports whether a run may have begun only shortly before its
+// worker crashed, which makes it the likely cause.
 func (r *run) likelyCrashCause() bool { return r.mayCauseCrash() && r.workedFor() < settledAfter }
 
-// crashedRepeatedly reports whether workers crashed under earlier runs of the task so
-// often that the task is a possible cause.
+// crashedRepeatedly reports whether workers crashed under earlier runs of the
+// task so often that the task is a possible cause.
 func (r *run) crashedRepeatedly() bool {
 	return r.mayCauseCrash() && r.step.anyCrashCount(r.task.Index, func(c job.CrashCount) bool { return c.All >= minRepeatedCrashes })
 }
@@ -196,8 +197,8 @@
 	}
 }
 
-// taskBeyondCrashLimit reports whether a task of the job is to be given up, and after how
-// many crashes.
+// taskBeyondCrashLimit reports whether a task of the job is to be given up, and
+// after how many crashes.
 func (js *jobState) taskBeyondCrashLimit(now unit.Instant) (int, bool) {
 	if len(js.progress.Crashes) == 0 {
 		return 0, false
@@ -218,14 +219,16 @@
 	return s.anyCrashCount(index, beyondCrashLimit)
 }
 
-// lastCrashEarly reports whether the latest crash under a task came soon after its
-// start. needsOwnWorker reports whether there were so many in total that its
-// worker takes no other tasks while it runs.
-func lastCrashEarly(c job.CrashCount) bool  { return c.AtOnce > 0 }
+// lastCrashEarly reports whether the latest crash under a task came soon after
+// its start. needsOwnWorker reports whether there were so many in total that
+// its worker takes no other tasks while it runs.
+func lastCrashEarly(c job.CrashCount) bool { return c.AtOnce > 0 }
 func needsOwnWorker(c job.CrashCount) bool { return c.All >= isolateAfterCrashes }
 
 // beyondCrashLimit reports whether a task has reached its limit of crashes.
-func beyondCrashLimit(c job.CrashCount) bool { return c.AtOnce >= maxEarlyCrashes || c.All >= maxCrashes }
+func beyondCrashLimit(c job.CrashCount) bool {
+	return c.AtOnce >= maxEarlyCrashes || c.All >= maxCrashes
+}
 
 // clearSuspicion updates the crash counts of a task whose run a worker has just
 // reported. Once the run has worked long enough, its worker may take other
@@ -255,9 +258,9 @@
 	}
 }
 
-// confirmedRuntime returns for how long a run, or its whole gang together, is known to
-// have worked. It is 0 for a gang with members missing or stopping: members
-// that only wait for others are no evidence that the task is harmless.
+// confirmedRuntime returns for how long a run, or its whole gang together, is
+// known to have worked. It is 0 for a gang with members missing or stopping:
+// members that only wait for others are no evidence that the task is harmless.
 func (s *stepState) confirmedRuntime(r *run) time.Duration {
 	if !s.step.Gang {
 		return r.workedFor()
@@ -275,8 +278,8 @@
 	return least
 }
 
-// dropIsolationReserves releases the room that is kept free beside a run, or beside all
-// members of its gang.
+// dropIsolationReserves releases the room that is kept free beside a run, or
+// beside all members of its gang.
 func (s *stepState) dropIsolationReserves(r *run) {
 	if !s.step.Gang {
 		r.dropIsolationReserve()
--- a/core/dispatch/crashcount.go
+++ b/core/dispatch/crashcount.go
@@ -9,8 +9,9 @@
 // The crash counts are part of the job's progress record, keyed by the position
 // of the task.
 
-// anyCrashCount reports whether the crash count of a task satisfies a predicate,
-// or that of any member of its gang, since a gang starts and stops as a whole.
+// anyCrashCount reports whether the crash count of a task satisfies a
+// predicate, or that of any member of its gang, since a gang starts and stops
+// as a whole.
 func (s *stepState) anyCrashCount(index int, match func(job.CrashCount) bool) bool {
 	for _, c := range s.job.progress.Crashes {
 		if s.startsWith(index, c.Task) && match(c) {
@@ -29,8 +30,8 @@
 	return position == s.base+index
 }
 
-// resetEarlyCrashes resets the count of crashes soon after the start, for a task or
-// all members of its gang.
+// resetEarlyCrashes resets the count of crashes soon after the start, for a
+// task or all members of its gang.
 func (s *stepState) resetEarlyCrashes(index int) {
 	all := s.job.progress.Crashes
 	for i := range all {
--- a/core/dispatch/evacuation.go
+++ b/core/dispatch/evacuation.go
@@ -20,9 +20,9 @@
 // records were last read longer ago than Config.NewsAge. So an owner that reads
 // late, was frozen or has just taken over starts nothing.
 
-// maxStartLatency bounds the time from the last check of an order until it reaches its
-// worker: workers answer within a few milliseconds, and the platform's client
-// gives up on an order after 0.8 s.
+// maxStartLatency bounds the time from the last check of an order until it
+// reaches its worker: workers answer within a few milliseconds, and the
+// platform's client gives up on an order after 0.8 s.
 const maxStartLatency = time.Second
 
 // NewsAge returns the maximum age of the owner's knowledge of evacuations when
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// suspendAfterFailures is how many runs of different jobs must fail in a row before a
-	// worker is suspended, and suspensionTime how long it then gets no tasks.
-	// Healthy workers fail a run now and then, too.
+	// suspendAfterFailures is how many runs of different jobs must fail in a
+	// row before a worker is suspended, and suspensionTime how long it then
+	// gets no tasks. Healthy workers fail a run now and then, too.
 	suspendAfterFailures = 3
-	suspensionTime  = 5 * time.Second
-	// immediateFailureTime is the time after its start within which a run fails on a worker
-	// that fails everything it starts; on a healthy worker a run works for a
-	// while before it fails. One such failure is enough to suspend the worker,
-	// since each further one costs a gang.
+	suspensionTime       = 5 * time.Second
+	// immediateFailureTime is the time after its start within which a run fails
+	// on a worker that fails everything it starts; on a healthy worker a run
+	// works for a while before it fails. One such failure is enough to suspend
+	// the worker, since each further one costs a gang.
 	immediateFailureTime = 200 * time.Millisecond
-	// maxBlamedWorkers limits how many workers are suspended for immediate failures of
-	// one job; beyond it, the job is assumed to be at fault. With fewer than 50
-	// workers the limit is one plus maxBlamedShare of them, because the platform lets
-	// up to a seventh of the workers fail everything they start.
+	// maxBlamedWorkers limits how many workers are suspended for immediate
+	// failures of one job; beyond it, the job is assumed to be at fault. With
+	// fewer than 50 workers the limit is one plus maxBlamedShare of them,
+	// because the platform lets up to a seventh of the workers fail everything
+	// they start.
 	maxBlamedWorkers = 8
-	maxBlamedShare  = 1.0 / 7
-	// probationTime is how long the first run after a suspension must work before
-	// the worker is considered healthy.
+	maxBlamedShare   = 1.0 / 7
+	// probationTime is how long the first run after a suspension must work
+	// before the worker is considered healthy.
 	probationTime = 2 * time.Second
-	// maxSuspendedShare is the share of a service's workers that may be suspended
-	// at the same time, at least one. Otherwise a job that fails everywhere
-	// would leave no workers for the others. It is above the share that can be
-	// bad: the platform lets a seventh of the workers fail everything they
-	// start.
+	// maxSuspendedShare is the share of a service's workers that may be
+	// suspended at the same time, at least one. Otherwise a job that fails
+	// everywhere would leave no workers for the others. It is above the share
+	// that can be bad: the platform lets a seventh of the workers fail
+	// everything they start.
 	maxSuspendedShare = 1.0 / 3
 	// failurePenalty is the placement cost added for each failure in a row on
 	// a worker. It outweighs all other criteria, so that other workers are
@@ -168,8 +169,8 @@
 	return suspended < max(1, int(maxSuspendedShare*float64(listed)))
 }
 
-// failedImmediately reports whether a run that has just failed did so immediately
-// after its start.
+// failedImmediately reports whether a run that has just failed did so
+// immediately after its start.
 func (r *run) failedImmediately(now unit.Instant) bool {
 	if r.resumed {
 		return false
@@ -226,4 +227,6 @@
 }
 
 // suspicion returns the placement cost of a worker whose latest runs failed.
-func (w *worker) suspicion() float64 { return failurePenalty * float64(min(w.streak, suspendAfterFailures)) }
+func (w *worker) suspicion() float64 {
+	return failurePenalty * float64(min(w.streak, suspendAfterFailures))
+}
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -15,18 +15,18 @@
 // ended, but a run whose order may have reached the next one is looked for
 // there before its task is placed again.
 
-// maxOrderDelay is how long after it left an unanswered order may still be carried
-// out by the platform.
+// maxOrderDelay is how long after it left an unanswered order may still be
+// carried out by the platform.
 const maxOrderDelay = 12 * time.Second
 
-// maxAnswerAgeForAck is how recent a worker's last answer must be for a renewal to
-// acknowledge task ends, which lets the worker forget them. Recording an end
+// maxAnswerAgeForAck is how recent a worker's last answer must be for a renewal
+// to acknowledge task ends, which lets the worker forget them. Recording an end
 // takes some 10 ms; a worker takes longer than this to restart, and longer
 // still until it has ended a task.
 const maxAnswerAgeForAck = 250 * time.Millisecond
 
-// whyStrayOrder is the reason logged when a run is stopped on the next incarnation
-// of its worker.
+// whyStrayOrder is the reason logged when a run is stopped on the next
+// incarnation of its worker.
 const whyStrayOrder = "an order to start it may reach the next life under its worker's name"
 
 // strayStart is an order to start a run that has ended, with a copy that got no
@@ -38,8 +38,8 @@
 	asked unit.Instant
 }
 
-// unreplacedNamesake reports whether an incarnation that isn't known to have ended has
-// the same name as another one.
+// unreplacedNamesake reports whether an incarnation that isn't known to have
+// ended has the same name as another one.
 func (w *worker) unreplacedNamesake(o *worker) bool { return w != o && w.name == o.name && !w.replaced }
 
 // successor returns the incarnation that answered in place of another one of
@@ -100,8 +100,8 @@
 	next.nextHold = min(next.nextHold, now)
 }
 
-// mayReachSuccessor reports whether an order to start the run may reach, or may have
-// reached, the next incarnation under its worker's name.
+// mayReachSuccessor reports whether an order to start the run may reach, or may
+// have reached, the next incarnation under its worker's name.
 func (r *run) mayReachSuccessor(now unit.Instant) bool {
 	unanswered := (r.unanswered || r.startLapse != 0) && now.Sub(r.asked) <= maxOrderDelay
 	answeredOnly := r.started != 0 && r.worker.synced <= r.started
--- a/core/dispatch/lasting.go
+++ b/core/dispatch/lasting.go
@@ -9,19 +9,21 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// operationalPercent is the percentage that a long-running task reports when it is fully
-// operational.
+// operationalPercent is the percentage that a long-running task reports when it
+// is fully operational.
 const operationalPercent = 100
 
-// longRunningPatience is how long long-running tasks wait before the room that is
-// reserved for others is released. The platform counts a long-running task as
-// lost that waiting 3 s while there is room.
+// longRunningPatience is how long long-running tasks wait before the room that
+// is reserved for others is released. The platform counts a long-running task
+// as lost that waiting 3 s while there is room.
 const longRunningPatience = time.Second
 
-// operational reports whether a run of a long-running task is fully operational.
+// operational reports whether a run of a long-running task is fully
+// operational.
 func (r *run) operational() bool { return r.state == runRunning && r.percent >= operationalPercent }
 
-// unavailable returns how many tasks of a long-running step are not operational.
+// unavailable returns how many tasks of a long-running step are not
+// operational.
 func (s *stepState) unavailable() int {
 	n := s.step.Count
 	for _, r := range s.runs {
--- a/core/dispatch/loss.go
+++ b/core/dispatch/loss.go
@@ -10,8 +10,8 @@
 	// acceleratorCores is how many cores an accelerator is worth, by the
 	// platform's prices.
 	acceleratorCores = 8
-	// longRunningLoss is the cost of stopping a long-running task, as working time
-	// lost: the platform requires it to be back within 6 s.
+	// longRunningLoss is the cost of stopping a long-running task, as working
+	// time lost: the platform requires it to be back within 6 s.
 	longRunningLoss = 6 * time.Second
 )
 
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// runSucceeded processes the success of a run. One member's success counts for its
-// whole gang.
+// runSucceeded processes the success of a run. One member's success counts for
+// its whole gang.
 func (d *Dispatcher) runSucceeded(now unit.Instant, r *run) {
 	s := r.step
 	if s.step.LongRunning {
@@ -57,9 +57,9 @@
 	d.complete(now, s.job)
 }
 
-// successAfterLoss processes the success of a run that was given up before: the task
-// is done, and its newer run is stopped. Without this, the work would be done
-// twice.
+// successAfterLoss processes the success of a run that was given up before: the
+// task is done, and its newer run is stopped. Without this, the work would be
+// done twice.
 func (d *Dispatcher) successAfterLoss(now unit.Instant, e fleet.End) {
 	s := d.stepOfTask(e.Task)
 	if e.How != fleet.EndDone || s == nil || s.job.progress.Outcome != job.Open {
@@ -106,8 +106,8 @@
 	}
 }
 
-// runFailed processes the failure of a run, which uses up one attempt of its task
-// or gang.
+// runFailed processes the failure of a run, which uses up one attempt of its
+// task or gang.
 func (d *Dispatcher) runFailed(now unit.Instant, r *run) {
 	s := r.step
 	js := s.job
@@ -137,9 +137,10 @@
 	}
 }
 
-// rememberFailedWorker keeps the worker in the task's record, which marks the failure of
-// the task's last run as counted. Otherwise the next owner would count the
-// failure of another member in the same run of a gang as a second one.
+// rememberFailedWorker keeps the worker in the task's record, which marks the
+// failure of the task's last run as counted. Otherwise the next owner would
+// count the failure of another member in the same run of a gang as a second
+// one.
 func (r *run) rememberFailedWorker() {
 	t := &r.step.job.progress.Tasks[r.step.base+r.task.Index]
 	if t.Phase == job.Waiting {
@@ -185,10 +186,10 @@
 	}
 }
 
-// mustBeReported reports whether the answer to a renewal that left at a time must list
-// the run if it is there or can still come: the worker had confirmed its start
-// or its stop before, or every copy of the order to start it is too late to be
-// accepted.
+// mustBeReported reports whether the answer to a renewal that left at a time
+// must list the run if it is there or can still come: the worker had confirmed
+// its start or its stop before, or every copy of the order to start it is too
+// late to be accepted.
 func (d *Dispatcher) mustBeReported(r *run, sent unit.Instant) bool {
 	started := r.started != 0 && sent > r.started
 	stopped := r.state == runStopping && r.stopDone != 0 && sent > r.stopDone
@@ -196,11 +197,11 @@
 	return started || stopped || late
 }
 
-// recordMissing processes an answer that lists a run neither as running nor as ended. A
-// worker that collects the two lists one after the other may miss a run that
-// ends in between. So the run is given up only when a second answer in a row,
-// requested after the first one arrived, lacks it too; otherwise a task could
-// be started again after it was done.
+// recordMissing processes an answer that lists a run neither as running nor as
+// ended. A worker that collects the two lists one after the other may miss a
+// run that ends in between. So the run is given up only when a second answer in
+// a row, requested after the first one arrived, lacks it too; otherwise a task
+// could be started again after it was done.
 func (d *Dispatcher) recordMissing(now unit.Instant, r *run, sent unit.Instant) {
 	if r.missed == 0 || sent <= r.missed {
 		r.missed = max(r.missed, now)
@@ -211,8 +212,8 @@
 	d.lose(now, r, "not listed by its worker")
 }
 
-// stopUnknownRun adds a run that a worker reports but no record mentions, and stops
-// it. Its task isn't started again until that run has ended.
+// stopUnknownRun adds a run that a worker reports but no record mentions, and
+// stops it. Its task isn't started again until that run has ended.
 func (d *Dispatcher) stopUnknownRun(now unit.Instant, w *worker, x fleet.Running) *run {
 	r := &run{task: x.Task, number: x.Run, state: runRunning, worker: w, since: now, started: now, resumed: true}
 	d.retractCrash(w.ID, x.Task, x.Run, whyReported)
--- a/core/dispatch/stall.go
+++ b/core/dispatch/stall.go
@@ -12,12 +12,12 @@
 // started elsewhere.
 
 const (
-	// urgentStallTime is how long an urgent run must at least be without progress to
-	// be stopped. A run of 2.5 s gains a percent every 25 ms, one of a minute
-	// every 0.6 s.
+	// urgentStallTime is how long an urgent run must at least be without
+	// progress to be stopped. A run of 2.5 s gains a percent every 25 ms, one
+	// of a minute every 0.6 s.
 	urgentStallTime = 900 * time.Millisecond
-	// patientStallTime is the same for other runs. They can wait for their workers
-	// to recover, and stopping them throws more work away.
+	// patientStallTime is the same for other runs. They can wait for their
+	// workers to recover, and stopping them throws more work away.
 	patientStallTime = 6 * time.Second
 	// minLeadPercent is how many percentage points another member of the gang
 	// must be ahead. The speeds of members' workers differ by a factor of up to
@@ -30,8 +30,8 @@
 	// take, since estimates may be far too short. Within each hundredth of that
 	// time its progress must grow by a percent.
 	maxEstimateFactor = 10
-	// maxStallStops is how many runs of one task, or gang, are stopped for lack of
-	// progress. After that, the lack is assumed to be normal for the task.
+	// maxStallStops is how many runs of one task, or gang, are stopped for lack
+	// of progress. After that, the lack is assumed to be normal for the task.
 	maxStallStops = 2
 	// urgentWait replaces renewWait on a worker with an urgent run: progress is
 	// only seen when answers arrive.
@@ -41,8 +41,8 @@
 // whyStalled is the reason logged when a run without progress is stopped.
 const whyStalled = "it makes no progress"
 
-// recordProgress records the progress that a worker reports for a run. Before the
-// first progress, the time without it counts from the run's start.
+// recordProgress records the progress that a worker reports for a run. Before
+// the first progress, the time without it counts from the run's start.
 func (r *run) recordProgress(now unit.Instant, percent int) {
 	switch {
 	case r.advanced == 0 && percent == 0 && r.started != 0:
@@ -120,9 +120,9 @@
 	return patientStallTime
 }
 
-// workingSince returns when a run began to work; for a member of a gang, that is
-// when the last member began. It returns false if the run, or a member of its
-// gang, isn't running.
+// workingSince returns when a run began to work; for a member of a gang, that
+// is when the last member began. It returns false if the run, or a member of
+// its gang, isn't running.
 func (s *stepState) workingSince(r *run) (unit.Instant, bool) {
 	if !s.step.Gang {
 		return r.started, r.started != 0
--- a/core/dispatch/suspect.go
+++ b/core/dispatch/suspect.go
@@ -13,17 +13,17 @@
 // aren't blamed if the worker crashes again.
 
 const (
-	// isolateAfterCrashes is the number of crashes from which a task keeps its worker
-	// to itself for as long as it runs: it seems to crash workers after some
-	// time of work, and only two starts are left to it.
+	// isolateAfterCrashes is the number of crashes from which a task keeps its
+	// worker to itself for as long as it runs: it seems to crash workers after
+	// some time of work, and only two starts are left to it.
 	isolateAfterCrashes = 3
 	// emptyWorkerWait is how long a suspect waits for an empty worker before it
 	// is placed beside others.
 	emptyWorkerWait = time.Second
-	// isolationMaxWait is how long a suspect waits for a worker whose other runs
-	// have all worked for a while; after that it is placed like any other task,
-	// unless one more crash would fail its job. There may be no such worker in
-	// a service where every worker starts a task each second.
+	// isolationMaxWait is how long a suspect waits for a worker whose other
+	// runs have all worked for a while; after that it is placed like any other
+	// task, unless one more crash would fail its job. There may be no such
+	// worker in a service where every worker starts a task each second.
 	isolationMaxWait = 5 * time.Second
 	// shieldedWait is how long a renewal may wait for news on a worker where
 	// room is kept free beside a suspect; the answer shows that the worker has
@@ -97,15 +97,15 @@
 	return c.step.step.Gang && d.suspect(c.step, 0) && c.step.waitedSinceCrash(now, 0) < isolationMaxWait
 }
 
-// isolationTier is a set of workers where a suspect may start, and the reason to
-// choose it.
+// isolationTier is a set of workers where a suspect may start, and the reason
+// to choose it.
 type isolationTier struct {
 	workers []*worker
 	why     string
 }
 
-// isolationTiers returns the sets of workers where a suspect may start, in order of
-// preference.
+// isolationTiers returns the sets of workers where a suspect may start, in
+// order of preference.
 func (s *stepState) isolationTiers(now unit.Instant, index int, fits []*worker) []isolationTier {
 	var steady, empty, settled []*worker
 	for _, w := range fits {
@@ -125,8 +125,8 @@
 	return out
 }
 
-// runsSettled reports whether all runs on a worker have worked for a while, so that
-// they aren't blamed for a crash.
+// runsSettled reports whether all runs on a worker have worked for a while, so
+// that they aren't blamed for a crash.
 func (w *worker) runsSettled() bool {
 	for _, r := range w.runs {
 		if r.workedFor() < settledAfter {
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -18,9 +18,9 @@
 // it carried out.
 const upkeepRetry = time.Second
 
-// unansweredFor is how long an unanswered order may be the reason that its machine
-// is down: orders may be carried out 12 s late, and a machine stays down for 2
-// s.
+// unansweredFor is how long an unanswered order may be the reason that its
+// machine is down: orders may be carried out 12 s late, and a machine stays
+// down for 2 s.
 const unansweredFor = 15 * time.Second
 
 // wave is one wave of maintenance and its state in the store.
@@ -39,8 +39,8 @@
 	// retryAt holds, by machine, when an order that got no answer is due to
 	// be repeated.
 	retryAt map[id.Machine]unit.Instant
-	// unansweredAt holds, by machine, when the newest order got no answer: it may
-	// have been carried out, or may still be.
+	// unansweredAt holds, by machine, when the newest order got no answer: it
+	// may have been carried out, or may still be.
 	unansweredAt map[id.Machine]unit.Instant
 }
 
@@ -82,7 +82,8 @@
 	}
 }
 
-// heldForUpkeep reports whether a machine is to take no new tasks because of a wave.
+// heldForUpkeep reports whether a machine is to take no new tasks because of a
+// wave.
 func (d *Dispatcher) heldForUpkeep(m id.Machine) bool {
 	for _, x := range d.waves {
 		if x.plan.Held(m) {
@@ -136,8 +137,8 @@
 	return slices.DeleteFunc(runs, func(r *run) bool { return r.step == nil })
 }
 
-// emptyMachine orders a machine down if nothing runs there, and stops its runs when
-// the wave can't wait any longer.
+// emptyMachine orders a machine down if nothing runs there, and stops its runs
+// when the wave can't wait any longer.
 func (d *Dispatcher) emptyMachine(now unit.Instant, x *wave, m id.Machine) {
 	w := d.lifeOn(m)
 	if w == nil {
