--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -201,7 +201,7 @@
 
 // blameWorker records that a run of the job failed immediately on a worker, and
 // reports whether the worker is assumed to be at fault: if the job failed this
-// way on more than most workers, the job is.
+// way on more than maxWorkers workers, the job is.
 func (js *jobState) blameWorker(w id.Worker, maxWorkers int) bool {
 	if !slices.Contains(js.blamed, w) {
 		js.blamed = append(js.blamed, w)
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -95,7 +95,7 @@
 	next.strayUntil = max(next.strayUntil, w.strayUntil)
 	if remaining := w.toldStray.Add(maxOrderDelay).Sub(now); w.toldStray != 0 && remaining > 0 {
 		next.pause(now, remaining)
-		d.note(Note{Event: EventWorkerSuspended, Worker: next.ID, Why: "a delayed renewal could make it forget task ends that were not read yet", Age: remaining})
+		d.note(Note{Event: EventWorkerSuspended, Worker: next.ID, Why: "a delayed renewal could make it forget unread task ends", Age: remaining})
 	}
 	next.nextHold = min(next.nextHold, now)
 }
--- a/core/dispatch/lasting.go
+++ b/core/dispatch/lasting.go
@@ -15,7 +15,7 @@
 
 // longRunningPatience is how long long-running tasks wait before the room that
 // is reserved for others is released. The platform counts a long-running task
-// as lost that waiting 3 s while there is room.
+// as lost that waits 3 s while there is room.
 const longRunningPatience = time.Second
 
 // operational reports whether a run of a long-running task is fully
