--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -46,7 +46,7 @@
 // evidence e, seems to have ended unannounced and not by an order of the
 // system. Every later answer of its successor is evidence of the same end, so a
 // worker that is already replaced doesn't count again. A worker whose leases
-// have lapsed but that the list still shows is assumed to be cut off from the
+// have expired but that is still listed is assumed to be cut off from the
 // network.
 func (w *worker) crashed(now unit.Instant, e evidence) bool {
 	announced := w.Draining && !w.endedEarly(now)
@@ -64,7 +64,7 @@
 // mustBeUpAt reports whether a draining worker must still be up at a time. The
 // worker announces the earliest time of its end on its own clock. An upper
 // bound of that clock is the reading in its last answer plus the time since the
-// renewal left that it answered.
+// renewal was sent that it answered.
 func (w *worker) mustBeUpAt(at unit.Instant) bool {
 	if w.synced == 0 || w.toldClock == 0 {
 		return false
--- a/core/dispatch/evacuation.go
+++ b/core/dispatch/evacuation.go
@@ -16,7 +16,7 @@
 // The deadline for an evacuation to take effect, Config.Evacuation after the
 // operator's write, is met by three checks against the newest records that the
 // host has read: when a task is placed, when the record of its placement is in
-// the store, and when its order leaves. All of them fail if the operator's
+// the store, and when its order is sent. All of them fail if the operator's
 // records were last read longer ago than Config.NewsAge. So an owner that reads
 // late, was frozen or has just taken over starts nothing.
 
@@ -26,18 +26,18 @@
 const maxStartLatency = time.Second
 
 // NewsAge returns the maximum age of the owner's knowledge of evacuations when
-// an order to start leaves.
+// an order to start is sent.
 func (c Config) NewsAge() time.Duration { return max(0, c.Evacuation-maxStartLatency) }
 
 // Inform sets the time as of which the owner knows all evacuations that the
 // operator has asked for.
 func (d *Dispatcher) Inform(at unit.Instant) { d.informed = max(d.informed, at) }
 
-// StartRules determine which orders to start may leave.
+// StartRules determine which orders to start may be sent.
 type StartRules struct {
 	// Evacuated holds the failure domains where no task may start.
 	Evacuated []id.Domain
-	// Until is when the rules expire; after that no order to start may leave.
+	// Until is when the rules expire; after that no order to start may be sent.
 	Until unit.Instant
 }
 
@@ -55,7 +55,7 @@
 	return StartRules{Evacuated: d.evacuated, Until: until}
 }
 
-// Forbid returns why an order to start may not leave for a failure domain, or
+// Forbid returns why an order to start may not be sent to a failure domain, or
 // an empty string if it may.
 func (r StartRules) Forbid(now unit.Instant, domain id.Domain) string {
 	switch {
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -15,7 +15,7 @@
 // ended, but a run whose order may have reached the next one is looked for
 // there before its task is placed again.
 
-// maxOrderDelay is how long after it left an unanswered order may still be
+// maxOrderDelay is how long after it was sent an unanswered order may still be
 // carried out by the platform.
 const maxOrderDelay = 12 * time.Second
 
@@ -34,7 +34,7 @@
 type strayStart struct {
 	task   job.Task
 	number job.Run
-	// asked is when the last copy left.
+	// asked is when the last copy was sent.
 	asked unit.Instant
 }
 
@@ -55,8 +55,8 @@
 	return next
 }
 
-// strayed records that an order which grants a lease left at a time and got no
-// answer. It returns when that lease has certainly expired on the next
+// strayed records that an order which grants a lease was sent at a time and got
+// no answer. It returns when that lease has certainly expired on the next
 // incarnation under the worker's name; the lease starts there, on its clock,
 // when the order is carried out. It returns 0 if there can't be such an
 // incarnation.
@@ -155,9 +155,9 @@
 }
 
 // inheritedMissing processes an answer of the next incarnation under a name
-// that doesn't list a run placed on the previous one. If an order got no
-// answer, it may still reach it, so the run is stopped there. Otherwise the run
-// ended with the previous incarnation, or has ended here while the worker
+// that doesn't list a run placed on the previous one. An order to start it that
+// got no answer may still arrive, so the run is stopped there. Otherwise the
+// run ended with the previous incarnation, or has ended here while the worker
 // collected its two lists.
 func (d *Dispatcher) inheritedMissing(now unit.Instant, r *run, sent unit.Instant) {
 	if r.unanswered {
--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -23,13 +23,13 @@
 	// anotherAnswers: an order to the worker was answered by another
 	// incarnation at its address.
 	anotherAnswers evidence = "another life at its address"
-	// sameName: another incarnation answered an order that left after this one
-	// had begun under their name. Incarnations under one name never overlap, so
-	// the one that answered is the later one, whatever the start times in their
+	// sameName: another incarnation answered an order sent after this one had
+	// begun under their name. Incarnations under one name never overlap, so the
+	// one that answered is the later one, whatever the start times in their
 	// ids.
 	sameName evidence = "another life under its name"
 	// laterAnswered: another incarnation at its address, or on its machine, has
-	// answered an order that left after the worker's last answer had arrived.
+	// answered an order sent after the worker's last answer had arrived.
 	laterAnswered evidence = "a later life has answered"
 )
 
@@ -116,13 +116,13 @@
 // machine, as far as is known.
 func (w *worker) mayBeCurrent() bool { return !w.replaced && (w.listed || len(w.runs) > 0) }
 
-// confirmed reports whether a worker has answered this owner, by an answer
-// asked for after any conflicting incarnation was last listed.
+// confirmed reports whether a worker has answered an order that this owner sent
+// after a conflicting incarnation was last listed, if there was one.
 func (w *worker) confirmed() bool { return w.synced > w.contested }
 
-// follow processes an answer of a worker with conflicts: workers that conflict
-// with it are earlier incarnations if their last answer arrived before the
-// order left that it has answered.
+// follow processes an answer of a worker that has conflicts. A conflicting
+// worker is an earlier incarnation if its last answer arrived before the order
+// was sent that this worker has answered.
 func (d *Dispatcher) follow(now unit.Instant, w *worker) {
 	if w.contested == 0 {
 		return
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -186,10 +186,10 @@
 	}
 }
 
-// mustBeReported reports whether the answer to a renewal that left at a time
-// must list the run if it is there or can still come: the worker had confirmed
-// its start or its stop before, or every copy of the order to start it is too
-// late to be accepted.
+// mustBeReported reports whether the answer to a renewal sent at a time must
+// list the run if it is there or can still come: the worker had confirmed its
+// start or its stop before, or every copy of the order to start it is too late
+// to be accepted.
 func (d *Dispatcher) mustBeReported(r *run, sent unit.Instant) bool {
 	started := r.started != 0 && sent > r.started
 	stopped := r.state == runStopping && r.stopDone != 0 && sent > r.stopDone
--- a/core/dispatch/suspect.go
+++ b/core/dispatch/suspect.go
@@ -42,8 +42,8 @@
 }
 
 // placeSuspects places the suspects among a candidate's waiting tasks, and
-// removes those from it that must not be placed like other tasks. It reports
-// whether no suspect was left without a place.
+// removes from the candidate those that must not be placed like other tasks. It
+// reports whether all of these were placed.
 func (d *Dispatcher) placeSuspects(now unit.Instant, c *candidate, fits []*worker) bool {
 	if len(c.step.job.progress.Crashes) == 0 {
 		return true
@@ -143,13 +143,14 @@
 }
 
 // isolate reserves the free room of a worker beside a run that was just placed
-// there, so that no other task is.
+// there, so that no other task is placed there.
 func (d *Dispatcher) isolate(r *run, why string) {
 	r.setIsolationReserve()
 	d.noteRun(EventTaskIsolated, r, why, 0)
 }
 
-// setIsolationReserve reserves all room that is free on a run's worker.
+// setIsolationReserve reserves all room that is free on a run's worker, and
+// records it in the run's shield.
 func (r *run) setIsolationReserve() {
 	free := r.worker.free()
 	r.shield = job.Resources{CPU: max(0, free.CPU), Memory: max(0, free.Memory), Accelerators: max(0, free.Accelerators)}
