--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,11 +1,14 @@
-// Package fleet describes the workers of a service, the machines that run tasks, and
-// what they answer to the owner's orders.
+// Package fleet describes the workers of a service, the machines that run
+// tasks, and their answers to the owner's orders.
 //
-// A worker's id stands for one life of it, which after a crash is followed by another one that runs nothing and
-// counts anew. That has another name, or the same name and another start. Orders name the worker and not the life, so that
-// a life may get orders that were meant for the one before. A worker keeps the highest epoch that it was ordered with and
-// refuses lower ones. All that runs on it is leased until one time on its own steady
-// clock, which may be slow; a renewal moves that time for everything at once.
+// A worker's id identifies one incarnation. After a crash the worker continues
+// as a new incarnation, which runs no tasks and restarts its counters. It has
+// another name, or the same name and another start time. Orders are addressed
+// to the worker's name and not to an incarnation, so an incarnation may receive
+// orders that were meant for the one before. A worker keeps the highest epoch
+// that it has seen in an order, and rejects orders with a lower one. One lease
+// covers all runs on a worker. It expires at a time on the worker's own
+// monotonic clock, which may run slow; a renewal extends it for all runs.
 package fleet
 
 import (
@@ -15,59 +18,65 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// Clock is a reading of a worker's own steady clock.
+// Clock is a reading of a worker's own monotonic clock.
 type Clock time.Duration
 
-// Listing is a worker as the platform's list of servers shows it.
+// Listing is the entry of a worker in the platform's list of servers.
 type Listing struct {
 	ID id.Worker
-	// Machine is the one of which the worker is a life; empty if the list doesn't say.
+	// Machine is the machine of which the worker is an incarnation; empty if the
+	// list doesn't contain it.
 	Machine id.Machine
 	Address string
 	Service id.Service
 	Domain  id.Domain
-	// Rack is where the machine stands; Labels are its kind and its rack.
+	// Rack is the rack of the machine; Labels are its kind and its rack.
 	Rack     id.Rack
 	Labels   []string
 	Capacity job.Resources
-	// Draining workers take no new tasks. Remaining is how long they stay at
-	// least, from the moment that the entry was written.
+	// Draining workers accept no new tasks. Remaining is the least time for
+	// which they stay up, counted from when the entry was written.
 	Draining  bool
 	Remaining time.Duration
 	Clock     Clock
 }
 
-// Verdict is what became of an order.
+// Verdict is the result of an order.
 type Verdict int
 
-// The verdicts.
+// The results of an order.
 const (
-	// Unknown orders got no answer. They may have been carried out, or may be
-	// seconds later.
+	// Unknown orders got no answer. They may have been carried out, or may
+	// still be carried out seconds later.
 	Unknown Verdict = iota
-	// Carried out, or found to be so already.
+	// Carried orders were carried out, or had no effect because the worker was
+	// in the requested state already.
 	Carried
-	// Fenced orders had an epoch below one that the worker has seen.
+	// Fenced orders had a fence below one that the worker has seen.
 	Fenced
-	// Stale runs are not above one that was stopped or ended there.
+	// Stale orders name a run whose number is not above that of a run that was
+	// stopped or has ended on the worker, or a machine that doesn't belong to
+	// the maintenance wave.
 	Stale
-	// Expired leases had passed by the worker's clock.
+	// Expired orders had a lease that was over by the worker's clock.
 	Expired
-	// NoRoom means that the task doesn't fit.
+	// NoRoom means that the worker lacks free resources for the task.
 	NoRoom
-	// NoTicket means that the advice service's ticket was missing or too old.
+	// NoTicket means that the ticket of the advice service was missing or had
+	// expired.
 	NoTicket
-	// Busy workers did nothing and want to be left alone for a while.
+	// Busy workers did nothing because of overload; retry after a pause.
 	Busy
-	// Replaced lives have another one at the same address, or under the same name.
+	// Replaced means that another incarnation answered at the worker's address,
+	// or under its name.
 	Replaced
-	// Invalid orders were not understood.
+	// Invalid orders were rejected as malformed.
 	Invalid
-	// Unreachable workers were never connected to: nothing was sent.
+	// Unreachable means that no connection was established: nothing was sent.
 	Unreachable
 )
 
-// verdictNames are for logs and metrics.
+// verdictNames are the names of the verdicts in logs and metrics.
 var verdictNames = [...]string{
 	"unknown", "carried", "fenced", "stale", "expired", "no-room", "no-ticket", "busy", "replaced", "invalid", "unreachable",
 }
@@ -75,46 +84,47 @@
 // String returns the verdict's name for logs.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// How is the way in which a run ended.
+// How is the way in which a run has ended.
 type How int
 
 // The ends of a run.
 const (
 	// EndDone is success.
 	EndDone How = iota
-	// EndFailed is the task's own fault or the worker's; it counts as an attempt.
+	// EndFailed is a failure caused by the task or by the worker; it counts as
+	// an attempt.
 	EndFailed
-	// EndStopped was ordered.
+	// EndStopped is a stop that was ordered.
 	EndStopped
-	// EndLapsed ran out of its lease.
+	// EndLapsed is the expiry of the lease.
 	EndLapsed
-	// EndBroken lost another member of its gang.
+	// EndBroken is the loss of another member of the gang.
 	EndBroken
-	// EndAlone waited too long for the other members of its gang.
+	// EndAlone is a timeout while waiting for the other members of the gang.
 	EndAlone
 )
 
 var howNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
 
-// String returns the end's name for logs.
+// String returns the name of the end for logs.
 func (h How) String() string { return howNames[h] }
 
-// Running is one run that a worker reports.
+// Running is one run that a worker reports as running.
 type Running struct {
 	Task       job.Task
 	Run        job.Run
 	Checkpoint string
-	// Percent is how much of the work is done, or how well a long-running task
-	// is at work.
+	// Percent is the completed part of the work. For a long-running task it is
+	// 100 while the task works in full.
 	Percent int
-	// Load is a rough figure of the last half second: for a serving task the
-	// tail latency, for others the processor time in use.
+	// Load is an approximate measurement over the last half second: the tail
+	// latency of a task that serves requests, for other tasks the used CPU time.
 	Load int64
 }
 
 // End is one run that has ended.
 type End struct {
-	// Seq numbers the ends of one life of the worker from 1.
+	// Seq numbers the ends within one incarnation of the worker, from 1.
 	Seq        uint64
 	Task       job.Task
 	Run        job.Run
@@ -124,13 +134,14 @@
 
 // Report is a worker's answer to a renewal.
 type Report struct {
-	// Life is the one that answered; empty if the answer doesn't say.
+	// Life is the incarnation that answered; empty if the answer doesn't
+	// contain it.
 	Life    id.Worker
 	Clock   Clock
 	Running []Running
-	// Ended holds the ends that the owner hasn't told the worker to forget, in their order: the first ones if
-	// MoreEnds is set.
+	// Ended holds, in order of Seq, the ends that the owner has not acknowledged
+	// yet; only the first of them if MoreEnds is set.
 	Ended []End
-	// MoreEnds is set if the worker may have ended runs of which Ended doesn't tell.
+	// MoreEnds is set if there may be ends that Ended doesn't contain.
 	MoreEnds bool
 }
--- a/core/fleet/life.go
+++ b/core/fleet/life.go
@@ -7,27 +7,32 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// lifeMark stands between a worker's name and the start of one of its lives. No name holds it.
-const lifeMark = "@"
-
-// Start is when a life of a worker began, in milliseconds since 1970 by the worker's time of day. That may be set back between two lives, so
-// that another start means another life, and a later one needn't mean a later life.
+// startSeparator separates a worker's name from the start time of an incarnation
+// in an id. Worker names must not contain it.
+const startSeparator = "@"
+
+// Start is the start time of an incarnation of a worker in milliseconds since
+// the Unix epoch, by the worker's wall clock. The clock may be set back between
+// two incarnations: different start times mean different incarnations, but a
+// later start time doesn't imply a later incarnation.
 type Start int64
 
-// Life returns the id of the life that a worker began under its name at a time. A worker that doesn't tell its start has its name as
-// its id, and never begins again under it.
-func Life(name id.WorkerName, began Start) id.Worker {
-	return id.Worker(string(name) + lifeMark + strconv.FormatInt(int64(began), 10))
+// Life returns the id of the incarnation that a worker started under its name
+// at a time. A worker that doesn't report its start time has its name as its
+// id, and never restarts under the same name.
+func Life(name id.WorkerName, started Start) id.Worker {
+	return id.Worker(string(name) + startSeparator + strconv.FormatInt(int64(started), 10))
 }
 
-// NameOf returns the name under which a life was begun.
+// NameOf returns the worker name of an incarnation.
 func NameOf(w id.Worker) id.WorkerName {
-	name, _, _ := strings.Cut(string(w), lifeMark)
+	name, _, _ := strings.Cut(string(w), startSeparator)
 	return id.WorkerName(name)
 }
 
-// TellsStart reports whether a life's id has its start: others may have been begun under its name, and may be.
-func TellsStart(w id.Worker) bool { return strings.Contains(string(w), lifeMark) }
+// TellsStart reports whether an incarnation's id contains its start time. If so,
+// there may be earlier and later incarnations of the same name.
+func TellsStart(w id.Worker) bool { return strings.Contains(string(w), startSeparator) }
 
-// MayName reports whether a name is fit for ids of lives.
-func MayName(name string) bool { return !strings.Contains(name, lifeMark) }
+// MayName reports whether a worker name is valid as a part of incarnation ids.
+func MayName(name string) bool { return !strings.Contains(name, startSeparator) }
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -1,8 +1,9 @@
-// Package job defines a job of many tasks: what was asked for, and how far it is.
+// Package job defines a job of many tasks: its specification and its progress.
 //
-// A job is a list of steps; a step is a number of equal tasks. A job may be repeated
-// at fixed times; each time is a round with tasks of its own. The Spec is written once
-// by the entry host that accepted the job. The Progress is written by the owner alone.
+// A job is a list of steps, and a step is a number of identical tasks. A job
+// may be repeated at a fixed interval; each repetition is a round with tasks
+// of its own. The entry host that accepts a job writes its Spec once. Only the
+// owner, the host that schedules, writes its Progress.
 package job
 
 import (
@@ -13,10 +14,10 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// MilliCPU is an amount of processor in thousandths of a core.
+// MilliCPU is an amount of CPU in thousandths of a core.
 type MilliCPU int64
 
-// Resources is what a task takes of a worker, or what a worker has.
+// Resources is what a task requires of a worker, or the capacity of a worker.
 type Resources struct {
 	_            struct{} `cbor:",toarray"`
 	CPU          MilliCPU
@@ -29,54 +30,60 @@
 	return Resources{CPU: r.CPU + o.CPU, Memory: r.Memory + o.Memory, Accelerators: r.Accelerators + o.Accelerators}
 }
 
-// Sub returns r without o.
+// Sub returns r minus o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{CPU: r.CPU - o.CPU, Memory: r.Memory - o.Memory, Accelerators: r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether r fits into room.
+// Fits reports whether r fits into the free resources room.
 func (r Resources) Fits(room Resources) bool {
 	return r.CPU <= room.CPU && r.Memory <= room.Memory && r.Accelerators <= room.Accelerators
 }
 
-// Step is a number of equal tasks.
+// Step is a number of identical tasks of a job.
 type Step struct {
 	_ struct{} `cbor:",toarray"`
 	// Count is the number of tasks, at least 1.
 	Count int
 	Need  Resources
-	// Estimate is the customer's guess of one task's run time.
+	// Estimate is the customer's estimate of one task's run time.
 	Estimate time.Duration
-	// DependsOn holds the indexes of earlier steps that must be done before.
+	// DependsOn holds the indexes of the earlier steps that must be completed
+	// before this one starts.
 	DependsOn []int
 	// Checkpointing tasks can resume from a checkpoint.
 	Checkpointing bool
-	// Gang tasks run all together or not at all.
+	// Gang tasks run all at the same time or not at all.
 	Gang bool
-	// SameRack asks for all tasks in one rack; elsewhere they are slow.
+	// SameRack requests that all tasks run in one rack; they are slow if they
+	// are spread over several.
 	SameRack bool
-	// Label is what a worker must carry; empty if any will do.
+	// Label is the label that a worker must have; empty if every worker is
+	// suitable.
 	Label string
-	// DataRack is where the data is; empty if it doesn't matter.
+	// DataRack is the rack that stores the tasks' data; empty for no preference.
 	DataRack string
-	// MaxPerWorker bounds the step's tasks on one worker; 0 for no bound.
+	// MaxPerWorker is the largest number of the step's tasks on one worker; 0
+	// for no limit.
 	MaxPerWorker int
-	// Duplicates lets copies of a task run side by side.
+	// Duplicates permits several copies of a task to run at the same time.
 	Duplicates bool
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool
-	// MayMiss is how many tasks of a long-running step may be away at a time.
+	// MayMiss is the largest number of tasks of a long-running step that may
+	// be unavailable at a time; 0 for no limit.
 	MayMiss int
 	// Image names the program that the tasks run.
 	Image string
-	// TargetLatency is the tail latency that serving tasks keep to; 0 if they
-	// serve nobody.
+	// TargetLatency is the tail latency that tasks which serve requests are to
+	// stay below; 0 for tasks that serve no requests.
 	TargetLatency time.Duration
-	// Fills marks tasks that use processor time which others leave.
+	// Fills marks tasks that use only CPU time which other tasks leave idle.
 	Fills bool
 }
 
-// Reserved returns what a task of the step takes of a worker's room.
+// Reserved returns the resources that a task of the step reserves on a worker.
+// A step with Fills set reserves no CPU.
 func (s *Step) Reserved() Resources {
 	if !s.Fills {
 		return s.Need
@@ -86,46 +93,47 @@
 	return r
 }
 
-// Advice says whether the advice service has to allow a step's placements, and how long
-// it takes for an answer. Its zero value asks for none.
+// Advice says whether the advice service must approve a step's placements, and
+// how long the service takes to answer. The zero value requires no approval.
 type Advice struct {
 	_      struct{} `cbor:",toarray"`
 	Needed bool
-	// Decide is the service's time for an answer, and Each is added for each worker
-	// that is asked about.
+	// Decide is the fixed part of the service's response time. Each is added
+	// for each worker that a request asks about.
 	Decide, Each time.Duration
 }
 
-// Takes returns how long the service needs for an answer on n workers.
+// Takes returns the service's response time for a request about n workers.
 func (a Advice) Takes(n int) time.Duration { return a.Decide + time.Duration(n)*a.Each }
 
-// Spec is a job as it was accepted.
+// Spec is the specification of a job as it was accepted.
 type Spec struct {
 	_        struct{} `cbor:",toarray"`
 	Customer id.Customer
-	// Queue and the policy fields are those of the configuration at acceptance.
+	// Queue and the policy fields are copied from the configuration when the
+	// job is accepted.
 	Queue       id.Queue
 	Service     id.Service
 	Priority    int
 	MaxAttempts int
-	// Stretch times the longest chain of work, plus Target, is the time in which
-	// the job should be completed.
+	// Stretch and Target set the time in which the job should be completed:
+	// Stretch times the result of LongestChain, plus Target.
 	Stretch float64
 	Target  time.Duration
 	Advice  Advice
 	// Text is the payload of every task.
 	Text  string
 	Steps []Step
-	// First is when round 0 is due and Interval the time between rounds. They
-	// count only if Rounds is above 0.
+	// First is when round 0 is due, and Interval is the time between two rounds.
+	// Both are used only if Rounds is above 0.
 	First    unit.Instant
 	Interval time.Duration
 	Rounds   int
-	// Accepted is when an entry host took the job.
+	// Accepted is when an entry host accepted the job.
 	Accepted unit.Instant
 }
 
-// RoundCount returns how many times the steps are run.
+// RoundCount returns the number of rounds: 1 for a job that is not repeated.
 func (s *Spec) RoundCount() int { return max(1, s.Rounds) }
 
 // Width returns the number of tasks of one round.
@@ -137,7 +145,8 @@
 	return n
 }
 
-// LongestChain returns the estimated time of the longest chain of steps.
+// LongestChain returns the estimated run time of the longest chain of
+// dependent steps, the critical path of a round.
 func (s *Spec) LongestChain() time.Duration {
 	ends := make([]time.Duration, len(s.Steps))
 	var longest time.Duration
@@ -154,7 +163,7 @@
 	return longest
 }
 
-// Due returns when a round may start.
+// Due returns the earliest time at which a round may start.
 func (s *Spec) Due(round int) unit.Instant {
 	if s.Rounds == 0 {
 		return s.Accepted
@@ -162,21 +171,21 @@
 	return s.First.Add(time.Duration(round) * s.Interval)
 }
 
-// Index returns the position of a task in Progress.Tasks, or false if the job has no
-// such task.
+// Index returns the position of a task in Progress.Tasks, or false if the job
+// has no such task.
 func (s *Spec) Index(t Task) (int, bool) {
 	if t.Round < 0 || t.Round >= s.RoundCount() || t.Step < 0 || t.Step >= len(s.Steps) ||
 		t.Index < 0 || t.Index >= s.Steps[t.Step].Count {
 		return 0, false
 	}
-	at := t.Round * s.Width()
+	pos := t.Round * s.Width()
 	for i := range t.Step {
-		at += s.Steps[i].Count
+		pos += s.Steps[i].Count
 	}
-	return at + t.Index, true
+	return pos + t.Index, true
 }
 
-// Task names one task.
+// Task identifies one task.
 type Task struct {
 	Job   id.Job
 	Round int
@@ -187,7 +196,7 @@
 // String returns the task's name for logs.
 func (t Task) String() string { return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Round, t.Step, t.Index) }
 
-// StepID names one step of one round of a job.
+// StepID identifies one step of one round of a job.
 type StepID struct {
 	Job   id.Job
 	Round int
@@ -197,52 +206,58 @@
 // String returns the step's name for logs.
 func (s StepID) String() string { return fmt.Sprintf("%s.%d.%d", s.Job, s.Round, s.Step) }
 
-// Run numbers the starts of one task from 1.
+// Run is the number of a run of one task. Each start of the task begins a new
+// run; the first one has the number 1.
 type Run int
 
-// Phase is how far a task is.
+// Phase is the scheduling phase of a task.
 type Phase int
 
 // The phases of a task.
 const (
-	// Waiting tasks run nowhere.
+	// Waiting tasks have no run on any worker.
 	Waiting Phase = iota
-	// Placed tasks run on their worker or may do so.
+	// Placed tasks have been assigned to a worker and run there, or may run
+	// there if the outcome of the start order is unknown.
 	Placed
-	// Done tasks have ended with success.
+	// Done tasks have completed successfully.
 	Done
 )
 
-// TaskState is what must not be forgotten of one task.
+// TaskState is the state of one task that the store keeps.
 type TaskState struct {
 	Phase Phase
-	// Run is the last run that was ordered; it never falls.
+	// Run is the newest run that was ordered, 0 for none; it never decreases.
 	Run Run
-	// Failed counts the runs that ended in failure.
+	// Failed is the number of runs that failed.
 	Failed int
-	// Worker is where a placed task runs, and where the last run of a waiting one has failed; empty if that
-	// ended otherwise.
+	// Worker is the worker of a placed task. For a waiting task it is the worker
+	// on which the last run failed, or empty if that run ended otherwise.
 	Worker id.Worker
-	// Checkpoint is the newest one known; empty for none.
+	// Checkpoint is the newest known checkpoint; empty for none.
 	Checkpoint string
 }
 
-// CrashCount counts lives of workers that have ended, without a word, under runs of one task or gang.
+// CrashCount counts the incarnations of workers that crashed, that is ended
+// without notice, while they ran one task or a member of one gang.
 type CrashCount struct {
 	_ struct{} `cbor:",toarray"`
-	// Task is the position of the task in Progress.Tasks; a gang's is that of its first one.
+	// Task is the position of the task in Progress.Tasks, for a gang that of
+	// its first task.
 	Task int
-	// Run is the last run that was counted, Worker the life that ended under it: each counts once, whoever finds out and
-	// however often.
+	// Run is the newest run whose crash was counted, and Worker the incarnation
+	// that crashed. They ensure that each crash is counted once, also if several
+	// owners detect it or one owner detects it repeatedly.
 	Run    Run
 	Worker id.Worker
-	// AtOnce counts the newest of these lives in a row that ended soon after the run had begun. It is at most All.
+	// AtOnce is the number of newest consecutive crashes that each happened
+	// soon after the start of the run. It is at most All.
 	AtOnce int
-	// All counts those in a row without a run that has worked for long.
+	// All is the number of crashes since a run last worked for a long time.
 	All int
 }
 
-// Outcome is how a job ended.
+// Outcome is how a job ended, or Open if it has not ended.
 type Outcome int
 
 // The outcomes of a job.
@@ -253,19 +268,21 @@
 	Cancelled
 )
 
-// Progress is what must not be forgotten of one job.
+// Progress is the state of one job that the store keeps.
 type Progress struct {
 	Outcome Outcome
 	// Ended is when Outcome was reached.
 	Ended unit.Instant
-	// Tasks are ordered by round, step and index; empty if no task ever began or
-	// the job has ended.
+	// Tasks are ordered by round, step and index; empty if no task was ever
+	// started or the job has ended.
 	Tasks []TaskState
-	// Crashes has the tasks under which lives of workers have ended, few or none. It is empty if Tasks is.
+	// Crashes has an entry for each task or gang with counted crashes, usually
+	// few or none. It is empty if Tasks is.
 	Crashes []CrashCount
 }
 
-// Began reports whether some task of the job was ever ordered to start.
+// Began reports whether a start of any task of the job was ever ordered, or the
+// job has ended.
 func (p *Progress) Began() bool {
 	for i := range p.Tasks {
 		if p.Tasks[i].Run > 0 {
