--- a/core/evacuation/evacuation.go
+++ b/core/evacuation/evacuation.go
@@ -1,7 +1,11 @@
-// Package evacuation holds which failure domains the operator has evacuated: nothing may start there until that is taken back.
+// Package evacuation tracks the failure domains that the operator has
+// evacuated. No task may start in such a domain until the operator opens it
+// again.
 //
-// The operator's log says so in records, one key for each domain. A host may read a part of the log twice, or its newest
-// records only, so what counts is the offset of a record and not when it was read.
+// The operator's log has a record for each evacuation and each reopening, keyed
+// by domain. A host may read a part of the log twice, or only the newest record
+// of each key, so records are ordered by their offset in the log and not by the
+// time at which they are read.
 package evacuation
 
 import (
@@ -11,39 +15,44 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// Set is the evacuated domains as one host has read them. The zero value holds none and is ready.
+// Set is the set of evacuated domains that one host has read from the log. The
+// zero value is an empty set that is ready for use.
 type Set struct {
-	// since holds, for each evacuated domain, the offset of the first record that asked for it since it was last open. Of a
-	// domain that was first read in a list of newest records, it is where the log ended then.
+	// since has the offset of the record that evacuated each domain. Repeated
+	// evacuations of the domain leave it unchanged. For a domain that Replace
+	// has added it is the end offset of that list.
 	since map[id.Domain]id.Offset
-	// next is behind the last record that was taken in.
+	// next is the lowest offset that was not applied yet.
 	next id.Offset
 }
 
-// Change is a domain that was evacuated or taken back by a record at an offset.
+// Change is the evacuation of a domain, or its reopening if Evacuated is false.
 type Change struct {
 	Domain    id.Domain
 	Evacuated bool
-	// Since is where the log said so.
+	// Since is the offset of the record or list that caused the change.
 	Since id.Offset
 }
 
-// Apply takes in that the record at an offset evacuates a domain, or takes that back. It returns what has changed, or false if nothing has:
-// the record was taken in before, or says what is so already.
-func (s *Set) Apply(at id.Offset, domain id.Domain, evacuated bool) (Change, bool) {
-	if at < s.next {
+// Apply applies the record at an offset, which evacuates or reopens a domain. It
+// returns the change, or false if the record was applied before or the domain is
+// in that state already.
+func (s *Set) Apply(offset id.Offset, domain id.Domain, evacuated bool) (Change, bool) {
+	if offset < s.next {
 		return Change{}, false
 	}
-	s.next = at + 1
-	if _, was := s.since[domain]; was == evacuated {
+	s.next = offset + 1
+	if _, present := s.since[domain]; present == evacuated {
 		return Change{}, false
 	}
-	s.set(domain, evacuated, at)
-	return Change{Domain: domain, Evacuated: evacuated, Since: at}, true
+	s.set(domain, evacuated, offset)
+	return Change{Domain: domain, Evacuated: evacuated, Since: offset}, true
 }
 
-// Replace takes in that the newest records of a log which ended at an offset evacuate just these domains. It returns what has changed, by
-// domain. A list that is older than what was taken in changes nothing.
+// Replace replaces the set by the domains that the newest records of a log
+// evacuate; end is the end offset of the log when it was read. It returns the
+// changes: the reopened domains, then the evacuated ones, each sorted by domain.
+// A list with an end below an offset that was applied already changes nothing.
 func (s *Set) Replace(end id.Offset, domains []id.Domain) []Change {
 	if end < s.next {
 		return nil
@@ -57,7 +66,7 @@
 		}
 	}
 	for _, d := range slices.Compact(slices.Sorted(slices.Values(domains))) {
-		if _, was := s.since[d]; !was {
+		if _, present := s.since[d]; !present {
 			s.set(d, true, end)
 			out = append(out, Change{Domain: d, Evacuated: true, Since: end})
 		}
@@ -65,8 +74,8 @@
 	return out
 }
 
-// set keeps the new state of a domain.
-func (s *Set) set(domain id.Domain, evacuated bool, at id.Offset) {
+// set stores the new state of a domain.
+func (s *Set) set(domain id.Domain, evacuated bool, offset id.Offset) {
 	if !evacuated {
 		delete(s.since, domain)
 		return
@@ -74,10 +83,10 @@
 	if s.since == nil {
 		s.since = map[id.Domain]id.Offset{}
 	}
-	s.since[domain] = at
+	s.since[domain] = offset
 }
 
-// Domains returns the evacuated domains in order.
+// Domains returns the evacuated domains in ascending order.
 func (s *Set) Domains() []id.Domain { return slices.Sorted(maps.Keys(s.since)) }
 
 // Has reports whether a domain is evacuated.
--- a/core/evacuation/evacuation_test.go
+++ b/core/evacuation/evacuation_test.go
@@ -12,18 +12,20 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// TestScripts plays the scripts of testdata. A line is a command; the lines that begin with > after it are the changes that it must lead to.
+// TestScripts runs the scripts of testdata. A line is a command; the lines after
+// it that begin with > are the changes that it must cause.
 //
-//	record OFFSET evacuate|open DOMAIN     a record of the operator's log
-//	newest END [DOMAIN]...                 the newest records of a log that ended there evacuate these
-//	domains [DOMAIN]...                    these are evacuated
+//	record OFFSET evacuate|open DOMAIN  applies a record of the operator's log
+//	newest END [DOMAIN]...              applies the newest records of a log with
+//	                                    that end offset, which evacuate these domains
+//	domains [DOMAIN]...                 checks that just these are evacuated
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
 		var s evacuation.Set
 		var got, want []string
-		check := func(at int) {
+		check := func(line int) {
 			if !slices.Equal(got, want) {
-				t.Errorf("before line %d: got %q, want %q", at+1, got, want)
+				t.Errorf("before line %d: got %q, want %q", line+1, got, want)
 			}
 			got, want = nil, nil
 		}
@@ -37,14 +39,14 @@
 				continue
 			}
 			check(i)
-			got = play(t, &s, strings.Fields(l))
+			got = execute(t, &s, strings.Fields(l))
 		}
 		check(len(lines))
 	})
 }
 
-// play carries out one command and returns what has changed.
-func play(t *testing.T, s *evacuation.Set, f []string) []string {
+// execute runs one command and returns the changes that it causes.
+func execute(t *testing.T, s *evacuation.Set, f []string) []string {
 	switch f[0] {
 	case "record":
 		if c, ok := s.Apply(offset(t, f[1]), id.Domain(f[3]), f[2] == "evacuate"); ok {
@@ -62,7 +64,7 @@
 		}
 		for _, d := range domains(f[1:]) {
 			if !s.Has(d) {
-				t.Errorf("%v: %s is open", f, d)
+				t.Errorf("%v: domain %s is not evacuated", f, d)
 			}
 		}
 	default:
--- a/core/jobtable/jobtable.go
+++ b/core/jobtable/jobtable.go
@@ -1,14 +1,20 @@
-// Package jobtable holds the state of all jobs as the platform's store has it.
+// Package jobtable holds the state of all jobs, built from the records of the
+// platform's store.
 //
-// The store keeps the newest record of each key, in two logs. Every host follows the first one, which has what callers
-// are told. A job has up to three keys there, and each has one kind of writer: the spec (the entry host that accepted the
-// job), the cancellation (the entry host that took it) and the summary (the owner). The keys are apart, so that a submission
-// repeated late can't undo a cancellation or an end. One more key names the owner.
+// The store has two logs and keeps the newest record of each key. Every host
+// reads the first one, the job log, which has the state that callers see. A job
+// has up to three keys there, each with one kind of writer: the spec (written by
+// the entry host that accepted the job), the cancellation (by the entry host that
+// accepted it) and the summary (by the owner). The keys are separate so that a
+// late duplicate of a submission can't undo a cancellation or an outcome. One
+// more key names the owner.
 //
-// The second one, the progress log, has how far jobs are, task by task, and waves of maintenance. Only the owner
-// writes it, and only hosts that may be the next owner read it: it is rewritten with each start and end of a task, and
-// grows many times as fast as the first one. A job's progress stands there from its first placement until nothing of it
-// runs any more and its outcome is in the first log.
+// The second one, the progress log, has the progress of jobs, task by task, and
+// the state of maintenance waves. Only the owner writes it, and only hosts that
+// may become the next owner read it: each start and end of a task writes the
+// job's record anew, so it grows many times as fast as the job log. It has a
+// job's progress from the first placement until no task of the job runs any more
+// and the job log has the outcome.
 package jobtable
 
 import (
@@ -24,24 +30,27 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// ErrKey reports a record whose key no rule explains.
+// ErrKey reports a record with a key of unknown format.
 var ErrKey = errors.New("jobtable: unknown key")
 
-// Entry is what the table knows of one job.
+// Entry is the state of one job in the table.
 type Entry struct {
-	// Spec is nil if only other records of the job are known.
+	// Spec is nil if the table has only other records of the job.
 	Spec      *job.Spec
 	Cancelled bool
-	// Summary is nil if the owner has written nothing of the job: no task has been placed.
+	// Summary is nil if the owner has written none: no task was placed yet.
 	Summary *Summary
-	// Progress is what the progress log has of the job; of one that has ended the outcome is in Summary.
+	// Progress is the job's record in the progress log. The outcome of an ended
+	// job is in Summary.
 	Progress job.Progress
 }
 
-// Ended reports whether callers are told of an outcome. An entry that isn't there has none.
+// Ended reports whether callers see an outcome of the job. It returns false for
+// a nil entry.
 func (e *Entry) Ended() bool { return e != nil && e.Summary != nil && e.Summary.Outcome != job.Open }
 
-// Resumed returns the progress from which an owner goes on.
+// Resumed returns the progress from which a new owner continues the job. An
+// outcome in Summary takes precedence over the one in Progress.
 func (e *Entry) Resumed() job.Progress {
 	p := e.Progress
 	if e.Ended() {
@@ -54,11 +63,12 @@
 type Table struct {
 	jobs  map[id.Job]*Entry
 	waves map[id.Wave]Wave
-	// next is the offset of the first record of the log that every host follows which was not applied.
+	// next is the offset of the first record of the job log that was not applied.
 	next  id.Offset
 	owner Owner
-	// former holds the jobs whose progress stands in that log, as earlier versions write it.
-	former map[id.Job]bool
+	// legacyProgress has the jobs with progress in the job log, where earlier
+	// versions write it.
+	legacyProgress map[id.Job]bool
 
 	specs     codec.Codec[job.Spec]
 	summaries codec.Codec[Summary]
@@ -70,39 +80,43 @@
 // New returns an empty table.
 func New() *Table {
 	return &Table{
-		jobs:      map[id.Job]*Entry{},
-		waves:     map[id.Wave]Wave{},
-		former:    map[id.Job]bool{},
-		specs:     codec.New[job.Spec](),
-		summaries: codec.New[Summary](),
-		progress:  codec.New[packedProgress](),
-		owners:    codec.New[Owner](),
-		waveCodec: codec.New[Wave](),
+		jobs:           map[id.Job]*Entry{},
+		waves:          map[id.Wave]Wave{},
+		legacyProgress: map[id.Job]bool{},
+		specs:          codec.New[job.Spec](),
+		summaries:      codec.New[Summary](),
+		progress:       codec.New[packedProgress](),
+		owners:         codec.New[Owner](),
+		waveCodec:      codec.New[Wave](),
 	}
 }
 
-// Next returns the offset up to which records were applied.
+// Next returns the offset of the first record of the job log that was not
+// applied.
 func (t *Table) Next() id.Offset { return t.next }
 
-// Advance notes that all records before an offset were applied. It never goes back.
+// Advance records that all records before an offset were applied. Next never
+// decreases.
 func (t *Table) Advance(next id.Offset) { t.next = max(t.next, next) }
 
-// Owner returns the newest claim.
+// Owner returns the newest ownership claim.
 func (t *Table) Owner() Owner { return t.owner }
 
 // Get returns a job, or nil.
 func (t *Table) Get(j id.Job) *Entry { return t.jobs[j] }
 
-// Wave returns how far a wave is, or false if no owner has seen it.
+// Wave returns the state of a maintenance wave, or false if no owner has
+// recorded it.
 func (t *Table) Wave(n id.Wave) (Wave, bool) {
 	w, ok := t.waves[n]
 	return w, ok
 }
 
-// Jobs returns the names of all jobs in order.
+// Jobs returns the names of all jobs in ascending order.
 func (t *Table) Jobs() []id.Job { return slices.Sorted(maps.Keys(t.jobs)) }
 
-// Waiting returns how many accepted jobs of a queue have begun no task.
+// Waiting returns the number of accepted jobs of a queue that are not cancelled
+// and of which no task was placed yet.
 func (t *Table) Waiting(q id.Queue) int {
 	n := 0
 	for _, e := range t.jobs {
@@ -113,16 +127,17 @@
 	return n
 }
 
-// Former reports whether the log that every host follows has progress of jobs. Hosts of an earlier version write it there, and nobody of this one
-// may go on from that: it would start their tasks again.
-func (t *Table) Former() bool { return len(t.former) > 0 }
+// Former reports whether the job log has progress of jobs. Hosts of an earlier
+// version write it there. A host of this version must not become the owner
+// meanwhile: it doesn't read that progress, and would start the tasks again.
+func (t *Table) Former() bool { return len(t.legacyProgress) > 0 }
 
 // ApplyProgress applies one record of the progress log.
 func (t *Table) ApplyProgress(r Record) error {
 	kind, name := splitKey(r.Key)
 	switch kind {
 	case ownerKey:
-		return nil // who owns it the other log tells
+		return nil // the owner is taken from the job log
 	case progressPrefix:
 		return t.applyProgress(id.Job(name), r.Value)
 	case wavePrefix:
@@ -131,7 +146,8 @@
 	return fmt.Errorf("%w: %q", ErrKey, r.Key)
 }
 
-// splitKey returns a key's prefix and the name behind it, or the whole key where it has none.
+// splitKey returns a key's prefix, including the slash, and the name after it.
+// For a key without a slash it returns the whole key and no name.
 func splitKey(key string) (kind, name string) {
 	prefix, name, ok := strings.Cut(key, "/")
 	if !ok {
@@ -140,7 +156,8 @@
 	return prefix + "/", name
 }
 
-// Apply applies one record of the log that every host follows, and returns the job that it is about, if any.
+// Apply applies one record of the job log, and returns the job that the record
+// belongs to, if any.
 func (t *Table) Apply(r Record) (id.Job, error) {
 	kind, name := splitKey(r.Key)
 	j := id.Job(name)
@@ -155,22 +172,24 @@
 	case summaryPrefix:
 		return j, t.applySummary(j, r.Value)
 	case progressPrefix:
-		t.applyFormer(j, r.Value)
+		t.applyLegacyProgress(j, r.Value)
 		return "", nil
 	}
 	return "", fmt.Errorf("%w: %q", ErrKey, r.Key)
 }
 
-// applyFormer notes progress that an earlier version has written, or dropped.
-func (t *Table) applyFormer(j id.Job, value []byte) {
+// applyLegacyProgress records whether an earlier version has written or dropped
+// progress of a job in the job log.
+func (t *Table) applyLegacyProgress(j id.Job, value []byte) {
 	if len(value) == 0 {
-		delete(t.former, j)
+		delete(t.legacyProgress, j)
 		return
 	}
-	t.former[j] = true
+	t.legacyProgress[j] = true
 }
 
-// applyOwner takes in a claim, unless a later one was there.
+// applyOwner applies an ownership claim, unless the table has one with a higher
+// or the same epoch.
 func (t *Table) applyOwner(value []byte) error {
 	o, err := t.owners.Decode(value)
 	if err != nil {
@@ -182,7 +201,7 @@
 	return nil
 }
 
-// applyWave takes in how far the wave of that number is.
+// applyWave applies the state of the wave with the number in name.
 func (t *Table) applyWave(name string, value []byte) error {
 	n, err := strconv.Atoi(name)
 	if err != nil {
@@ -196,7 +215,7 @@
 	return nil
 }
 
-// entry returns the entry of a job, which is added if there is none.
+// entry returns the entry of a job, and adds one if there is none.
 func (t *Table) entry(j id.Job) *Entry {
 	e := t.jobs[j]
 	if e == nil {
@@ -206,7 +225,7 @@
 	return e
 }
 
-// prune drops an entry of which nothing is left.
+// prune removes the entry of a job if no record of the job is left.
 func (t *Table) prune(j id.Job) {
 	e := t.jobs[j]
 	if e != nil && e.Spec == nil && !e.Cancelled && e.Summary == nil && !e.Progress.Began() {
@@ -214,7 +233,7 @@
 	}
 }
 
-// applySpec takes in a job, or drops it.
+// applySpec applies the spec of a job, or removes it if value is empty.
 func (t *Table) applySpec(j id.Job, value []byte) error {
 	if len(value) == 0 {
 		t.entry(j).Spec = nil
@@ -222,7 +241,7 @@
 		return nil
 	}
 	if e := t.jobs[j]; e != nil && e.Spec != nil {
-		return nil // the same submission came twice; the first one stands
+		return nil // a duplicate of the submission; the first one stays
 	}
 	s, err := t.specs.Decode(value)
 	if err != nil {
@@ -232,13 +251,13 @@
 	return nil
 }
 
-// applyCancel takes in a cancellation, or drops it.
+// applyCancel applies a cancellation, or removes it if value is empty.
 func (t *Table) applyCancel(j id.Job, value []byte) {
 	t.entry(j).Cancelled = len(value) > 0
 	t.prune(j)
 }
 
-// applySummary takes in what callers are told of a job, or drops that.
+// applySummary applies the summary of a job, or removes it if value is empty.
 func (t *Table) applySummary(j id.Job, value []byte) error {
 	if len(value) == 0 {
 		t.entry(j).Summary = nil
@@ -253,7 +272,7 @@
 	return nil
 }
 
-// applyProgress takes in how far a job is, or drops that.
+// applyProgress applies the progress of a job, or removes it if value is empty.
 func (t *Table) applyProgress(j id.Job, value []byte) error {
 	if len(value) == 0 {
 		t.entry(j).Progress = job.Progress{}
@@ -268,7 +287,9 @@
 	return nil
 }
 
-// ForgetProgress drops the progress of all jobs. How far waves are stays: an owner may hear of a wave that an earlier one has begun only later.
+// ForgetProgress removes the progress of all jobs. It keeps the state of waves:
+// a later owner may learn only after its takeover of a wave that an earlier one
+// has started.
 func (t *Table) ForgetProgress() {
 	for _, j := range t.Jobs() {
 		t.jobs[j].Progress = job.Progress{}
@@ -276,7 +297,8 @@
 	}
 }
 
-// KeepProgress takes over all that another table has of the progress log.
+// KeepProgress copies the progress of jobs and the state of waves from another
+// table.
 func (t *Table) KeepProgress(o *Table) {
 	t.waves = o.waves
 	for j, e := range o.jobs {
--- a/core/jobtable/jobtable_test.go
+++ b/core/jobtable/jobtable_test.go
@@ -11,22 +11,29 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// TestScripts applies records and looks at the table. A line is a command:
+// TestScripts runs the scripts of testdata, which apply records to a table and
+// check its state. A line is a command. These apply records or change the table:
 //
 //	spec JOB QUEUE | cancel JOB | owner HOST EPOCH
-//	began JOB | ended JOB     the owner's summary of a job
-//	placed JOB | dropped JOB  its progress, with one task
-//	wave N                    how far a wave is
-//	seen N BOOL               whether an owner has seen a wave
-//	forgetprogress            the host follows the progress log no more
-//	former JOB | former-dropped JOB    progress as an earlier version writes it
-//	earlier JOB BOOL          whether there is such progress of any job
-//	resumes JOB OUTCOME N     how an owner goes on with it, and with how many tasks
-//	forget JOB N          the first N of the records that drop a job
-//	show JOB STATE        none if the table has no spec of it
-//	waiting QUEUE N
-//	owned HOST EPOCH
-//	damaged KEY           a record that must be refused
+//	began JOB | ended JOB     the owner's summary of a job, open or completed
+//	placed JOB | dropped JOB  the progress of a job with one task, or its deletion
+//	wave N                    the state of a wave
+//	former JOB | former-dropped JOB
+//	                          progress in the job log, as earlier versions
+//	                          write it, or its deletion
+//	forget JOB N              the first N of the records that delete a job
+//	forgetprogress            removes the progress of all jobs
+//
+// These check the table:
+//
+//	seen N BOOL               whether the table has the state of a wave
+//	earlier JOB BOOL          whether the job log has progress of any job
+//	resumes JOB OUTCOME N     the outcome and the number of tasks from which a
+//	                          new owner continues a job
+//	show JOB STATE            the state that callers see; none without a spec
+//	waiting QUEUE N           the number of jobs of which no task was placed
+//	owned HOST EPOCH          the newest ownership claim
+//	damaged KEY               a damaged record with this key is rejected
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
 		s := &script{t: t, table: jobtable.New()}
@@ -55,8 +62,8 @@
 	}
 }
 
-// remember applies a record of the progress log.
-func (s *script) remember(r jobtable.Record, err error) {
+// applyProgress applies a record of the progress log.
+func (s *script) applyProgress(r jobtable.Record, err error) {
 	s.t.Helper()
 	if err == nil {
 		err = s.table.ApplyProgress(r)
@@ -90,11 +97,11 @@
 	case "ended":
 		s.apply(s.table.SummaryRecord(j, jobtable.Summary{Outcome: job.Completed}))
 	case "placed":
-		s.remember(s.table.ProgressRecord(j, job.Progress{Tasks: []job.TaskState{{Run: 1, Phase: job.Placed}}}))
+		s.applyProgress(s.table.ProgressRecord(j, job.Progress{Tasks: []job.TaskState{{Run: 1, Phase: job.Placed}}}))
 	case "dropped":
-		s.remember(jobtable.DropProgressRecord(j), nil)
+		s.applyProgress(jobtable.DropProgressRecord(j), nil)
 	case "wave":
-		s.remember(s.table.WaveRecord(id.Wave(s.number(f[1])), jobtable.Wave{Seen: 5}))
+		s.applyProgress(s.table.WaveRecord(id.Wave(s.number(f[1])), jobtable.Wave{Seen: 5}))
 	case "former":
 		s.apply(s.table.ProgressRecord(j, job.Progress{Tasks: []job.TaskState{{Run: 1}}}))
 	case "former-dropped":
@@ -107,7 +114,7 @@
 		}
 	case "damaged":
 		if _, err := s.table.Apply(jobtable.Record{Key: f[1], Value: []byte{0xff}}); err == nil {
-			s.t.Errorf("line %d: the record was taken", s.line)
+			s.t.Errorf("line %d: the record was accepted", s.line)
 		}
 	default:
 		s.check(f)
--- a/core/jobtable/progress.go
+++ b/core/jobtable/progress.go
@@ -9,45 +9,48 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// errGroup reports a progress record with tasks that can't be.
-var errGroup = errors.New("jobtable: a group of tasks has no such name or size")
+// errGroup reports a progress record with an invalid group of tasks.
+var errGroup = errors.New("jobtable: group of tasks with an invalid name index or count")
 
-// mostTasks bounds the tasks of one job that are read, against a damaged record.
-const mostTasks = 1 << 20
+// maxTasks limits the tasks of one job that are decoded, so that a damaged record
+// can't exhaust the memory.
+const maxTasks = 1 << 20
 
-// packedProgress is a job's progress as it is written. Of a job that is repeated most tasks are done or wait, and many share a worker or a
-// checkpoint: like tasks that follow each other are written once, and each name once.
+// packedProgress is the encoded form of a job's progress. Most tasks of a
+// repeated job are done or waiting, and many have the same worker or checkpoint.
+// Consecutive tasks in the same state are therefore written once with a count,
+// and each name is written once.
 type packedProgress struct {
 	_       struct{} `cbor:",toarray"`
 	Outcome job.Outcome
 	Ended   unit.Instant
-	// Names holds workers and checkpoints.
+	// Names has the names of workers and checkpoints.
 	Names   []string
 	Groups  []taskGroup
 	Crashes []job.CrashCount
 }
 
-// taskGroup is a number of tasks that follow each other and are in the same state.
+// taskGroup is a number of consecutive tasks in the same state.
 type taskGroup struct {
 	_      struct{} `cbor:",toarray"`
 	Count  int
 	Phase  job.Phase
 	Run    job.Run
 	Failed int
-	// Worker and Checkpoint are positions in Names, from 1; 0 for an empty text.
+	// Worker and Checkpoint are positions in Names, from 1; 0 for an empty name.
 	Worker, Checkpoint int
 }
 
-// pack returns a job's progress as it is written.
+// pack returns the encoded form of a job's progress.
 func pack(p job.Progress) packedProgress {
 	out := packedProgress{Outcome: p.Outcome, Ended: p.Ended, Crashes: p.Crashes}
-	known := map[string]int{"": 0}
+	positions := map[string]int{"": 0}
 	name := func(s string) int {
-		n, ok := known[s]
+		n, ok := positions[s]
 		if !ok {
 			out.Names = append(out.Names, s)
 			n = len(out.Names)
-			known[s] = n
+			positions[s] = n
 		}
 		return n
 	}
@@ -64,13 +67,13 @@
 	return out
 }
 
-// unpack returns a job's progress from what was written.
+// unpack returns the job's progress from its encoded form.
 func (p packedProgress) unpack() (job.Progress, error) {
 	out := job.Progress{Outcome: p.Outcome, Ended: p.Ended, Crashes: p.Crashes}
 	for _, g := range p.Groups {
-		worker, ok := p.name(g.Worker)
-		checkpoint, also := p.name(g.Checkpoint)
-		if !ok || !also || g.Count < 1 || g.Count > mostTasks-len(out.Tasks) {
+		worker, workerOK := p.name(g.Worker)
+		checkpoint, checkpointOK := p.name(g.Checkpoint)
+		if !workerOK || !checkpointOK || g.Count < 1 || g.Count > maxTasks-len(out.Tasks) {
 			return job.Progress{}, errGroup
 		}
 		t := job.TaskState{Phase: g.Phase, Run: g.Run, Failed: g.Failed, Worker: id.Worker(worker), Checkpoint: checkpoint}
@@ -79,21 +82,21 @@
 	return out, nil
 }
 
-// name returns the text at a position, and false if there is none.
-func (p packedProgress) name(at int) (string, bool) {
-	if at == 0 {
+// name returns the name at a position in Names, or false if there is none.
+func (p packedProgress) name(pos int) (string, bool) {
+	if pos == 0 {
 		return "", true
 	}
-	if at < 0 || at > len(p.Names) {
+	if pos < 0 || pos > len(p.Names) {
 		return "", false
 	}
-	return p.Names[at-1], true
+	return p.Names[pos-1], true
 }
 
 // encodeProgress returns the value of a progress record.
 func (t *Table) encodeProgress(p job.Progress) ([]byte, error) { return t.progress.Encode(pack(p)) }
 
-// decodeProgress returns what the value of a progress record says.
+// decodeProgress returns the progress in the value of a progress record.
 func (t *Table) decodeProgress(value []byte) (job.Progress, error) {
 	p, err := t.progress.Decode(value)
 	if err != nil {
--- a/core/jobtable/progress_test.go
+++ b/core/jobtable/progress_test.go
@@ -12,11 +12,15 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// TestProgress writes the progress of testdata/progress/sizes.txt and reads it again. A line has the most bytes that a record may take, and groups
-// of tasks: COUNTxPHASE, and for placed ones /N for N of them to a worker.
+// TestProgress encodes and decodes the progress in testdata/progress/sizes.txt and
+// checks the size of the records. A line has the largest size of the record in
+// bytes, and groups of tasks: COUNTxPHASE, and for placed tasks /N for N tasks to
+// a worker.
 //
-// Each start and end of a task writes its job anew. A site of 1,100 workers wrote 1.4 MB of progress a second as work began, 2.6 kB a record,
-// most of it tasks of later rounds, and the same names again and again.
+// It guards against large records: each start and end of a task writes the
+// progress of its job anew. With one entry for each task a site of 1,100 workers
+// wrote 1.4 MB of progress a second when its load began, 2.6 kB a record, mostly
+// tasks of later rounds and repeated names.
 func TestProgress(t *testing.T) {
 	scripttest.EachLine(t, "progress/sizes.txt", func(f []string) {
 		t.Run(strings.Join(f[1:], "+"), func(t *testing.T) {
@@ -36,19 +40,19 @@
 				t.Fatal(err)
 			}
 			if got := table.Get("j").Progress; !reflect.DeepEqual(got, p) {
-				t.Errorf("%+v comes back as %+v", p, got)
+				t.Errorf("%+v is decoded as %+v", p, got)
 			}
-			if most, err := strconv.Atoi(f[0]); err != nil || len(r.Value) > most {
-				t.Errorf("%d bytes, at most %s are wanted, %v", len(r.Value), f[0], err)
+			if limit, err := strconv.Atoi(f[0]); err != nil || len(r.Value) > limit {
+				t.Errorf("record of %d bytes, want at most %s, %v", len(r.Value), f[0], err)
 			}
 		})
 	})
 }
 
-// tasksOf returns a group of tasks.
+// tasksOf returns the tasks of a group in the form COUNTxPHASE[/N].
 func tasksOf(t *testing.T, group string) []job.TaskState {
 	count, phase, _ := strings.Cut(group, "x")
-	phase, each, _ := strings.Cut(phase, "/")
+	phase, perWorker, _ := strings.Cut(phase, "/")
 	n, err := strconv.Atoi(count)
 	if err != nil {
 		t.Fatal(err)
@@ -60,39 +64,41 @@
 		case "done":
 			out[i] = job.TaskState{Phase: job.Done, Run: 1}
 		case "placed":
-			per, err := strconv.Atoi(each)
+			per, err := strconv.Atoi(perWorker)
 			if err != nil {
 				t.Fatal(err)
 			}
 			worker := id.Worker("i-54e03b" + strconv.Itoa(1000+i/per))
 			out[i] = job.TaskState{Phase: job.Placed, Run: 3, Failed: 1, Worker: worker, Checkpoint: "00000bb87a21d94b"}
 		default:
-			t.Fatalf("no such phase: %s", phase)
+			t.Fatalf("unknown phase: %s", phase)
 		}
 	}
 	return out
 }
 
-// TestDamagedProgress reads records that no owner writes: each is refused.
+// TestDamagedProgress decodes invalid records, which no owner writes: each must be
+// rejected.
 func TestDamagedProgress(t *testing.T) {
 	for name, value := range map[string]string{
-		"no such name":     "\x85\x00\x00\x80\x81\x86\x01\x01\x01\x00\x01\x00\x80",
+		"unknown name":     "\x85\x00\x00\x80\x81\x86\x01\x01\x01\x00\x01\x00\x80",
 		"a negative count": "\x85\x00\x00\x80\x81\x86\x20\x01\x01\x00\x00\x00\x80",
 		"a huge count":     "\x85\x00\x00\x80\x81\x86\x1a\xff\xff\xff\xff\x01\x01\x00\x00\x00\x80",
-		// One group that may be, and another whose count passes the largest number together with it.
+		// A valid group, and one whose count overflows the sum of both.
 		"counts that overflow": "\x85\x00\x00\x80\x82\x86\x01\x01\x01\x00\x00\x00\x86\x1b\x7f\xff\xff\xff\xff\xff\xff\xff\x01\x01\x00\x00\x00\x80",
-		"another form":         "\x83\x00\x00\x80",
-		"half of one":          "\x85\x00\x00",
+		"unknown format":       "\x83\x00\x00\x80",
+		"truncated record":     "\x85\x00\x00",
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := jobtable.New().ApplyProgress(jobtable.Record{Key: "progress/j", Value: []byte(value)}); err == nil {
-				t.Error("the record was taken")
+				t.Error("the record was accepted")
 			}
 		})
 	}
 }
 
-// FuzzProgress checks that no value breaks the reading of progress, and that what is taken comes back when it is written again.
+// FuzzProgress checks that decoding a progress record never panics, and that an
+// accepted value is the same after it is encoded and decoded again.
 func FuzzProgress(f *testing.F) {
 	full := job.Progress{Ended: 17, Crashes: []job.CrashCount{{Task: 0, Run: 2, Worker: "i-0", AtOnce: 1, All: 2}}}
 	full.Tasks = []job.TaskState{{Phase: job.Done, Run: 1}, {Phase: job.Placed, Run: 3, Failed: 1, Worker: "i-1", Checkpoint: "c"}, {}}
@@ -108,16 +114,16 @@
 		if err := table.ApplyProgress(jobtable.Record{Key: "progress/j", Value: value}); err != nil || table.Get("j") == nil {
 			return
 		}
-		taken := table.Get("j").Progress
-		r, err := table.ProgressRecord("j", taken)
+		accepted := table.Get("j").Progress
+		r, err := table.ProgressRecord("j", accepted)
 		if err != nil {
-			t.Fatalf("%q was taken, and can't be written: %v", value, err)
+			t.Fatalf("%q was accepted, but its progress can't be encoded: %v", value, err)
 		}
 		if err := table.ApplyProgress(r); err != nil {
-			t.Fatalf("%q was taken, and not what it was written as: %v", value, err)
+			t.Fatalf("%q was accepted, but its new encoding was not: %v", value, err)
 		}
-		if got := table.Get("j").Progress; len(got.Tasks) != len(taken.Tasks) || len(got.Tasks) < 100 && !reflect.DeepEqual(got, taken) {
-			t.Errorf("%q comes back as %+v instead of %+v", value, got, taken)
+		if got := table.Get("j").Progress; len(got.Tasks) != len(accepted.Tasks) || len(got.Tasks) < 100 && !reflect.DeepEqual(got, accepted) {
+			t.Errorf("%q is decoded as %+v after encoding, want %+v", value, got, accepted)
 		}
 	})
 }
--- a/core/jobtable/record.go
+++ b/core/jobtable/record.go
@@ -8,7 +8,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// The prefixes of the keys, and the key of the owner.
+// The prefixes of the keys, and the key of the ownership claim.
 const (
 	specPrefix     = "spec/"
 	cancelPrefix   = "cancel/"
@@ -18,22 +18,24 @@
 	ownerKey       = "owner"
 )
 
-// Record is one keyed record of the store. An empty value drops the key.
+// Record is one keyed record of the store. An empty value deletes the key.
 type Record struct {
 	Key   string
 	Value []byte
 }
 
-// Owner is the claim of the host that schedules. An empty host means that the owner has
-// given the ownership back.
+// Owner is the ownership claim of the host that schedules. An empty host means
+// that the owner has released the ownership.
 type Owner struct {
 	_    struct{} `cbor:",toarray"`
 	Host id.Host
-	// Epoch only grows: a claim with a lower one than the newest has no effect.
+	// Epoch only increases: a claim with an epoch below that of the newest claim
+	// has no effect.
 	Epoch id.Epoch
 }
 
-// Summary is what callers are told of a job that an owner has placed, or ended.
+// Summary is the state that callers see of a job of which a task was placed, or
+// that has ended.
 type Summary struct {
 	_       struct{} `cbor:",toarray"`
 	Outcome job.Outcome
@@ -41,33 +43,34 @@
 	Ended unit.Instant
 }
 
-// Wave is how far a wave of maintenance is.
+// Wave is the state of a maintenance wave.
 type Wave struct {
 	_ struct{} `cbor:",toarray"`
-	// Seen is the time of day at which an owner first saw the wave.
+	// Seen is the wall-clock time at which an owner first read the wave.
 	Seen unit.Instant
-	// Begun holds the machines whose maintenance has begun, in the order of that.
+	// Begun has the machines whose maintenance has started, in the order of the
+	// starts.
 	Begun []id.Machine
 }
 
-// SpecRecord returns the record that makes a job known.
+// SpecRecord returns the record that publishes an accepted job.
 func (t *Table) SpecRecord(j id.Job, s job.Spec) (Record, error) {
 	b, err := t.specs.Encode(s)
 	return Record{Key: specPrefix + string(j), Value: b}, err
 }
 
-// CancelRecord returns the record that cancels a job for good.
+// CancelRecord returns the record that cancels a job permanently.
 func (t *Table) CancelRecord(j id.Job) Record {
 	return Record{Key: cancelPrefix + string(j), Value: []byte{1}}
 }
 
-// SummaryRecord returns the record of what callers are told of a job.
+// SummaryRecord returns the record of the state that callers see of a job.
 func (t *Table) SummaryRecord(j id.Job, s Summary) (Record, error) {
 	b, err := t.summaries.Encode(s)
 	return Record{Key: summaryPrefix + string(j), Value: b}, err
 }
 
-// DropProgressRecord returns the record that drops a job's progress.
+// DropProgressRecord returns the record that deletes a job's progress.
 func DropProgressRecord(j id.Job) Record { return Record{Key: progressPrefix + string(j)} }
 
 // ProgressRecord returns the record of a job's progress.
@@ -76,20 +79,22 @@
 	return Record{Key: progressPrefix + string(j), Value: b}, err
 }
 
-// WaveRecord returns the record of how far a wave is.
+// WaveRecord returns the record of the state of a wave.
 func (t *Table) WaveRecord(n id.Wave, w Wave) (Record, error) {
 	b, err := t.waveCodec.Encode(w)
 	return Record{Key: wavePrefix + strconv.Itoa(int(n)), Value: b}, err
 }
 
-// OwnerRecord returns the record of a claim.
+// OwnerRecord returns the record of an ownership claim.
 func (t *Table) OwnerRecord(o Owner) (Record, error) {
 	b, err := t.owners.Encode(o)
 	return Record{Key: ownerKey, Value: b}, err
 }
 
-// ForgetRecords returns the records that drop an ended job, whose progress has gone before. The spec goes first: what
-// has no spec is no job, so no prefix of them makes an ended job look new.
+// ForgetRecords returns the records that delete an ended job, whose progress must
+// be deleted before. They are to be written in order. The spec comes first,
+// because an entry without a spec is not a job: if only some of the records are
+// written, the ended job is never shown as a new one.
 func (t *Table) ForgetRecords(j id.Job) []Record {
 	return []Record{
 		{Key: specPrefix + string(j)},
--- a/core/jobtable/shown.go
+++ b/core/jobtable/shown.go
@@ -4,10 +4,10 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// Shown is a job's state as callers see it.
+// Shown is the state of a job that callers see.
 type Shown string
 
-// The states that are shown.
+// The states that callers see.
 const (
 	ShownQueued    Shown = "queued"
 	ShownRunning   Shown = "running"
@@ -16,7 +16,7 @@
 	ShownCancelled Shown = "cancelled"
 )
 
-// Show returns the state of an accepted job.
+// Show returns the state that callers see of an accepted job.
 func (e *Entry) Show() Shown {
 	outcome := job.Open
 	if e.Summary != nil {
