--- a/core/upkeep/upkeep.go
+++ b/core/upkeep/upkeep.go
@@ -1,8 +1,9 @@
-// Package upkeep plans a wave of maintenance: each machine of a set is taken down once, so
-// many at a time at most, and all before a time.
+// Package upkeep plans a maintenance wave: each machine of a set is taken down
+// once, before a deadline, with a limit on the machines that are down at a time.
 //
-// A Plan decides which machines are emptied next and how long that may take. Whoever drives
-// it says when a machine is empty, what became of an order, and when a machine is back.
+// A Plan decides which machines are emptied (drained of tasks) next and how long
+// that may take. Its caller reports when a machine is empty, the result of an
+// order to take it down, and when the machine is back.
 package upkeep
 
 import (
@@ -15,7 +16,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// state is how far a machine is, event what happens to it; upkeep.chart has the transitions.
+// state is the maintenance state of a machine, and event is what changes it.
+// upkeep.chart has the transitions.
 type (
 	state string
 	event string
@@ -40,53 +42,58 @@
 var machineChart = chart.MustParse[state, event]("upkeep.chart", charts.Read("upkeep"))
 
 const (
-	// orderAgain is the pause before a machine that was refused is tried again.
-	orderAgain = time.Second
-	// backSlack is added to the time for which a machine is down, for its new life's
-	// entry in the platform's list: that is written every 1.5 s and read with a lag.
-	backSlack = 5 * time.Second
+	// retryDelay is the delay after a refused order before the machine is chosen
+	// or ordered down again.
+	retryDelay = time.Second
+	// listingDelay is added to the downtime of a machine for its new incarnation's
+	// entry in the platform's list, which is written every 1.5 s and read with a
+	// delay.
+	listingDelay = 5 * time.Second
 )
 
-// Wave is what the operator asks for.
+// Wave is the maintenance that the operator requests.
 type Wave struct {
 	Number   id.Wave
 	Machines []id.Machine
-	// Within is how long the wave may take from when it was first seen.
+	// Within is the longest time for the wave, counted from when an owner first
+	// read it.
 	Within time.Duration
-	// Most is how many machines may be down at a time, at least 1.
+	// Most is the largest number of machines that may be down at a time, at
+	// least 1.
 	Most int
 }
 
-// Plan is how far a wave is. The zero value is not ready; call New.
+// Plan is the state of a wave. The zero value is not ready; call New.
 type Plan struct {
 	wave Wave
-	// end is when all machines must have been taken down.
-	end unit.Instant
-	// away is how long a machine is down.
-	away     time.Duration
+	// deadline is when all machines must have been taken down.
+	deadline unit.Instant
+	// downtime is how long a machine is down.
+	downtime time.Duration
 	machines map[id.Machine]*machine
 }
 
 // machine is one machine of the wave.
 type machine struct {
 	state state
-	// since is when emptying began, or when the machine went down.
+	// since is when emptying started, or when the machine went down.
 	since unit.Instant
-	// next is when the machine may be tried again after a refusal.
-	next unit.Instant
+	// retryAt is the earliest time for the next attempt after a refusal.
+	retryAt unit.Instant
 }
 
-// New returns the plan of a wave that was first seen at a time. Each machine is down for
-// about away.
-func New(w Wave, seen unit.Instant, away time.Duration) *Plan {
-	p := &Plan{wave: w, end: seen.Add(w.Within), away: away, machines: map[id.Machine]*machine{}}
+// New returns the plan of a wave that an owner first read at firstSeen. Each
+// machine is down for about downtime.
+func New(w Wave, firstSeen unit.Instant, downtime time.Duration) *Plan {
+	p := &Plan{wave: w, deadline: firstSeen.Add(w.Within), downtime: downtime, machines: map[id.Machine]*machine{}}
 	for _, m := range w.Machines {
 		p.machines[m] = &machine{state: waiting}
 	}
 	return p
 }
 
-// apply moves a machine along the chart. It reports whether its state allows that.
+// apply applies an event to a machine. It reports whether the machine's state
+// allows the event.
 func (p *Plan) apply(m id.Machine, ev event) bool {
 	x := p.machines[m]
 	if x == nil {
@@ -100,36 +107,39 @@
 	return true
 }
 
-// Finished reports whether every machine that stays had its maintenance.
+// Finished reports whether every machine that was not dropped had its
+// maintenance.
 func (p *Plan) Finished() bool { return p.count(done) == len(p.machines) }
 
-// Emptying returns the machines that are to take no new tasks, in the wave's order.
-func (p *Plan) Emptying() []id.Machine { return p.in(emptying) }
+// Emptying returns the machines that are being emptied, in the wave's order.
+func (p *Plan) Emptying() []id.Machine { return p.inState(emptying) }
 
-// Open returns the machines that have not come back from their maintenance yet.
+// Open returns the machines whose maintenance is not completed yet.
 func (p *Plan) Open() []id.Machine {
-	return slices.Concat(p.in(waiting), p.in(emptying), p.in(ordered), p.in(down))
+	return slices.Concat(p.inState(waiting), p.inState(emptying), p.inState(ordered), p.inState(down))
 }
 
-// Held reports whether a machine is to take no new tasks.
+// Held reports whether a machine must accept no new tasks: it is being emptied,
+// ordered down or down.
 func (p *Plan) Held(m id.Machine) bool {
 	x := p.machines[m]
 	return x != nil && (x.state == emptying || x.state == ordered || x.state == down)
 }
 
-// Choose begins to empty machines, the cheapest first, while fewer than may be down at a
-// time are under way. cost says what emptying a machine would throw away, or that it can't
-// be emptied now.
+// Choose starts to empty machines, those with the lowest cost first, until the
+// number of machines in maintenance reaches the wave's limit. It returns them.
+// The function cost returns the work that is lost if a machine is emptied, or
+// false if it can't be emptied now.
 func (p *Plan) Choose(now unit.Instant, cost func(id.Machine) (float64, bool)) []id.Machine {
 	var out []id.Machine
-	for p.underWay() < max(1, p.wave.Most) {
-		best, least := id.Machine(""), 0.0
-		for _, m := range p.in(waiting) {
-			if now < p.machines[m].next {
+	for p.inMaintenance() < max(1, p.wave.Most) {
+		best, minCost := id.Machine(""), 0.0
+		for _, m := range p.inState(waiting) {
+			if now < p.machines[m].retryAt {
 				continue
 			}
-			if c, ok := cost(m); ok && (best == "" || c < least) {
-				best, least = m, c
+			if c, ok := cost(m); ok && (best == "" || c < minCost) {
+				best, minCost = m, c
 			}
 		}
 		if best == "" {
@@ -142,62 +152,68 @@
 	return out
 }
 
-// Hurry reports whether a machine has been emptied for as long as the wave can wait: the
-// time that is left is shared by the machines that are left, with the time that each is
-// down taken off.
+// Hurry reports whether the emptying of a machine has used up its time, so that
+// the remaining tasks are to be stopped. The time until the deadline is divided
+// evenly among the remaining batches of machines, and the downtime is subtracted
+// from each share.
 func (p *Plan) Hurry(now unit.Instant, m id.Machine) bool {
-	left := len(p.machines) - p.count(done) - p.count(down)
-	turns := (left + p.wave.Most - 1) / max(1, p.wave.Most)
-	share := p.end.Sub(now)/time.Duration(max(1, turns)) - p.away
-	return now.Sub(p.machines[m].since) >= share
+	remaining := len(p.machines) - p.count(done) - p.count(down)
+	batches := (remaining + p.wave.Most - 1) / max(1, p.wave.Most)
+	emptyingTime := p.deadline.Sub(now)/time.Duration(max(1, batches)) - p.downtime
+	return now.Sub(p.machines[m].since) >= emptyingTime
 }
 
-// Order notes that the order to take an empty machine down leaves. It reports false if that
-// is not its turn.
+// Order records that the order to take an empty machine down is sent. It reports
+// false if the order must not be sent now.
 func (p *Plan) Order(now unit.Instant, m id.Machine) bool {
-	return now >= p.machines[m].next && p.apply(m, evOrder)
+	return now >= p.machines[m].retryAt && p.apply(m, evOrder)
 }
 
-// Carried takes in that an order was carried out: the machine counts as down until it is
-// back.
+// Carried records that an order was carried out. The machine counts as down until
+// it is back.
 func (p *Plan) Carried(now unit.Instant, m id.Machine) {
 	if p.apply(m, evCarried) {
 		p.machines[m].since = now
 	}
 }
 
-// Settle takes machines for back that have been down for much longer than planned. A machine
-// that had its maintenance before is answered like one that goes down now, and stays up.
+// Settle completes the maintenance of machines that have been down for longer than
+// the downtime and listingDelay. An order for a machine that had its maintenance
+// before gets the same answer as one that takes a machine down, but the machine
+// stays up, so no new incarnation appears.
 func (p *Plan) Settle(now unit.Instant) {
-	for _, m := range p.in(down) {
-		if now.Sub(p.machines[m].since) > p.away+backSlack {
+	for _, m := range p.inState(down) {
+		if now.Sub(p.machines[m].since) > p.downtime+listingDelay {
 			p.apply(m, evBack)
 		}
 	}
 }
 
-// Refused takes in that a machine can't be taken down now.
+// Refused records that a machine can't be taken down now. After retryDelay it may
+// be chosen again.
 func (p *Plan) Refused(now unit.Instant, m id.Machine) {
 	if p.apply(m, evRefused) {
-		p.machines[m].next = now.Add(orderAgain)
+		p.machines[m].retryAt = now.Add(retryDelay)
 	}
 }
 
-// Back takes in that a machine has another life after its order, or had its maintenance
-// before.
+// Back records that a machine has a new incarnation since its order, or had its
+// maintenance before.
 func (p *Plan) Back(m id.Machine) { p.apply(m, evBack) }
 
-// Drop takes in that a machine is gone for good, or isn't of this wave.
+// Drop records that a machine needs no maintenance by this plan: it is
+// permanently gone, or doesn't belong to the wave.
 func (p *Plan) Drop(m id.Machine) { p.apply(m, evDrop) }
 
-// underWay counts the machines that are down or soon will be.
-func (p *Plan) underWay() int { return p.count(emptying) + p.count(ordered) + p.count(down) }
+// inMaintenance returns the number of machines that are being emptied, ordered
+// down or down.
+func (p *Plan) inMaintenance() int { return p.count(emptying) + p.count(ordered) + p.count(down) }
 
-// count returns how many machines are in a state.
-func (p *Plan) count(s state) int { return len(p.in(s)) }
+// count returns the number of machines in a state.
+func (p *Plan) count(s state) int { return len(p.inState(s)) }
 
-// in returns the machines in a state, in the wave's order.
-func (p *Plan) in(s state) []id.Machine {
+// inState returns the machines in a state, in the wave's order.
+func (p *Plan) inState(s state) []id.Machine {
 	var out []id.Machine
 	for _, m := range p.wave.Machines {
 		if p.machines[m].state == s && !slices.Contains(out, m) {
--- a/core/upkeep/upkeep_test.go
+++ b/core/upkeep/upkeep_test.go
@@ -13,15 +13,17 @@
 	"curlewsill.org/curlewsill/core/upkeep"
 )
 
-// TestScripts drives a plan by the scripts in testdata:
+// TestScripts runs the scripts of testdata against a plan. A line is a command:
 //
-//	wave WITHIN MOST MACHINE...       a new plan; machines are down for 2 s
-//	at TIME                           the time from when the wave was seen
-//	choose [MACHINE=COST]... -> M...  machines without a cost can't be emptied now
-//	hurry M true|false                order M true|false
-//	carried|refused|back|drop M
-//	settle                            time has passed
-//	finished true|false
+//	wave WITHIN MOST MACHINE...       creates a plan with a downtime of 2 s
+//	at TIME                           sets the time since the wave was first read
+//	choose [MACHINE=COST]... -> M...  checks the machines that Choose returns;
+//	                                  those without a cost can't be emptied now
+//	hurry M true|false                checks the result of Hurry
+//	order M true|false                checks the result of Order
+//	carried|refused|back|drop M       calls the method of this name
+//	settle                            calls Settle
+//	finished true|false               checks the result of Finished
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
 		s := &script{t: t, now: unit.At(time.Unix(1000, 0))}
