--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -1,10 +1,11 @@
-// Package journal gets a host's own entries into the log, each at most once.
+// Package journal appends a host's own entries to the log, each at most once.
 //
-// A journal has one batch under way. Entries that arrive meanwhile wait and leave
-// together in the next one (group commit). The batch is appended again, byte for
-// byte, until it is read back from the log; an append's own answer is only a hint,
-// because it can be lost while the append takes effect. When the batch is read
-// back, each entry's verdict is known, and it is the same on every host.
+// A journal has at most one batch in flight. Entries that are added meanwhile
+// wait and are appended together in the next batch (group commit). The journal
+// appends the batch again, byte for byte, until it is read back from the log. The
+// result of an append is not enough, because the answer can be lost although the
+// append took effect. When the batch is read back, the verdict on each entry
+// is known, and it is the same on every host.
 package journal
 
 import (
@@ -18,49 +19,52 @@
 
 // Limits of the journal.
 const (
-	// Interval is the shortest time between two batches of one host. With nine
-	// hosts it keeps the log under its rate.
+	// Interval is the shortest time between two batches of one host. It keeps
+	// nine hosts together below the rate limit of the log.
 	Interval = 100 * time.Millisecond
-	// RetryAfter is how long an append may stay unseen before it is tried again.
+	// RetryAfter is the timeout after which a batch that was not read back is
+	// appended again.
 	RetryAfter = 2 * time.Second
-	// maxWaiting bounds the entries that wait for a batch.
+	// maxWaiting is the largest number of entries that wait for a batch.
 	maxWaiting = 4096
-	// maxBatch bounds the entries of one batch.
+	// maxBatch is the largest number of entries in one batch.
 	maxBatch = 256
-	// maxBytes bounds the data of one batch, well under record.MaxSize.
+	// maxBytes limits the snapshot data of one batch. It is half of
+	// record.MaxSize, which leaves room for the other fields.
 	maxBytes = record.MaxSize / 2
 )
 
-// ErrFull reports that too many entries wait already.
+// ErrFull reports that the journal has too many waiting entries.
 var ErrFull = errors.New("journal: full")
 
-// Ticket refers to an entry until its verdict is known.
+// Ticket identifies a queued entry until the verdict on it is known.
 type Ticket uint64
 
 // Journal is the queue of a host's own entries. It is not safe for concurrent use.
 type Journal struct {
-	host id.Host
-	life id.Incarnation
-	seq  id.Seq
-	next Ticket
+	host        id.Host
+	incarnation id.Incarnation
+	seq         id.Seq
+	next        Ticket
 
-	// waiting and tickets run in parallel.
+	// tickets has the ticket of each entry of waiting, at the same index.
 	waiting []record.Entry
 	tickets []Ticket
 
-	// flight is the encoded batch under way, nil if there is none, and flying its
-	// tickets.
-	flight []byte
-	flying []Ticket
-	sent   unit.Instant
+	// inFlight is the encoded batch in flight, nil if there is none. sentTickets
+	// has the tickets of its entries, and sentAt is when it was last appended.
+	inFlight    []byte
+	sentTickets []Ticket
+	sentAt      unit.Instant
 }
 
-// New returns an empty journal for one life of a host.
-func New(host id.Host, life id.Incarnation) *Journal {
-	return &Journal{host: host, life: life}
+// New returns an empty journal for one incarnation of a host.
+func New(host id.Host, incarnation id.Incarnation) *Journal {
+	return &Journal{host: host, incarnation: incarnation}
 }
 
-// Add queues an entry. The ticket is settled by Applied.
+// Add queues an entry. Applied or Landed returns the ticket when the batch of the
+// entry is known to be in the log.
 func (j *Journal) Add(e record.Entry) (Ticket, error) {
 	if len(j.waiting) >= maxWaiting {
 		return 0, ErrFull
@@ -71,36 +75,36 @@
 	return j.next, nil
 }
 
-// Flush returns a record to append now, if there is one. Basis is the last offset
-// that the host has applied.
+// Flush returns the encoded batch to append now, or nil if there is none. basis is
+// the last offset that the host has applied.
 func (j *Journal) Flush(now unit.Instant, basis id.Offset) ([]byte, error) {
-	if j.flight != nil {
-		if now.Sub(j.sent) < RetryAfter {
+	if j.inFlight != nil {
+		if now.Sub(j.sentAt) < RetryAfter {
 			return nil, nil
 		}
-		j.sent = now
-		return j.flight, nil
+		j.sentAt = now
+		return j.inFlight, nil
 	}
-	if len(j.waiting) == 0 || now.Sub(j.sent) < Interval {
+	if len(j.waiting) == 0 || now.Sub(j.sentAt) < Interval {
 		return nil, nil
 	}
-	n := j.fit()
+	n := j.nextBatchLen()
 	raw, err := record.Encode(record.Batch{
-		Version: record.Version, Host: j.host, Incarnation: j.life,
+		Version: record.Version, Host: j.host, Incarnation: j.incarnation,
 		Seq: j.seq + 1, Basis: basis, Entries: j.waiting[:n],
 	})
 	if err != nil {
 		return nil, err
 	}
 	j.seq++
-	j.flight, j.sent = raw, now
-	j.flying = append([]Ticket(nil), j.tickets[:n]...)
+	j.inFlight, j.sentAt = raw, now
+	j.sentTickets = append([]Ticket(nil), j.tickets[:n]...)
 	j.waiting, j.tickets = j.waiting[n:], j.tickets[n:]
 	return raw, nil
 }
 
-// fit returns how many of the waiting entries go into one batch.
-func (j *Journal) fit() int {
+// nextBatchLen returns how many of the waiting entries the next batch contains.
+func (j *Journal) nextBatchLen() int {
 	n, size := 0, 0
 	for _, e := range j.waiting {
 		if e.Snapshot != nil {
@@ -114,36 +118,36 @@
 	return n
 }
 
-// Retry makes the next Flush append the batch under way again, because its append
-// is known to have failed. The pause grows from Interval.
+// Retry reports that the append of the batch in flight has failed. Flush appends
+// the batch again after 5 times Interval instead of RetryAfter.
 func (j *Journal) Retry(now unit.Instant) {
-	if j.flight != nil {
-		j.sent = now.Add(Interval*5 - RetryAfter)
+	if j.inFlight != nil {
+		j.sentAt = now.Add(Interval*5 - RetryAfter)
 	}
 }
 
-// Applied takes in a batch that was read back. If it is the one under way, it
-// returns the tickets of its entries in the order of the batch.
+// Applied reports a batch that was read back from the log. If it is the batch in
+// flight, Applied returns the tickets of its entries in the order of the batch.
 func (j *Journal) Applied(b record.Batch) []Ticket {
-	if b.Host != j.host || b.Incarnation != j.life || b.Seq != j.seq || j.flight == nil {
+	if b.Host != j.host || b.Incarnation != j.incarnation || b.Seq != j.seq || j.inFlight == nil {
 		return nil
 	}
-	done := j.flying
-	j.flight, j.flying = nil, nil
-	return done
+	settled := j.sentTickets
+	j.inFlight, j.sentTickets = nil, nil
+	return settled
 }
 
-// Landed takes in that a restored snapshot includes this life's batches up to seq.
-// If the batch under way is among them, it returns the tickets of its entries; their
-// verdicts can't be known any more.
+// Landed reports that a restored snapshot includes the batches of this incarnation
+// up to seq. If the batch in flight is among them, Landed returns the tickets of its
+// entries; the verdicts on them can't be determined any more.
 func (j *Journal) Landed(seq id.Seq) []Ticket {
-	if j.flight == nil || seq < j.seq {
+	if j.inFlight == nil || seq < j.seq {
 		return nil
 	}
-	done := j.flying
-	j.flight, j.flying = nil, nil
-	return done
+	settled := j.sentTickets
+	j.inFlight, j.sentTickets = nil, nil
+	return settled
 }
 
-// Idle reports whether nothing waits and nothing is under way.
-func (j *Journal) Idle() bool { return j.flight == nil && len(j.waiting) == 0 }
+// Idle reports whether no entry waits and no batch is in flight.
+func (j *Journal) Idle() bool { return j.inFlight == nil && len(j.waiting) == 0 }
--- a/core/recovery/recovery.go
+++ b/core/recovery/recovery.go
@@ -1,9 +1,11 @@
-// Package recovery brings a host up to date that can't replay the log from where it
-// stands, because it is new or because the log no longer keeps what it needs.
+// Package recovery restores the state of a host from a snapshot in the log. A host
+// needs one if it can't replay the log from its last applied record, because the
+// host is new or the log no longer has the records that follow.
 //
-// A Loader is fed records as they are read, and collects the chunks of snapshots
-// among them. When the chunks of one snapshot are complete and every later record
-// is at hand, the host restores the snapshot and replays the rest.
+// A Loader receives the records as they are read, and collects the chunks of
+// snapshots among them. When it has all chunks of a snapshot and every record
+// after those that the snapshot includes, the host restores the snapshot and
+// replays these records.
 package recovery
 
 import (
@@ -19,10 +21,10 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// ChunkSize is the largest part of a snapshot that one entry carries.
+// ChunkSize is the largest size of the snapshot data in one entry.
 const ChunkSize = 64 * unit.KiB
 
-// maxChunks bounds a snapshot to 64 MiB.
+// maxChunks limits a snapshot to 64 MiB.
 const maxChunks = 1024
 
 // Record is a record with its offset.
@@ -31,7 +33,9 @@
 	Raw    []byte
 }
 
-type key struct {
+// snapshotKey identifies a snapshot by the last record that it includes and its
+// digest.
+type snapshotKey struct {
 	covers id.Offset
 	digest uint64
 }
@@ -39,19 +43,20 @@
 // Loader collects records until a snapshot among them can be restored.
 type Loader struct {
 	records []Record
-	parts   map[key]map[int]record.Chunk
+	// chunks has the collected chunks of each snapshot, by Chunk.Index.
+	chunks map[snapshotKey]map[int]record.Chunk
 }
 
 // New returns an empty loader.
-func New() *Loader { return &Loader{parts: map[key]map[int]record.Chunk{}} }
+func New() *Loader { return &Loader{chunks: map[snapshotKey]map[int]record.Chunk{}} }
 
-// Add takes in the next record. A record that doesn't follow the previous one makes
-// the loader start anew.
-func (l *Loader) Add(off id.Offset, raw []byte) {
-	if n := len(l.records); n > 0 && l.records[n-1].Offset+1 != off {
+// Add adds the next record. If its offset doesn't follow that of the previous
+// record, the loader first drops everything that it has collected.
+func (l *Loader) Add(offset id.Offset, raw []byte) {
+	if n := len(l.records); n > 0 && l.records[n-1].Offset+1 != offset {
 		*l = *New()
 	}
-	l.records = append(l.records, Record{off, raw})
+	l.records = append(l.records, Record{offset, raw})
 	b, err := record.Decode(raw)
 	if err != nil {
 		return
@@ -64,31 +69,33 @@
 }
 
 func (l *Loader) collect(c record.Chunk) {
-	k := key{c.Covers, c.Digest}
-	if l.parts[k] == nil {
-		l.parts[k] = map[int]record.Chunk{}
+	k := snapshotKey{c.Covers, c.Digest}
+	if l.chunks[k] == nil {
+		l.chunks[k] = map[int]record.Chunk{}
 	}
-	l.parts[k][c.Index] = c
+	l.chunks[k][c.Index] = c
 }
 
-// Load restores the newest whole snapshot into st and returns the records that
-// follow it. It reports false if there is none yet.
+// Load restores the newest usable snapshot into st and returns the records that
+// are to be replayed after it. It returns false if there is none yet. A snapshot is
+// usable if it is complete, not older than st, and the loader has every record
+// after it.
 func (l *Loader) Load(st *state.State) ([]Record, bool) {
 	if len(l.records) == 0 {
 		return nil, false
 	}
 	first := l.records[0].Offset
-	var keys []key
-	for k, parts := range l.parts {
-		if whole(parts) && k.covers+1 >= first && k.covers >= st.Applied {
-			keys = append(keys, k)
+	var candidates []snapshotKey
+	for k, chunks := range l.chunks {
+		if complete(chunks) && k.covers+1 >= first && k.covers >= st.Applied {
+			candidates = append(candidates, k)
 		}
 	}
-	slices.SortFunc(keys, func(a, b key) int {
+	slices.SortFunc(candidates, func(a, b snapshotKey) int {
 		return cmp.Or(cmp.Compare(b.covers, a.covers), cmp.Compare(a.digest, b.digest))
 	})
-	for _, k := range keys {
-		if errors.Is(st.Restore(join(l.parts[k]), k.digest), state.ErrSnapshot) {
+	for _, k := range candidates {
+		if errors.Is(st.Restore(joinChunks(l.chunks[k]), k.digest), state.ErrSnapshot) {
 			continue
 		}
 		rest := slices.DeleteFunc(slices.Clone(l.records), func(r Record) bool { return r.Offset <= k.covers })
@@ -98,22 +105,22 @@
 	return nil, false
 }
 
-func whole(parts map[int]record.Chunk) bool {
-	for _, c := range parts {
-		return len(parts) == c.Count
+func complete(chunks map[int]record.Chunk) bool {
+	for _, c := range chunks {
+		return len(chunks) == c.Count
 	}
 	return false
 }
 
-func join(parts map[int]record.Chunk) []byte {
+func joinChunks(chunks map[int]record.Chunk) []byte {
 	var out []byte
-	for i := range len(parts) {
-		out = append(out, parts[i].Data...)
+	for i := range len(chunks) {
+		out = append(out, chunks[i].Data...)
 	}
 	return out
 }
 
-// Split returns the entries that carry a snapshot of st.
+// Split returns the entries with the chunks of a snapshot of st.
 func Split(st *state.State) ([]record.Entry, error) {
 	data, err := st.Snapshot()
 	if err != nil {
