--- a/core/config/change.go
+++ b/core/config/change.go
@@ -7,11 +7,11 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// ErrInvalid reports a change or a configuration that breaks a rule of the
-// objects' fields. The error text names the object and the field.
+// ErrInvalid reports a change or a configuration that violates a constraint on
+// an object's fields. The error text names the object and the field.
 var ErrInvalid = errors.New("config: invalid")
 
-// Change sets or deletes one object. Exactly one field is filled.
+// Change sets or deletes one object. Exactly one field is set.
 type Change struct {
 	SetCustomer     *Customer    `cbor:"1,keyasint,omitempty" json:"set_customer,omitempty"`
 	SetGuarantee    *Guarantee   `cbor:"2,keyasint,omitempty" json:"set_guarantee,omitempty"`
@@ -23,7 +23,8 @@
 	DeleteService   id.Service   `cbor:"8,keyasint,omitempty" json:"delete_service,omitempty"`
 }
 
-// String names the object and says whether it is set or deleted.
+// String returns the kind and the id of the object, and whether it is set or
+// deleted.
 func (c Change) String() string {
 	switch {
 	case c.SetCustomer != nil:
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Apply returns the configuration after the changes, in their order. It returns
-// ErrInvalid, and no configuration, if a change or the result breaks a rule.
+// Apply returns the configuration after applying the changes in order. It returns
+// an ErrInvalid error, and no configuration, if a change or the result is invalid.
 func (c Config) Apply(changes []Change) (Config, error) {
 	next := Config{
 		Customers:  maps.Clone(c.Customers),
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// Sorted returns the keys of m in ascending order. Everything that is decided
-// walks maps in this order, so that every host decides the same.
+// Sorted returns the keys of m in ascending order. All code that makes decisions
+// iterates over maps in this order, so that every host makes the same decisions.
 func Sorted[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/core/config/object.go
+++ b/core/config/object.go
@@ -8,19 +8,19 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Customer is a holder of guarantees and a sender of requests and jobs.
+// Customer is a tenant that holds guarantees and sends requests and jobs.
 type Customer struct {
 	ID id.Customer `cbor:"1,keyasint" json:"id"`
-	// Weight is the customer's share of what nobody holds a guarantee for;
-	// at least 1.
+	// Weight determines the customer's share of the capacity that no guarantee
+	// covers; at least 1.
 	Weight int `cbor:"2,keyasint" json:"weight"`
 	// Quota is the largest number of accelerators that the customer's jobs may
 	// hold at one time; 0 means no limit.
 	Quota int `cbor:"3,keyasint,omitempty" json:"quota,omitempty"`
 }
 
-// Guarantee is a set of equal blocks of adjacent accelerators that a customer can
-// always have.
+// Guarantee is a number of blocks of adjacent accelerators, all of the same size,
+// that a customer can use at any time.
 type Guarantee struct {
 	ID id.Guarantee `cbor:"1,keyasint" json:"id"`
 	// Customer must exist in the same configuration.
@@ -38,10 +38,10 @@
 	// Accelerators is at least 1; the accelerators of a rack add up to at most
 	// block.MaxSize.
 	Accelerators int `cbor:"2,keyasint" json:"accelerators"`
-	// Cores and Memory are what tasks may use of the worker.
+	// Cores and Memory are the amounts that tasks may use on the worker.
 	Cores  int        `cbor:"3,keyasint" json:"cores"`
 	Memory unit.Bytes `cbor:"4,keyasint" json:"memory"`
-	// Drained keeps new tasks off the worker; running ones stay.
+	// Drained excludes the worker from new placements; running tasks stay.
 	Drained bool `cbor:"5,keyasint,omitempty" json:"drained,omitempty"`
 }
 
@@ -62,7 +62,7 @@
 	return n
 }
 
-// Span returns the accelerators of r's i-th worker as a block.
+// Span returns the block of accelerators of the worker at index i.
 func (r Rack) Span(i int) block.Block {
 	start := 0
 	for _, w := range r.Workers[:i] {
@@ -74,12 +74,13 @@
 // Service is a set of interchangeable backend servers.
 type Service struct {
 	ID id.Service `cbor:"1,keyasint" json:"id"`
-	// Slots is the number of requests that one backend server runs at a time.
+	// Slots is the number of requests that one backend server processes at a time.
 	Slots int `cbor:"2,keyasint" json:"slots"`
-	// Connections is what one backend server accepts from all hosts together.
+	// Connections is the number of connections that one backend server accepts
+	// from all hosts together.
 	Connections int `cbor:"3,keyasint" json:"connections"`
-	// Timeout bounds a request from its arrival to its answer.
+	// Timeout is the largest time from the arrival of a request to its answer.
 	Timeout time.Duration `cbor:"4,keyasint" json:"timeout"`
-	// Drained lists backend servers that must get nothing new.
+	// Drained lists the backend servers that must receive no new requests.
 	Drained []id.Backend `cbor:"5,keyasint,omitempty" json:"drained,omitempty"`
 }
--- a/core/id/id.go
+++ b/core/id/id.go
@@ -1,32 +1,34 @@
-// Package id defines the named types for everything that is referred to by
-// name or by number. Two ids of different kinds can't be mixed up by accident,
-// and none of them carries any behavior.
+// Package id defines a named type for each kind of identifier, so that the
+// compiler rejects an id of one kind where another kind is needed. The types have
+// no methods.
 //
-// The package is an exception to the one-type-a-package rule of this module:
-// a package for each id would hide more than it shows.
+// Other packages of this module define one main type each. The ids share a package
+// because a package for each of them would make the module harder to read.
 package id
 
 type (
-	// Host names an entry host, one process of the system itself.
+	// Host names an entry host, one process of this system.
 	Host string
-	// Incarnation tells two lives of the same host apart. It is drawn at random
-	// when a process starts.
+	// Incarnation distinguishes processes that run under the name of the same
+	// host. It is drawn at random when a process starts.
 	Incarnation uint64
-	// Customer names a customer that shares the accelerators and the services.
+	// Customer names a customer, one of the tenants that share the accelerators
+	// and services.
 	Customer string
-	// Guarantee names one guaranteed shape of a customer.
+	// Guarantee names one capacity guarantee of a customer.
 	Guarantee string
-	// Job names a job. An operator chooses it; it is unique for ever.
+	// Job names a job. An operator chooses the name; it is never reused.
 	Job string
-	// Worker names a worker, one machine that holds accelerators. Where a worker may begin again under its name, it
-	// names one of its lives; package fleet tells the two apart.
+	// Worker names a worker, one machine with accelerators. If a worker can restart
+	// under the same name, the id identifies one incarnation of it; package fleet
+	// separates the name from the start time.
 	Worker string
-	// WorkerName names a worker over all lives that it begins under that name.
+	// WorkerName names a worker in all its incarnations under that name.
 	WorkerName string
-	// Machine names a machine of a service for as long as it stands; a worker is one life
-	// of it.
+	// Machine names a machine of a service for its whole lifetime; each
+	// incarnation of the machine is a worker.
 	Machine string
-	// Wave numbers a wave of maintenance.
+	// Wave is the number of a maintenance wave.
 	Wave int
 	// Rack names a rack of workers.
 	Rack string
@@ -36,29 +38,34 @@
 	Queue string
 	// Service names a service that backend servers offer.
 	Service string
-	// Backend names a backend server (an executor of a service) by its address.
+	// Backend identifies a backend server, which executes requests of a service,
+	// by its address.
 	Backend string
-	// Request names one request of one caller within the life of one host.
+	// Request identifies one request of a caller within one incarnation of a host.
 	Request uint64
-	// Plan names a plan. It is a hash of the changes and of their basis.
+	// Plan identifies a plan. It is a hash of the changes and of the offset of the
+	// configuration that they are based on.
 	Plan string
-	// Lease names one asking for a gang's tasks, for ever. An asking that came to
-	// nothing and the next one for the same job have different leases.
+	// Lease identifies one request for the tasks of a gang and is never reused: a
+	// failed request and the next one for the same job have different leases.
 	Lease uint64
 	// Offset is a position in the platform's log. The first record has offset 1;
-	// 0 stands for "before everything".
+	// 0 is the position before the first record.
 	Offset uint64
 	// Epoch is the offset of the record that made a host the owner of scheduling.
 	// A larger epoch always supersedes a smaller one.
 	Epoch uint64
-	// Raise counts how often an owner has raised the fence that it shows to workers.
+	// Raise is the number of times that an owner has raised the fence of its
+	// orders to workers.
 	Raise uint64
-	// Seq numbers the batches of one writer, from 1 upwards without reuse.
+	// Seq is the sequence number of a message or batch of one writer. Numbers start
+	// at 1 and are never reused.
 	Seq uint64
 )
 
-// RaiseBits is how many bits a Raise has. Epochs are 1 << RaiseBits apart at least, so that the sum of both is
-// below the next owner's epoch; MostRaises is the largest one.
+// RaiseBits is the number of bits of a Raise, and MostRaises is the largest Raise.
+// Epochs differ by at least 1 << RaiseBits, so that the sum of an epoch and a Raise
+// is below the next owner's epoch.
 const (
 	RaiseBits  = 19
 	MostRaises = 1<<RaiseBits - 1
--- a/core/unit/bytes.go
+++ b/core/unit/bytes.go
@@ -1,6 +1,6 @@
 package unit
 
-// Bytes is an amount of memory or of data.
+// Bytes is an amount of memory or data in bytes.
 type Bytes int64
 
 // The common multiples of a byte.
--- a/core/unit/rate.go
+++ b/core/unit/rate.go
@@ -1,4 +1,4 @@
 package unit
 
-// MegabitsPerSecond is what a network link carries.
+// MegabitsPerSecond is the data rate of a network link.
 type MegabitsPerSecond float64
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -1,22 +1,24 @@
-// Package worker defines what the owner of scheduling and a worker say to each
-// other.
+// Package worker defines the messages between the owner of scheduling and a
+// worker.
 //
-// The owner sends the whole list of tasks that a worker should hold, and the
-// worker answers with the whole list that it holds. Both are states and not
-// commands, so a message that is lost, doubled or late does no harm: the next one
-// says everything again. Where a list is the same as before, a message refers to the
-// earlier one instead of repeating it, which keeps renewals short. A worker keeps to five rules:
+// The owner sends the complete list of tasks that a worker should hold, and the
+// worker answers with the complete list of tasks that it holds. Both messages
+// transfer state and not commands, so a lost, duplicated or late message does no
+// harm: the next one contains the complete state again. If a list is unchanged, a
+// message refers to the earlier one instead of repeating it, which keeps renewals
+// short. A worker follows five rules:
 //
-//   - A sync of a lower epoch, or one that is not newer than the last of the same
-//     epoch, changes nothing.
-//   - A sync that is meant for another life of the worker changes nothing either: a
-//     worker that was restarted remembers neither epochs nor leases.
+//   - A sync with a lower epoch than the highest one seen, or one that is not
+//     newer than the last sync of the same epoch, has no effect.
+//   - A sync for another incarnation of the worker has no effect either, because
+//     a restarted worker remembers neither epochs nor leases.
 //   - A task that is not listed is stopped.
 //   - A task is created only if the sync allows it and the worker never held that
-//     lease before. It is created gated: it holds its accelerators and runs
+//     lease before. It is created gated: it holds its accelerators but runs
 //     nothing until its gate is opened.
-//   - A task whose lease has run out by the worker's own clock is stopped. A new
-//     task has GatedTerm; after that only renewals count.
+//   - A task is stopped when its lease expires by the worker's own clock. The
+//     lease of a new task lasts for GatedTerm; afterwards only a renewal extends
+//     it.
 package worker
 
 import (
@@ -26,22 +28,24 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// GatedTerm is the lease of a task from its creation.
+// GatedTerm is the duration of the first lease of a task, from its creation.
 const GatedTerm = 10 * time.Second
 
-// Sync is what the owner wants a worker to hold.
+// Sync is the list of tasks that the owner wants a worker to hold.
 type Sync struct {
 	Worker id.Worker `json:"worker"`
 	Epoch  id.Epoch  `json:"epoch"`
-	// Seq grows with each sync of an epoch to a worker.
+	// Seq increases with each sync of an epoch to a worker.
 	Seq id.Seq `json:"seq"`
-	// Life is the worker's life that the sync is meant for; 0 if the owner has not
-	// heard of the worker yet. A worker of another life takes nothing from it.
+	// Life is the incarnation of the worker that the sync is meant for; 0 if the
+	// owner has no report from the worker yet. Another incarnation ignores the
+	// sync.
 	Life uint64 `json:"life"`
-	// Tasks is the whole list, unless Base is set.
+	// Tasks is the complete list, unless Base is set.
 	Tasks []Want `json:"tasks,omitempty"`
-	// Base says that the list is that of the earlier sync Base, whose report the
-	// owner has had, and that Until extends every lease of it. 0 for a whole list.
+	// Base is the Seq of an earlier sync whose report the owner has received: the
+	// list is that of the earlier sync, and Until extends every lease in it. Base
+	// is 0 if Tasks is the complete list.
 	Base  id.Seq        `json:"base,omitempty"`
 	Until time.Duration `json:"until,omitempty"`
 }
@@ -54,11 +58,11 @@
 	Mask uint64 `json:"mask"`
 	// Create allows the worker to create the task, gated.
 	Create bool `json:"create,omitempty"`
-	// Open opens the gate, or keeps it open.
+	// Open opens the gate of the task, or keeps it open.
 	Open bool `json:"open,omitempty"`
-	// Until extends the lease to this reading of the worker's own clock. It is
-	// counted from a reading that the worker reported, so a sync that arrives late
-	// extends nothing. 0 leaves the lease as it is.
+	// Until extends the lease up to this reading of the worker's own clock. The
+	// owner computes it from a reading that the worker has reported, so a late sync
+	// doesn't extend the lease any further. 0 leaves the lease unchanged.
 	Until   time.Duration `json:"until"`
 	Cores   int           `json:"cores,omitempty"`
 	Memory  unit.Bytes    `json:"memory,omitempty"`
@@ -76,17 +80,17 @@
 	Exited  TaskState = "exited"
 	Crashed TaskState = "crashed"
 	Stopped TaskState = "stopped"
-	// Missing answers for a task that the worker doesn't hold and was not
+	// Missing is reported for a task that the worker doesn't hold and was not
 	// allowed to create.
 	Missing TaskState = "missing"
-	// Denied answers for a task that finds no room on the worker.
+	// Denied is reported for a task for which the worker lacks free resources.
 	Denied TaskState = "denied"
 )
 
-// Ended reports whether a task in this state holds no accelerator any more.
+// Ended reports whether a task in this state holds no accelerators any more.
 func (s TaskState) Ended() bool { return s != Gated && s != Running }
 
-// Task is what a worker says of one task.
+// Task is the state of one task in a report.
 type Task struct {
 	Job   id.Job    `json:"job"`
 	Lease id.Lease  `json:"lease"`
@@ -101,16 +105,19 @@
 	// the sync's, the sync changed nothing and Tasks is empty.
 	Epoch id.Epoch `json:"epoch"`
 	Seq   id.Seq   `json:"seq"`
-	// Clock is the worker's steady clock when it answered. Its zero is arbitrary
-	// but fixed for one life of the worker.
+	// Clock is the reading of the worker's monotonic clock when it answered. Its
+	// zero is arbitrary but fixed for one incarnation of the worker.
 	Clock time.Duration `json:"clock"`
-	// Life is drawn at random when the worker starts. A worker with another life
-	// holds none of the earlier one's tasks.
+	// Life identifies the incarnation of the worker. It is drawn at random when
+	// the worker starts. A new incarnation holds none of the tasks of the one
+	// before.
 	Life uint64 `json:"life"`
-	// Tasks lists every task that the sync named and every one still held.
+	// Tasks lists every task in the sync and every other task that the worker
+	// still holds.
 	Tasks []Task `json:"tasks,omitempty"`
-	// Base answers a sync with a Base that the worker knows, if no task has changed
-	// since its report to that one; Tasks is empty then. A worker that doesn't know
-	// the Base takes nothing from the sync and answers with a whole list.
+	// Base repeats the Base of the sync if the worker knows that earlier sync and
+	// no task has changed since the worker's report on it; Tasks is empty then. A
+	// worker that doesn't know the Base ignores the sync and answers with the
+	// complete list.
 	Base id.Seq `json:"base,omitempty"`
 }
