--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -5,7 +5,7 @@
 // as a new incarnation, which runs no tasks and restarts its counters. It has
 // another name, or the same name and another start time. Orders are addressed
 // to the worker's name and not to an incarnation, so an incarnation may receive
-// orders that were meant for the one before. A worker keeps the highest epoch
+// orders that were meant for the one before. A worker keeps the highest fence
 // that it has seen in an order, and rejects orders with a lower one. One lease
 // covers all runs on a worker. It expires at a time on the worker's own
 // monotonic clock, which may run slow; a renewal extends it for all runs.
@@ -58,14 +58,14 @@
 	// stopped or has ended on the worker, or a machine that doesn't belong to
 	// the maintenance wave.
 	Stale
-	// Expired orders had a lease that was over by the worker's clock.
+	// Expired orders had a lease that had expired by the worker's clock.
 	Expired
 	// NoRoom means that the worker lacks free resources for the task.
 	NoRoom
 	// NoTicket means that the ticket of the advice service was missing or had
 	// expired.
 	NoTicket
-	// Busy workers did nothing because of overload; retry after a pause.
+	// Busy workers did nothing and accept no orders for a while.
 	Busy
 	// Replaced means that another incarnation answered at the worker's address,
 	// or under its name.
@@ -104,6 +104,7 @@
 	EndAlone
 )
 
+// howNames are the names of the ends in logs.
 var howNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
 
 // String returns the name of the end for logs.
--- a/core/id/id.go
+++ b/core/id/id.go
@@ -52,8 +52,9 @@
 	// Offset is a position in the platform's log. The first record has offset 1;
 	// 0 is the position before the first record.
 	Offset uint64
-	// Epoch is the offset of the record that made a host the owner of scheduling.
-	// A larger epoch always supersedes a smaller one.
+	// Epoch identifies the term of an owner of scheduling. It is derived from the
+	// offset of the record that made the host the owner: a larger epoch always
+	// supersedes a smaller one.
 	Epoch uint64
 	// Raise is the number of times that an owner has raised the fence of its
 	// orders to workers.
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -35,9 +35,9 @@
 	return Resources{CPU: r.CPU - o.CPU, Memory: r.Memory - o.Memory, Accelerators: r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether r fits into the free resources room.
-func (r Resources) Fits(room Resources) bool {
-	return r.CPU <= room.CPU && r.Memory <= room.Memory && r.Accelerators <= room.Accelerators
+// Fits reports whether r fits into the resources that are free.
+func (r Resources) Fits(free Resources) bool {
+	return r.CPU <= free.CPU && r.Memory <= free.Memory && r.Accelerators <= free.Accelerators
 }
 
 // Step is a number of identical tasks of a job.
--- a/core/jobtable/jobtable.go
+++ b/core/jobtable/jobtable.go
@@ -30,8 +30,8 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// ErrKey reports a record with a key of unknown format.
-var ErrKey = errors.New("jobtable: unknown key")
+// ErrUnknownKey reports a record with a key of unknown format.
+var ErrUnknownKey = errors.New("jobtable: unknown key")
 
 // Entry is the state of one job in the table.
 type Entry struct {
@@ -143,7 +143,7 @@
 	case wavePrefix:
 		return t.applyWave(name, r.Value)
 	}
-	return fmt.Errorf("%w: %q", ErrKey, r.Key)
+	return fmt.Errorf("%w: %q", ErrUnknownKey, r.Key)
 }
 
 // splitKey returns a key's prefix, including the slash, and the name after it.
@@ -175,7 +175,7 @@
 		t.applyLegacyProgress(j, r.Value)
 		return "", nil
 	}
-	return "", fmt.Errorf("%w: %q", ErrKey, r.Key)
+	return "", fmt.Errorf("%w: %q", ErrUnknownKey, r.Key)
 }
 
 // applyLegacyProgress records whether an earlier version has written or dropped
@@ -205,7 +205,7 @@
 func (t *Table) applyWave(name string, value []byte) error {
 	n, err := strconv.Atoi(name)
 	if err != nil {
-		return fmt.Errorf("%w: wave %q", ErrKey, name)
+		return fmt.Errorf("%w: wave %q", ErrUnknownKey, name)
 	}
 	w, err := t.waveCodec.Decode(value)
 	if err != nil {
--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -29,8 +29,8 @@
 	maxWaiting = 4096
 	// maxBatch is the largest number of entries in one batch.
 	maxBatch = 256
-	// maxBytes limits the snapshot data of one batch. It is half of
-	// record.MaxSize, which leaves room for the other fields.
+	// maxBytes limits the snapshot data of one batch, well below
+	// record.MaxSize.
 	maxBytes = record.MaxSize / 2
 )
 
@@ -118,7 +118,7 @@
 	return n
 }
 
-// Retry reports that the append of the batch in flight has failed. Flush appends
+// Retry records that the append of the batch in flight has failed. Flush appends
 // the batch again after 5 times Interval instead of RetryAfter.
 func (j *Journal) Retry(now unit.Instant) {
 	if j.inFlight != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// Applied reports a batch that was read back from the log. If it is the batch in
+// Applied processes a batch that was read back from the log. If it is the batch in
 // flight, Applied returns the tickets of its entries in the order of the batch.
 func (j *Journal) Applied(b record.Batch) []Ticket {
 	if b.Host != j.host || b.Incarnation != j.incarnation || b.Seq != j.seq || j.inFlight == nil {
@@ -137,7 +137,7 @@
 	return settled
 }
 
-// Landed reports that a restored snapshot includes the batches of this incarnation
+// Landed records that a restored snapshot includes the batches of this incarnation
 // up to seq. If the batch in flight is among them, Landed returns the tickets of its
 // entries; the verdicts on them can't be determined any more.
 func (j *Journal) Landed(seq id.Seq) []Ticket {
--- a/core/upkeep/upkeep.go
+++ b/core/upkeep/upkeep.go
@@ -202,7 +202,8 @@
 func (p *Plan) Back(m id.Machine) { p.apply(m, evBack) }
 
 // Drop records that a machine needs no maintenance by this plan: it is
-// permanently gone, or doesn't belong to the wave.
+// permanently gone, doesn't belong to the wave, or was ordered down by an earlier
+// owner.
 func (p *Plan) Drop(m id.Machine) { p.apply(m, evDrop) }
 
 // inMaintenance returns the number of machines that are being emptied, ordered
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -70,7 +70,7 @@
 	Trace   string        `json:"trace,omitempty"`
 }
 
-// TaskState is a state of the task's chart, or Missing.
+// TaskState is a state of task.chart, or Missing or Denied.
 type TaskState string
 
 // The states that a worker reports.
