--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -13,50 +13,53 @@
 )
 
 const (
-	// askBatch is how many workers one question names at most, by the platform's word.
+	// askBatch is the platform's limit of workers in one question.
 	askBatch = 100
-	// askSpare is how many tasks' room is asked about beyond those that wait, because
-	// others may take some of it meanwhile.
+	// askSpare is the number of tasks, in addition to the waiting ones, for
+	// which room is asked about, because other steps may take some of it
+	// meanwhile.
 	askSpare = 2
-	// firstYield is the part of the workers that the service is taken to allow before it
-	// has answered, and leastYield the least that is reckoned with. yieldWeight is the
-	// weight of one answer in the average.
-	firstYield  = 0.5
-	leastYield  = 0.1
-	yieldWeight = 0.2
-	// askPause is the pause of a host whose question got no answer. It doubles with each
-	// miss in a row, up to mostAskPause: a host that is cut off costs a step the time of a
-	// question.
-	askPause     = 200 * time.Millisecond
-	mostAskPause = 3200 * time.Millisecond
-	// mostDoublings keeps the doubling from running over.
-	mostDoublings = 8
+	// initialYield is the fraction of workers that the service is assumed to
+	// allow before its first answer, minYield the least that is assumed.
+	// yieldWeight is the weight of one answer in the moving average.
+	initialYield = 0.5
+	minYield     = 0.1
+	yieldWeight  = 0.2
+	// askPause is how long a host is not used after its question got no answer.
+	// It doubles with each failure in a row up to maxAskPause, since a host
+	// that is cut off costs a step the time of a question.
+	askPause    = 200 * time.Millisecond
+	maxAskPause = 3200 * time.Millisecond
+	// maxDoublings keeps the doubling from overflowing.
+	maxDoublings = 8
 )
 
-// consultation is the state of the questions to the advice service. The service works on
-// one question of a host at a time, so they are spread over hosts, one under way on each.
-type consultation struct {
+// adviceState is the state of the questions to the advice service. The service
+// works on one question of a host at a time, so questions are spread over the
+// hosts, with one in flight on each.
+type adviceState struct {
 	advisers []adviser
-	// yield is the average part of the workers asked about that were allowed.
+	// yield is the moving average of the fraction of workers that were allowed.
 	yield float64
 }
 
-// adviser is one host that can ask the service.
+// adviser is a host that can ask the advice service.
 type adviser struct {
 	busy bool
-	// next is when the next question may leave, misses how many in a row got no answer.
-	next   unit.Instant
-	misses int
+	// next is when the next question may be sent, failures how many in a row
+	// got no answer.
+	next     unit.Instant
+	failures int
 }
 
-// miss notes that a question got no answer.
-func (a *adviser) miss(now unit.Instant) {
-	a.next = now.Add(min(mostAskPause, askPause<<min(a.misses, mostDoublings)))
-	a.misses++
+// fail records that a question got no answer.
+func (a *adviser) fail(now unit.Instant) {
+	a.next = now.Add(min(maxAskPause, askPause<<min(a.failures, maxDoublings)))
+	a.failures++
 }
 
-// idle returns the number of a host that can ask now, or false if there is none.
-func (c *consultation) idle(now unit.Instant) (int, bool) {
+// idle returns the index of a host that can ask now, or false if there is none.
+func (c *adviceState) idle(now unit.Instant) (int, bool) {
 	for i, a := range c.advisers {
 		if !a.busy && now >= a.next {
 			return i, true
@@ -65,8 +68,9 @@
 	return 0, false
 }
 
-// resize sets how many hosts can ask. One that is busy stays until its answer comes.
-func (c *consultation) resize(n int) {
+// resize sets the number of hosts that can ask. A busy one is kept until its
+// answer arrives.
+func (c *adviceState) resize(n int) {
 	for len(c.advisers) < n {
 		c.advisers = append(c.advisers, adviser{})
 	}
@@ -75,16 +79,16 @@
 	}
 }
 
-// learn takes an answer into the average yield.
-func (c *consultation) learn(asked, allowed int) {
+// updateYield adds an answer to the moving average.
+func (c *adviceState) updateYield(asked, allowed int) {
 	c.yield += yieldWeight * (float64(allowed)/float64(asked) - c.yield)
 }
 
-// SetAdvisers sets how many hosts can ask the advice service.
+// SetAdvisers sets the number of hosts that can ask the advice service.
 func (d *Dispatcher) SetAdvisers(n int) { d.advice.resize(n) }
 
-// consult asks the advice service about more workers for a step, if a host can ask now. A
-// permit that runs out within the time ahead counts as none.
+// consult asks the advice service about more workers for a step, if a host can
+// ask now. A permit that expires within the time ahead counts as none.
 func (d *Dispatcher) consult(now unit.Instant, c candidate, ahead time.Duration) {
 	advice := c.step.job.spec.Advice
 	if !advice.Needed || c.step.asking {
@@ -94,7 +98,7 @@
 	if !ok {
 		return
 	}
-	workers := c.askAbout(now, ahead, advice, d.advice.yield)
+	workers := c.workersToAsk(now, ahead, advice, d.advice.yield)
 	if len(workers) == 0 {
 		return
 	}
@@ -105,25 +109,26 @@
 	d.noteJob(EventAdviceAsked, now, s.job, fmt.Sprintf("step %s: %d workers", a.Step, len(workers)), a.Takes)
 }
 
-// askAbout returns the workers to ask about: as many as are likely to be enough, or as fit
-// into twice the time of a question that names none. What is refused stays so, and a permit
-// may still hold when a worker without room has some.
-func (c *candidate) askAbout(now unit.Instant, ahead time.Duration, advice job.Advice, yield float64) []id.Worker {
+// workersToAsk returns the workers to ask about: as many as are likely to be
+// enough, or as fit into twice the time of a question that names none. A
+// refusal is permanent, and a permit may still be valid when a worker that has
+// no room now has some.
+func (c *candidate) workersToAsk(now unit.Instant, ahead time.Duration, advice job.Advice, yield float64) []id.Worker {
 	s := c.step
 	need := s.step.Reserved()
-	open := c.open(now, ahead)
-	if len(open) == 0 || s.job.spec.Priority > 0 && !need.Fits(open[0].free()) {
-		return nil // no use for work that isn't urgent while there is no room
+	unasked := c.withoutPermit(now, ahead)
+	if len(unasked) == 0 || s.job.spec.Priority > 0 && !need.Fits(unasked[0].free()) {
+		return nil // without room a permit is of no use to work that isn't urgent
 	}
 	var out []id.Worker
 	expected := 0.0
-	for _, w := range open[:min(askBatch, len(open))] {
+	for _, w := range unasked[:min(askBatch, len(unasked))] {
 		out = append(out, w.ID)
 		room := w.free()
 		if !need.Fits(room) {
-			room = w.Capacity // urgent work may have it
+			room = w.Capacity // runs may be stopped for urgent work
 		}
-		expected += max(yield, leastYield) * float64(s.mostOn(room))
+		expected += max(yield, minYield) * float64(s.mostOn(room))
 		enough := expected >= float64(len(c.waiting)+askSpare)
 		if enough && advice.Takes(len(out)+1) > 2*advice.Decide {
 			break
@@ -132,18 +137,18 @@
 	return out
 }
 
-// open returns the workers for which the step has no permit that lasts for a time ahead:
-// those with room first, and racks with most of them first, so that a gang finds its workers
-// in one.
-func (c *candidate) open(now unit.Instant, ahead time.Duration) []*worker {
+// withoutPermit returns the workers for which the step has no permit that is
+// valid for a time ahead. Workers with room come first, sorted by the number of
+// such workers in their rack, so that a gang can be placed in one rack.
+func (c *candidate) withoutPermit(now unit.Instant, ahead time.Duration) []*worker {
 	s := c.step
 	need := s.step.Reserved()
-	roomy := map[id.Rack]int{}
+	fitting := map[id.Rack]int{}
 	var out []*worker
 	for _, w := range c.possible {
 		fits := need.Fits(w.free())
 		if fits {
-			roomy[w.Rack]++
+			fitting[w.Rack]++
 		}
 		if s.permitLasts(now, w, ahead) {
 			continue
@@ -153,19 +158,19 @@
 	slices.SortStableFunc(out, func(a, b *worker) int {
 		return cmp.Or(
 			-compareBools(need.Fits(a.free()), need.Fits(b.free())),
-			-cmp.Compare(roomy[a.Rack], roomy[b.Rack]),
+			-cmp.Compare(fitting[a.Rack], fitting[b.Rack]),
 			cmp.Compare(a.Rack, b.Rack),
 		)
 	})
 	return out
 }
 
-// name returns what the step is called in questions and notes.
+// name returns the step's name for questions and notes.
 func (s *stepState) name() job.StepID {
 	return job.StepID{Job: s.job.id, Round: s.round, Step: s.index}
 }
 
-// stepOf returns the step of that name, or nil if its job isn't known any more.
+// stepOf returns the step with a name, or nil if its job isn't known any more.
 func (d *Dispatcher) stepOf(name job.StepID) *stepState {
 	js := d.jobs[name.Job]
 	if js == nil {
@@ -174,7 +179,7 @@
 	return js.steps[name.Round*len(js.spec.Steps)+name.Step]
 }
 
-// Advised takes in what became of a question to the advice service.
+// Advised handles the result of a question to the advice service.
 func (d *Dispatcher) Advised(now unit.Instant, res AskResult) {
 	by := &d.advice.advisers[res.Ask.Adviser]
 	by.busy = false
@@ -183,15 +188,15 @@
 		s.asking = false
 	}
 	if res.Verdict != fleet.Carried {
-		by.miss(now)
+		by.fail(now)
 		d.note(Note{Event: EventAdviceMissed, Job: res.Ask.Step.Job, Why: res.Verdict.String(), Age: now.Sub(res.Sent)})
 		return
 	}
-	by.misses = 0
+	by.failures = 0
 	if s == nil {
 		return
 	}
-	d.advice.learn(len(res.Ask.Workers), len(res.Permits))
+	d.advice.updateYield(len(res.Ask.Workers), len(res.Permits))
 	s.takePermits(now, res)
 	why := fmt.Sprintf("step %s: %d of %d workers allowed", res.Ask.Step, len(res.Permits), len(res.Ask.Workers))
 	d.note(Note{Event: EventAdviceTaken, Job: s.job.id, Why: why, Estimate: res.Valid, Age: now.Sub(res.Sent)})
--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// renewPause is the pause before another renewal when the last one brought
-	// nothing that could be waited for.
+	// renewPause is the pause before the next renewal if there was nothing that
+	// the last one could wait for.
 	renewPause = 500 * time.Millisecond
-	// busyPause is how long a worker that refused a start is left alone; a
-	// renewal that is sent at once tells meanwhile what it holds.
+	// busyPause is how long a worker that refused a start gets no new tasks. A
+	// renewal that is sent at once reports its runs meanwhile.
 	busyPause = 500 * time.Millisecond
 )
 
-// addressee returns the worker that an order went to, or nil if it isn't known any more or the
-// order was another owner's.
+// addressee returns the worker that an order was sent to, or nil if it isn't
+// known any more or the order was sent under another epoch.
 func (d *Dispatcher) addressee(t Target) *worker {
 	if t.Fence.Epoch != d.epoch {
 		return nil
@@ -26,7 +26,7 @@
 	return d.workers[t.Worker]
 }
 
-// run returns a run on the worker by its task and number, or nil.
+// run returns the worker's run of a task with a run number, or nil.
 func (w *worker) run(t job.Task, number job.Run) *run {
 	r := w.runs.get(t)
 	if r == nil || r.number != number {
@@ -35,7 +35,7 @@
 	return r
 }
 
-// answered notes that a worker lives, and its clock.
+// answered records that a worker has answered, and its clock.
 func (d *Dispatcher) answered(now unit.Instant, w *worker, c fleet.Clock) {
 	w.answered = now
 	if c > 0 && c >= w.Clock {
@@ -43,9 +43,9 @@
 	}
 }
 
-// judge takes in what a verdict says of the worker itself. It reports whether the
-// worker answered under this epoch.
-func (d *Dispatcher) judge(now unit.Instant, w *worker, t Target, v fleet.Verdict, c fleet.Clock) bool {
+// applyVerdict handles what a verdict says of the worker itself. It reports
+// whether the worker answered under this epoch.
+func (d *Dispatcher) applyVerdict(now unit.Instant, w *worker, t Target, v fleet.Verdict, c fleet.Clock) bool {
 	switch v {
 	case fleet.Unknown, fleet.Unreachable:
 		return false
@@ -67,20 +67,20 @@
 	}
 }
 
-// runAnswer takes in an answer to an order on a run. It returns the run, or nil if it or its worker
-// isn't known any more.
+// runAnswer handles the answer to an order for a run. It returns the run, or
+// nil if the run or its worker isn't known any more.
 func (d *Dispatcher) runAnswer(now unit.Instant, t Target, v fleet.Verdict, c fleet.Clock, task job.Task, number job.Run) *run {
 	w := d.addressee(t)
 	if w == nil {
 		return nil
 	}
 	if v == fleet.Replaced || v == fleet.Fenced || !fleet.TellsStart(w.ID) {
-		d.judge(now, w, t, v, c)
-	} // else the answer doesn't say which life under the name gave it
+		d.applyVerdict(now, w, t, v, c)
+	} // else the answer doesn't tell which incarnation under the name sent it
 	return w.run(task, number)
 }
 
-// Started takes in what became of an order to start.
+// Started handles the result of a start order.
 func (d *Dispatcher) Started(now unit.Instant, res StartResult) {
 	if res.Verdict != fleet.Carried && res.Verdict != fleet.Unknown && res.Verdict != fleet.Stale {
 		d.refused(res.Start)
@@ -104,7 +104,7 @@
 	case fleet.Unreachable, fleet.Replaced, fleet.Fenced, fleet.Expired:
 		// The order is repeated by resend, or the worker was given up above.
 	case fleet.Stale:
-		d.overtaken(now, r)
+		d.handleStaleStart(now, r)
 	case fleet.NoTicket:
 		if r.step != nil {
 			r.step.dropPermit(r.worker)
@@ -116,10 +116,11 @@
 	}
 }
 
-// overtaken takes in that a worker has seen this run or a later one end. An earlier
-// copy of the order was carried out, so the run has ended, perhaps with success: the
-// next renewal lists its end, or else it is lost.
-func (d *Dispatcher) overtaken(now unit.Instant, r *run) {
+// handleStaleStart handles a worker's answer that this run or a later one has
+// already ended there. An earlier copy of the order was carried out, so the run
+// has ended, perhaps with success: the next renewal lists its end, or else the
+// run is lost.
+func (d *Dispatcher) handleStaleStart(now unit.Instant, r *run) {
 	d.noteRun(EventStartOvertaken, r, "", now.Sub(r.since))
 	if r.apply(evStarted) {
 		r.started = now
@@ -130,13 +131,14 @@
 // rejected takes back a run that its worker did not start.
 func (d *Dispatcher) rejected(now unit.Instant, r *run, v fleet.Verdict) {
 	if r.state == runRunning {
-		return // an older answer that was overtaken
+		return // the answer is older than one that was handled already
 	}
 	r.worker.nextHold = min(r.worker.nextHold, now)
 	d.noteRun(EventStartRejected, r, v.String(), now.Sub(r.since))
 	if r.unanswered {
-		// An earlier copy of the order may still be carried out; a stop prevents it.
-		d.stopRun(now, r, "refused, while a copy of its order may be on its way")
+		// An earlier copy of the order may still be carried out; a stop
+		// prevents that.
+		d.stopRun(now, r, "refused while an earlier copy of its start order may still be carried out")
 		return
 	}
 	if r.apply(evRejected) {
@@ -144,7 +146,7 @@
 	}
 }
 
-// Stopped takes in what became of an order to stop. The room is free only when the
+// Stopped handles the result of a stop order. The room is free only when the
 // worker lists the end, or no longer lists the run.
 func (d *Dispatcher) Stopped(now unit.Instant, res StopResult) {
 	r := d.runAnswer(now, res.Stop.Target, res.Verdict, res.Clock, res.Stop.Task, res.Stop.Run)
@@ -156,12 +158,14 @@
 	done := res.Verdict == fleet.Carried || res.Verdict == fleet.Stale
 	if done && r.stopDone == 0 {
 		r.stopDone = now
-		// One look that doesn't wait tells whether the run was ever there.
+		// A renewal that doesn't wait then shows whether the run was ever
+		// there.
 		r.worker.nextHold = min(r.worker.nextHold, now.Add(d.config.StopTime))
 	}
 }
 
-// endRenewal takes in that a renewal is no longer under way, and whether it was answered.
+// endRenewal handles the end of a renewal that was in flight, with or without
+// an answer.
 func (d *Dispatcher) endRenewal(now unit.Instant, w *worker, res RenewResult) {
 	w.holding = false
 	if w.waits {
@@ -180,7 +184,8 @@
 		}
 	}
 	if w.lastUnanswered {
-		// It has kept its pause already. Two in a row may be lost before a lease of 6 s runs out.
+		// The pause has passed already. Two renewals in a row may be lost
+		// before a lease of 6 s expires.
 		w.nextHold = max(now, res.Sent.Add(renewPause))
 	}
 	w.grantedBy(w.renewalLapse, res.Verdict)
@@ -193,7 +198,7 @@
 	}
 }
 
-// Renewed takes in a worker's answer to a renewal.
+// Renewed handles a worker's answer to a renewal.
 func (d *Dispatcher) Renewed(now unit.Instant, res RenewResult) {
 	w := d.addressee(res.Renew.Target)
 	if w == nil {
@@ -206,7 +211,7 @@
 		}
 		return
 	}
-	if !d.judge(now, w, res.Renew.Target, res.Verdict, res.Report.Clock) || res.Verdict != fleet.Carried {
+	if !d.applyVerdict(now, w, res.Renew.Target, res.Verdict, res.Report.Clock) || res.Verdict != fleet.Carried {
 		return
 	}
 	w.told, w.lostAt = max(w.told, res.Renew.Told), 0
@@ -223,10 +228,10 @@
 		}
 	}
 	if w.replaced && fleet.TellsStart(w.ID) {
-		return // it answered before the next life did: what it lists as running is over
+		return // it answered before the next incarnation did: the runs that it lists are over
 	}
 	d.compare(now, w, res, ended)
-	if now.Sub(res.Sent) <= res.Renew.Wait+renewLimit { // else the answer has waited in this host, and tells an old progress
+	if now.Sub(res.Sent) <= res.Renew.Wait+renewLimit { // else the answer was delayed in this host, and its progress is out of date
 		d.stopStalled(now, w)
 	}
 	w.endTrial(now)
--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -6,9 +6,11 @@
 	"time"
 )
 
-// BenchmarkSecond plays a second of a busy site, load and workers in proportion. Its figure is
-// the deciding time of a second, without sending anything. With 350 workers 48.6 ms and 74,882
-// allocations when each waiting step walked over all workers, 10.5 ms and 13,945 since.
+// BenchmarkSecond simulates a second on a busy site, with the load in
+// proportion to the number of workers. It measures the time that the decisions
+// of a second take, without sending orders. With 350 workers they took 48.6 ms
+// and 74,882 allocations when each waiting step walked over all workers, and
+// 10.5 ms and 13,945 without that walk.
 func BenchmarkSecond(b *testing.B) {
 	for _, workers := range []int{48, 350, 990} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -30,9 +32,10 @@
 	}
 }
 
-// BenchmarkPass is one pass over busy workers and tasks that wait for room. With 350 workers and
-// 1,000 tasks 1.34 ms when each waiting step walked over all workers, 0.08 ms since; with 10,000
-// tasks 8.8 ms and 0.35 ms.
+// BenchmarkPass measures one pass with busy workers and tasks that wait for
+// room. With 350 workers and 1,000 waiting tasks it took 1.34 ms when each
+// waiting step walked over all workers, and 0.08 ms without that walk; with
+// 10,000 tasks 8.8 ms and 0.35 ms.
 func BenchmarkPass(b *testing.B) {
 	for _, workers := range []int{48, 350, 990} {
 		for _, waiting := range []int{0, 1000, 10000} {
--- a/core/dispatch/check.go
+++ b/core/dispatch/check.go
@@ -5,13 +5,13 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// violated notes that an invariant did not hold for a run.
-func (d *Dispatcher) violated(now unit.Instant, r *run, what string) {
-	d.noteRun(EventViolated, r, what, now.Sub(r.since))
+// violated logs that an invariant didn't hold for a run.
+func (d *Dispatcher) violated(now unit.Instant, r *run, violation string) {
+	d.noteRun(EventViolated, r, violation, now.Sub(r.since))
 }
 
-// checkStart asserts what must hold when an order to start leaves. It returns what
-// doesn't hold, or an empty text.
+// checkStart checks the invariants that must hold when a start order is sent.
+// It returns the one that is violated, or an empty string.
 func (d *Dispatcher) checkStart(r *run) string {
 	s := r.step
 	if s == nil || s.runs[r.task.Index] != r {
@@ -29,10 +29,10 @@
 		return "the task has no attempts left"
 	}
 	if s.spent(r.task.Index) {
-		return "the task has crashed as many workers as it may"
+		return "the task has reached its limit of crashed workers"
 	}
 	if !js.ready(s) {
-		return "a step before has not ended"
+		return "a step that it depends on has not ended"
 	}
 	if r.worker.evacuated {
 		return whyEvacuated
@@ -40,13 +40,13 @@
 	return checkGang(s, r)
 }
 
-// checkGang asserts that a gang starts whole and under one number.
+// checkGang checks that a gang starts as a whole and under one run number.
 func checkGang(s *stepState, r *run) string {
 	if !s.step.Gang {
 		return ""
 	}
 	if len(s.runs) != s.step.Count {
-		return "the gang is not placed whole"
+		return "not all members of the gang are placed"
 	}
 	for _, m := range s.runs {
 		if m.number != r.number {
@@ -56,8 +56,8 @@
 	return ""
 }
 
-// reclaimable notes once for a job that urgent work within its customer's guarantee
-// waits although all that may be stopped for it was considered.
+// reclaimable logs, once for each job, that urgent work within its customer's
+// guarantee waits although every run that may be stopped for it was considered.
 func (d *Dispatcher) reclaimable(now unit.Instant, c candidate) {
 	js := c.step.job
 	if !c.covered || js.atRisk || now.Sub(js.seen) < d.config.StopTime {
--- a/core/dispatch/claim.go
+++ b/core/dispatch/claim.go
@@ -8,14 +8,15 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// claim is room that is kept for the waiting tasks of a step: others were stopped for it,
-// or are expected to end soon. It counts as reserved on its workers until it is used,
-// dropped, or over.
+// claim is room reserved for the waiting tasks of a step, because other runs
+// were stopped for it or are expected to end soon. It counts as reserved on its
+// workers until it is used, dropped or expired.
 type claim struct {
-	// workers has one worker for each waiting task, or for the first of them if there
-	// can't be room for all; a worker that is to take several is listed as often.
+	// workers has one entry for each waiting task, or for the first of them if
+	// there can't be room for all. A worker that is to take several tasks
+	// occurs as often.
 	workers []*worker
-	// until is when the room is given up if it has not become free.
+	// until is when the claim expires if the room hasn't become free.
 	until unit.Instant
 }
 
@@ -25,24 +26,24 @@
 	d.noteJob(EventRoomClaimed, now, c.step.job, why, lasts)
 }
 
-// useClaim places a candidate on the room that is kept for it once that is free. It
-// reports whether the candidate is taken care of.
+// useClaim places a candidate on the room reserved for it once all of that is
+// free. It reports whether the candidate needs no other placement in this pass.
 func (d *Dispatcher) useClaim(now unit.Instant, c candidate, fits []*worker) bool {
 	s := c.step
 	if s.claim == nil {
 		return false
 	}
-	if now > s.claim.until || len(s.claim.workers) > len(c.waiting) || !s.claim.sound(now, s) {
+	if now > s.claim.until || len(s.claim.workers) > len(c.waiting) || !s.claim.usable(now, s) {
 		s.dropClaim()
 		return false
 	}
-	if d.mayLeave(s) && d.roomElsewhere(now, c, fits) {
+	if d.mayUseOtherRoom(s) && d.hasOtherRoom(now, c, fits) {
 		s.dropClaim()
 		return false
 	}
-	// Permits may run out while the room becomes free.
+	// Permits may expire while the room becomes free.
 	d.consult(now, c, permitAhead)
-	if !s.claimFree() || len(s.permitted(now, s.claim.workers)) < len(s.claim.workers) {
+	if !s.claimedRoomFree() || len(s.permitted(now, s.claim.workers)) < len(s.claim.workers) {
 		return true
 	}
 	workers := s.claim.workers
@@ -51,15 +52,16 @@
 	return true
 }
 
-// mayLeave reports whether a step may give up the room that is kept for it for other room that is
-// free. Urgent work so begins up to the time of a stop earlier, and what was freed for it goes to the
-// next that waits.
-func (d *Dispatcher) mayLeave(s *stepState) bool {
+// mayUseOtherRoom reports whether a step may give up its reserved room for
+// other room that is free. Urgent work then starts earlier by up to the time of
+// a stop, and the next waiting step gets the room that was freed.
+func (d *Dispatcher) mayUseOtherRoom(s *stepState) bool {
 	return s.job.spec.Priority > 0 || d.policy.TakeFreed
 }
 
-// claimFree reports whether the runs that had the kept room have all ended.
-func (s *stepState) claimFree() bool {
+// claimedRoomFree reports whether the runs that occupied the reserved room have
+// all ended.
+func (s *stepState) claimedRoomFree() bool {
 	need := s.step.Reserved()
 	want := map[id.Worker]job.Resources{}
 	for _, w := range s.claim.workers {
@@ -74,9 +76,9 @@
 	return true
 }
 
-// roomElsewhere reports whether work for which room is kept could be placed now if it
-// were not.
-func (d *Dispatcher) roomElsewhere(now unit.Instant, c candidate, fits []*worker) bool {
+// hasOtherRoom reports whether a candidate with a claim could be placed now
+// without it.
+func (d *Dispatcher) hasOtherRoom(now unit.Instant, c candidate, fits []*worker) bool {
 	kept := c.step.claim
 	c.step.dropClaim()
 	found := d.chooseGang(now, c, fits, d.plainRoom).workers != nil
@@ -84,8 +86,8 @@
 	return found
 }
 
-// sound reports whether all workers of a claim still take tasks of the step.
-func (c *claim) sound(now unit.Instant, s *stepState) bool {
+// usable reports whether all workers of a claim still accept tasks of the step.
+func (c *claim) usable(now unit.Instant, s *stepState) bool {
 	for _, w := range c.workers {
 		if !w.usable(now) || s.refusedOn(w) {
 			return false
@@ -94,7 +96,7 @@
 	return true
 }
 
-// hold makes a claim keep its room. The step has none at that time.
+// hold reserves the room of a claim for the step, which must have no claim.
 func (s *stepState) hold(c *claim) {
 	need := s.step.Reserved()
 	for _, w := range c.workers {
@@ -103,7 +105,7 @@
 	s.claim = c
 }
 
-// dropClaim gives the room that is kept for a step back, if there is any.
+// dropClaim releases the room that is reserved for a step, if any.
 func (s *stepState) dropClaim() {
 	if s.claim == nil {
 		return
--- a/core/dispatch/commands_test.go
+++ b/core/dispatch/commands_test.go
@@ -15,7 +15,7 @@
 	"curlewsill.org/curlewsill/core/upkeep"
 )
 
-// do carries out one command.
+// do executes one command.
 func (s *script) do(f []string) {
 	o := options(f)
 	switch f[0] {
@@ -27,7 +27,7 @@
 	case "job":
 		s.addJob(id.Job(f[1]), o)
 	case "replaced":
-		s.apply([]jobtable.Record{s.table.ForgetRecords(id.Job(f[1]))[0]}) // a host that begins to read meets the last spec alone
+		s.apply([]jobtable.Record{s.table.ForgetRecords(id.Job(f[1]))[0]}) // a host that starts reading now sees only the last spec
 		s.writeSpec(id.Job(f[1]), o)
 	case "cancel":
 		s.apply([]jobtable.Record{s.table.CancelRecord(id.Job(f[1]))})
@@ -86,7 +86,7 @@
 	}
 }
 
-// list puts a worker on the platform's list.
+// list adds a worker to the platform's list.
 func (s *script) list(name string, o opts) {
 	l := fleet.Listing{
 		ID: id.Worker(name), Machine: id.Machine(o.text("machine", "")), Address: o.text("address", name),
@@ -99,7 +99,7 @@
 	}
 	for _, other := range sorted(s.workers) {
 		if other != name && fleet.NameOf(id.Worker(other)) == fleet.NameOf(l.ID) {
-			delete(s.workers, other) // one entry stands under a name
+			delete(s.workers, other) // the list has one entry for each name
 			s.d.Unlist(s.now, id.Worker(other))
 		}
 	}
@@ -107,7 +107,7 @@
 	s.d.List(s.now, l)
 }
 
-// write puts what was flushed into the store.
+// write applies the flushed batch to the store.
 func (s *script) write() {
 	b, _, err := s.d.Flush()
 	if err != nil {
@@ -122,7 +122,7 @@
 	s.d.Committed(s.now, b)
 }
 
-// checkState compares a job's outcome in the store's records.
+// checkState checks a job's outcome in the store's records.
 func (s *script) checkState(name id.Job, want string) {
 	got := [...]string{"open", "completed", "failed", "cancelled"}[s.table.Get(name).Resumed().Outcome]
 	if got != want {
@@ -130,7 +130,7 @@
 	}
 }
 
-// checkCrashes compares the counts of crashes in the store's record of a job.
+// checkCrashes checks the crash counts in the store's record of a job.
 func (s *script) checkCrashes(name id.Job, want []string) {
 	var got []string
 	for _, c := range s.table.Get(name).Progress.Crashes {
@@ -141,7 +141,7 @@
 	}
 }
 
-// wave asks for a wave of maintenance.
+// wave requests a wave of maintenance.
 func (s *script) wave(f []string) {
 	w := upkeep.Wave{Number: id.Wave(number(s.t, f[1])), Within: duration(s.t, f[2]), Most: number(s.t, f[3])}
 	for _, m := range f[4:] {
@@ -151,7 +151,7 @@
 	s.d.SetWave(s.now, s.now.Add(s.ahead), w)
 }
 
-// evacuate evacuates some failure domains and opens all others.
+// evacuate evacuates the named failure domains and opens all others.
 func (s *script) evacuate(names []string) {
 	s.evacuated = nil
 	for _, n := range names {
@@ -160,13 +160,13 @@
 	s.d.Evacuate(s.evacuated)
 }
 
-// addJob puts a job into the store and hands it to the dispatcher.
+// addJob writes a job to the store and adds it to the dispatcher.
 func (s *script) addJob(name id.Job, o opts) {
 	spec := s.writeSpec(name, o)
 	s.d.AddJob(s.now, name, &jobtable.Entry{Spec: &spec})
 }
 
-// writeSpec puts a job into the store.
+// writeSpec writes a job's spec to the store.
 func (s *script) writeSpec(name id.Job, o opts) job.Spec {
 	step := job.Step{
 		Count: o.number("count", 1), Need: job.Resources{CPU: 1000, Memory: unit.GiB, Accelerators: o.number("gpus", 1)},
@@ -210,7 +210,8 @@
 	s.d.Advised(s.now, res)
 }
 
-// renewed answers the last renewal of a worker, with the rows that the line holds.
+// renewed answers the last renewal of a worker with the report that the line
+// specifies.
 func (s *script) renewed(f []string) {
 	res := dispatch.RenewResult{Renew: s.renews[f[1]], Sent: s.sent[f[1]], Verdict: verdict(s.t, f[2])}
 	res.Report.Clock = fleet.Clock(time.Hour) + fleet.Clock(s.now-unit.At(time.Unix(1000, 0)))
--- a/core/dispatch/config.go
+++ b/core/dispatch/config.go
@@ -2,24 +2,27 @@
 
 import "time"
 
-// Config holds the bounds that the platform sets and how long ended jobs are kept.
+// Config holds the bounds that the platform sets and the retention time of
+// ended jobs.
 type Config struct {
 	// MaxLease is the longest lease that a worker grants.
 	MaxLease time.Duration
-	// MostWaits is how many renewals may wait for news at workers at a time, which the owner's connections and memory bound; 0 for
-	// any number.
+	// MostWaits is the maximum number of renewals that wait at workers for a
+	// report at a time; each takes up a connection and memory of the owner. 0
+	// means no limit.
 	MostWaits int
-	// StopTime is how long a worker may take to stop a task.
+	// StopTime is the longest time that a worker may take to stop a task.
 	StopTime time.Duration
-	// SaveEvery is how much of a task's run time passes between two checkpoints.
+	// SaveEvery is the run time of a task between two checkpoints.
 	SaveEvery time.Duration
-	// KeepEnded is how long the state of an ended job must be known.
+	// KeepEnded is how long the state of an ended job must be kept.
 	KeepEnded time.Duration
-	// Handover is how long a new owner orders no machine about after another one may have.
+	// Handover is how long a new owner sends no maintenance orders to machines
+	// after the previous owner may have sent one.
 	Handover time.Duration
 	// Away is how long a machine is down for its maintenance.
 	Away time.Duration
-	// Evacuation is how long after the operator has evacuated a failure domain a task may still start there; 0 where no operator
-	// does that.
+	// Evacuation is how long after the operator has evacuated a failure domain
+	// a task may still start there; 0 where operators don't evacuate.
 	Evacuation time.Duration
 }
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -12,116 +12,130 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Dispatcher is the owner's state. The zero value is not ready; call New.
+// Dispatcher is the owner's scheduling state. The zero value is not usable;
+// call New.
 type Dispatcher struct {
 	config Config
-	// policy says which mechanisms are on.
+	// policy tells which optional mechanisms are on.
 	policy policy.Policy
 	epoch  id.Epoch
 	table  *jobtable.Table
 
 	jobs map[id.Job]*jobState
-	// open holds the jobs without an outcome by id, so that walks are the same on every
-	// host; ended the others, until nobody needs to know them.
+	// open holds the jobs without an outcome, sorted by id so that every host
+	// iterates in the same order; ended holds the other jobs until their
+	// retention is over.
 	open, ended []*jobState
-	// expired is when ended was last looked through.
+	// expired is when ended was last searched for jobs to forget.
 	expired unit.Instant
 	workers map[id.Worker]*worker
-	// awaiting counts the renewals that wait for news at workers.
+	// awaiting counts the renewals that wait at workers for a report.
 	awaiting int
-	// order holds the workers by id, so that walks are the same on every host.
+	// order holds the workers sorted by id, so that every host iterates in the
+	// same order.
 	order []*worker
-	// guaranteed is how many accelerators each customer can always have.
+	// guaranteed is the number of accelerators guaranteed to each customer.
 	guaranteed map[id.Customer]int
-	// arrivals holds the rate of urgent work of each service.
+	// arrivals holds the arrival rate of urgent work for each service.
 	arrivals map[id.Service]*arrivals
 
 	// wall is the time of day at the last pass.
 	wall unit.Instant
-	// pools holds what this pass knows of the workers, by service; racks how empty each rack
-	// is.
+	// pools holds the usable workers of each service in this pass, racks the
+	// number of empty workers of each rack.
 	pools map[id.Service]*pool
 	racks map[rackName]*rackUse
-	// lifeEnds holds the crashes of workers of the last commonCause.
+	// lifeEnds holds the worker crashes within the last commonCause.
 	lifeEnds []*lifeEnd
-	// window bounds the starts under way.
+	// window bounds the number of start orders in flight.
 	window window
-	// inPlace counts the runs that take room.
+	// inPlace counts the runs that occupy room on workers.
 	inPlace int
-	// claims counts the gangs that room is kept for without stopping anybody.
+	// claims counts the gangs that have room reserved without a run being
+	// stopped for them.
 	claims int
-	// lastingWaits holds the services in which long-running tasks wait for room.
+	// lastingWaits holds the services in which long-running tasks wait for
+	// room.
 	lastingWaits map[id.Service]bool
 
-	// waves holds the waves of maintenance that are asked for.
+	// waves holds the requested waves of maintenance.
 	waves map[id.Wave]*wave
 	// began is when this owner's first pass was; 0 before.
 	began unit.Instant
 	// advice is the state of the questions to the advice service.
-	advice consultation
+	advice adviceState
 
 	orders Orders
 	notes  []Note
-	// starts are placed runs whose orders wait for the next batch.
+	// starts are the placed runs whose start orders wait for the next batch.
 	starts []*run
-	// changed lists the jobs whose record is older than their state.
+	// changed lists the jobs whose records in the store are older than their
+	// state.
 	changed []*jobState
 	forget  []id.Job
-	// acks is set if some worker's ends were noted since the last batch.
+	// acks is set if ends reported by workers were taken in since the last
+	// batch.
 	acks   bool
 	fenced bool
-	// raise is the last one that was given to a worker's fence; it never falls.
+	// raise is the last one that was assigned to a worker's fence; it never
+	// decreases.
 	raise id.Raise
-	// assured is as of when it is known that nobody else was the owner; 0 if nobody tells, as in a model that has no
-	// other host: leases are granted then.
+	// assured is the latest time as of which no other host was the owner; 0 if
+	// nothing reports that, as in a model without other hosts: leases are
+	// granted then.
 	assured unit.Instant
-	// withholds is set while leases aren't extended because of that.
-	withholds bool
-	// evacuated holds the failure domains where nothing may start, as of informed; 0 if nothing is known yet.
+	// leasesWithheld is set while leases aren't extended because assured is too
+	// old.
+	leasesWithheld bool
+	// evacuated holds the failure domains where nothing may start, as of
+	// informed; informed is 0 before anything is known.
 	evacuated []id.Domain
 	informed  unit.Instant
-	// uninformed is set while nothing starts because that is too long ago.
+	// uninformed is set while nothing starts because informed is too old.
 	uninformed bool
 }
 
-// New returns the dispatcher of an owner with the given epoch, that decides by the given policy.
-// The table encodes records and tells how far an earlier owner's waves are; it is not changed.
+// New returns the dispatcher of an owner with the given epoch and policy. The
+// table encodes records and has the waves of earlier owners; New doesn't change
+// it.
 func New(c Config, p policy.Policy, epoch id.Epoch, table *jobtable.Table) *Dispatcher {
 	return &Dispatcher{
 		config: c, policy: p, epoch: epoch, table: table,
 		jobs: map[id.Job]*jobState{}, workers: map[id.Worker]*worker{}, guaranteed: map[id.Customer]int{},
 		arrivals: map[id.Service]*arrivals{}, racks: map[rackName]*rackUse{}, waves: map[id.Wave]*wave{},
-		advice: consultation{yield: firstYield}, window: newWindow(),
+		advice: adviceState{yield: initialYield}, window: newWindow(),
 	}
 }
 
-// Assure notes as of when it is known that nobody else was the owner.
+// Assure records that no other host was the owner at a time.
 func (d *Dispatcher) Assure(at unit.Instant) { d.assured = max(d.assured, at) }
 
-// Fenced reports whether a worker has seen a later owner.
+// Fenced reports whether this owner must give way: a worker has seen a later
+// epoch, or the fence can't be raised any more.
 func (d *Dispatcher) Fenced() bool { return d.fenced }
 
-// InPlace returns how many runs take room on workers, as far as is known.
+// InPlace returns the number of runs that occupy room on workers, as far as is
+// known.
 func (d *Dispatcher) InPlace() int { return d.inPlace }
 
-// Take returns the orders that may leave at once.
+// Take returns the orders that may be sent at once.
 func (d *Dispatcher) Take() Orders {
 	o := d.orders
 	d.orders = Orders{}
 	return o
 }
 
-// Notes returns what was decided since the last call.
+// Notes returns the decisions made since the last call.
 func (d *Dispatcher) Notes() []Note {
 	n := d.notes
 	d.notes = nil
 	return n
 }
 
-// Guarantee sets how many accelerators a customer can always have.
+// Guarantee sets the number of accelerators guaranteed to a customer.
 func (d *Dispatcher) Guarantee(c id.Customer, accelerators int) { d.guaranteed[c] = accelerators }
 
-// List takes in a worker's entry in the platform's list.
+// List adds or updates a worker from its entry in the platform's list.
 func (d *Dispatcher) List(now unit.Instant, l fleet.Listing) {
 	w := d.worker(now, l.ID)
 	if !w.listed {
@@ -131,9 +145,9 @@
 		d.note(Note{Event: EventWorkerDraining, Worker: l.ID, Age: l.Remaining})
 	}
 	if l.Machine == "" {
-		l.Machine = w.Machine // it may be known from elsewhere
+		l.Machine = w.Machine // it may be known from the platform's list of machines
 	}
-	told := l.Clock
+	listedClock := l.Clock
 	if l.Clock > w.Clock {
 		w.clockAt = now
 	} else {
@@ -147,15 +161,15 @@
 	}
 	if l.Draining {
 		w.leaves, w.leavesAt = now.Add(l.Remaining), 0
-		if told > 0 {
-			w.leavesAt = told + fleet.Clock(l.Remaining)
+		if listedClock > 0 {
+			w.leavesAt = listedClock + fleet.Clock(l.Remaining)
 		}
 	}
 	d.contest(now, w)
 }
 
-// Unlist notes that the platform's list has dropped a worker. It may live on, cut off
-// from the platform's store.
+// Unlist records that the platform's list no longer contains a worker. The
+// worker may still run, cut off from the platform's store.
 func (d *Dispatcher) Unlist(_ unit.Instant, name id.Worker) {
 	w := d.workers[name]
 	if w == nil || !w.listed {
@@ -165,8 +179,8 @@
 	d.note(Note{Event: EventWorkerUnlisted, Worker: name})
 }
 
-// worker returns a worker by name. One that isn't known yet is taken to hold leases that
-// an earlier owner granted up to now.
+// worker returns a worker by name, adding it if it isn't known yet. A new one
+// is assumed to hold leases that an earlier owner granted up to now.
 func (d *Dispatcher) worker(now unit.Instant, name id.Worker) *worker {
 	w := d.workers[name]
 	if w != nil {
@@ -181,8 +195,8 @@
 	return w
 }
 
-// forgetGone drops the workers that are surely gone. Otherwise passes would cost by all lives that
-// the owner has ever known.
+// forgetGone drops the workers that are gone for certain. Without it the cost
+// of a pass would grow with every incarnation that the owner has ever known.
 func (d *Dispatcher) forgetGone(now unit.Instant) {
 	d.order = slices.DeleteFunc(d.order, func(w *worker) bool {
 		gone := w.gone(now, d.config.KeepEnded)
@@ -193,9 +207,9 @@
 	})
 }
 
-// gone reports whether a worker can be forgotten: the platform doesn't list it, nothing can run
-// there, and no end is left that it would tell again. Ends that it was never told of keep it for
-// as long as the jobs that ended.
+// gone reports whether a worker can be forgotten: the platform doesn't list it,
+// nothing can run there, and it has no end left to report again. A worker that
+// wasn't told to forget its ends is kept for as long as the jobs that ended.
 func (w *worker) gone(now unit.Instant, keepEnded time.Duration) bool {
 	if w.listed || w.holding || len(w.runs) > 0 || now <= w.lapse() {
 		return false
@@ -203,7 +217,7 @@
 	return w.replaced || w.told == w.seen || now > w.lapse().Add(keepEnded)
 }
 
-// mark notes that the job's record must be written again.
+// mark schedules the job's records to be written again.
 func (d *Dispatcher) mark(js *jobState) {
 	if !js.changed {
 		js.changed = true
--- a/core/dispatch/doc.go
+++ b/core/dispatch/doc.go
@@ -1,30 +1,42 @@
 // Package dispatch decides, as the owner, which task runs where.
 //
-// The Dispatcher is a state machine without I/O. Events tell it of jobs, workers and
-// answers; Flush returns records for the store together with orders that may leave
-// only when the records are there; Take returns orders that need no record. The rules:
+// The Dispatcher is a state machine without I/O. Events tell it about jobs,
+// workers and answers. Flush returns records for the store together with orders
+// that may be sent only once the records are there; Take returns orders that
+// need no record. The rules:
 //
-//   - A placement is in the store before the order to start leaves, so the next owner
-//     knows where a task may run.
+//   - A placement is in the store before its start order is sent, so that the
+//     next owner knows where a task may run.
 //   - An end is in the store before the worker is told that it may forget it.
-//   - A task is placed again only when its last run has surely ended: its worker said
-//     so, another life has answered in its place, or its lease has lapsed by the worst case
-//     of its clock. That the list drops a worker or shows two lives, or that connections
-//     fail, proves nothing.
+//   - A task is placed again only when its last run has ended for certain: its
+//     worker reported the end, another incarnation answered in the worker's
+//     place, or its lease has expired by the worst case of the worker's clock.
+//     That the list no longer contains a worker or shows two incarnations, or
+//     that connections fail, proves nothing.
 //   - The members of a gang are placed together and taken back together.
 //   - Nothing starts in a failure domain that the operator has evacuated.
 //
-// One package holds all of it, because all of it reads and changes one state in one goroutine; a file is a matter:
+// All of this is one package because it reads and changes one state in one
+// goroutine. Each file has one subject:
 //
-//   - The state: dispatcher, state (jobs, steps, runs, workers), runset, config; message is what goes in and out, note what is logged, check
-//     what must hold as an order leaves.
-//   - What workers say: answers takes in verdicts and reports, outcome the ends of runs, lives which life of a machine is the present one, inherit
-//     what a life takes over from the one before under its name, health who is kept away from for a while.
-//   - When a run is given up: pass (lapsed leases, orders that are repeated), lease, crash, crashcount
-//     and commoncause (what crashes of workers say of tasks), suspect
-//     (tasks that are started apart), stall (runs without progress), stop.
-//   - Where tasks go: candidate orders what waits, pool and room are what is free, place, gang and rack choose, preempt, claim and reserve free and keep
-//     room, loss is what a stop costs, window bounds the starts under way, flush writes a placement before its order.
-//   - Kinds of work: jobs (from acceptance to the end), lasting, permit and advice (steps that need leave), pace (tasks that disturb each other),
-//     upkeep and machine (machines that are taken down, and their lives), evacuation (failure domains where nothing may start).
+//   - The state: dispatcher, state (jobs, steps, runs, workers), runset and
+//     config. message has the inputs and outputs, note the log events, check the
+//     invariants that must hold when an order is sent.
+//   - Reports of workers: answers handles verdicts and reports, outcome the ends
+//     of runs. lives decides which incarnation of a machine is the present one,
+//     inherit what an incarnation takes over from the previous one under its
+//     name, health which workers get no new tasks for a while.
+//   - Giving up runs: pass (expired leases, repeated orders), lease, crash,
+//     crashcount and commoncause (whether tasks cause the crashes of their
+//     workers), suspect (tasks that are started apart from others), stall (runs
+//     without progress) and stop.
+//   - Placement: candidate sorts the waiting steps; pool and room compute what is
+//     free; place, gang and rack choose workers; preempt, claim and reserve free
+//     and reserve room; loss is the cost of a stop; window bounds the start
+//     orders in flight; flush writes a placement before its order.
+//   - Kinds of work: jobs (from acceptance to the end), lasting (long-running
+//     tasks), permit and advice (steps that need the permission of the advice
+//     service), pace (tasks that slow each other down), upkeep and machine
+//     (machines that are taken down for maintenance, and their incarnations),
+//     evacuation (failure domains where nothing may start).
 package dispatch
--- a/core/dispatch/fence.go
+++ b/core/dispatch/fence.go
@@ -5,12 +5,15 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// A worker may begin again under its name, and its next life takes orders that were meant for the one before, as long as it has seen no higher
-// fence. So the fence is raised with each life that becomes known, and with each renewal that is lost while an order to change something may be
-// on its way: the first renewal that the next life gets keeps it from carrying out any order that left before, and what it had carried out until
-// then is in its lists.
+// A worker may restart under its name, and its next incarnation carries out
+// orders that were meant for the previous one unless it has seen a higher
+// fence. The fence is therefore raised for each new incarnation, and for each
+// lost renewal while an order that changes something may still be in flight.
+// The first renewal that the next incarnation answers then makes it reject
+// every order sent before, and its report lists what it carried out until then.
 
-// raiseFence raises the fence under which orders to a worker leave. An owner that can't raise it any more gives way to the next epoch.
+// raiseFence raises the fence of orders to a worker. An owner that has used up
+// its raises gives way to the next epoch.
 func (d *Dispatcher) raiseFence(w *worker) {
 	if !fleet.TellsStart(w.ID) {
 		return
@@ -24,15 +27,19 @@
 	w.raise, w.exposed = d.raise, false
 }
 
-// raiseAfterLoss raises the fence after a renewal that got no answer, if an order that must not reach the next life may have left under the
-// present one. A raise for each lost renewal uses the owner's raises up within minutes while a large failure domain is out of reach.
+// raiseAfterLoss raises the fence after a renewal that got no answer, if an
+// order that must not reach the next incarnation may have been sent under the
+// present fence. Raising it for each lost renewal would use up the owner's
+// raises within minutes while a large failure domain is unreachable.
 func (d *Dispatcher) raiseAfterLoss(w *worker) {
 	if w.exposed {
 		d.raiseFence(w)
 	}
 }
 
-// raisedSince reports whether this owner has raised the fence at an order's addressee, or for another life under its name, after the order left.
+// raisedSince reports whether this owner has raised the fence of an order's
+// addressee, or of another incarnation under its name, after the order was
+// sent.
 func (d *Dispatcher) raisedSince(t Target) bool {
 	name := fleet.NameOf(t.Worker)
 	for _, w := range d.order {
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -13,19 +13,21 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// TestFenceOutlastsOutage guards against an owner that gives way because a failure domain is out of reach.
+// TestFenceOutlastsOutage guards against an owner that gives way because a
+// failure domain is unreachable.
 //
-// Symptom: while many workers can't be reached one owner after the other gives its ownership up, each after a few minutes, and placement stands
-// still meanwhile.
-// Cause: each lost renewal raised the fence, and an owner has a bounded number of raises.
-// Settled by: "owner-fenced" with "the fence can't be raised any more".
+// Failure: while many workers are unreachable, each owner in turn gives way
+// after a few minutes, logging owner-fenced with "the fence can't be raised any
+// more", and nothing is placed meanwhile. It came about because each lost
+// renewal raised the fence, and an owner has a bounded number of raises.
 func TestFenceOutlastsOutage(t *testing.T) {
 	for _, verdict := range []fleet.Verdict{fleet.Unreachable, fleet.Unknown} {
 		t.Run(verdict.String(), func(t *testing.T) { testFenceOutlastsOutage(t, verdict) })
 	}
 }
 
-// testFenceOutlastsOutage lets all orders to workers that are at work fail for ten minutes, with few raises left for each.
+// testFenceOutlastsOutage lets all orders to workers with runs fail for ten
+// minutes, with few raises left for each worker.
 func testFenceOutlastsOutage(t *testing.T, verdict fleet.Verdict) {
 	const workers, raisesEach, outage = 48, 12, 10 * time.Minute
 	c := Config{MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, SaveEvery: time.Second, KeepEnded: 2 * time.Minute}
@@ -51,7 +53,7 @@
 	}
 }
 
-// failingFleet answers a dispatcher's orders with one verdict.
+// failingFleet answers all orders of a dispatcher with one verdict.
 type failingFleet struct {
 	t       *testing.T
 	d       *Dispatcher
@@ -59,7 +61,7 @@
 	verdict fleet.Verdict
 }
 
-// run lets time pass. What is to be in the store is there at once.
+// run advances the time. Batches are in the store at once.
 func (f *failingFleet) run(lasts time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := f.now.Add(lasts); f.now < end; f.now = f.now.Add(step) {
@@ -76,7 +78,8 @@
 	}
 }
 
-// answer takes in what becomes of orders. A worker that carries out a renewal lists all that was placed there.
+// answer reports the verdict of orders. A worker that carries out a renewal
+// lists all that was placed there.
 func (f *failingFleet) answer(o Orders) {
 	for _, x := range o.Starts {
 		f.d.Started(f.now, StartResult{Start: x, Verdict: f.verdict})
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -8,8 +8,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Flush returns what has to be in the store before more can be done, or false if
-// there is nothing. The caller hands the batch to Committed once it is there.
+// Flush returns the batch that has to be in the store before more can be done,
+// or false if there is none. The caller passes the batch to Committed once it
+// is in the store.
 func (d *Dispatcher) Flush() (Batch, bool, error) {
 	var b Batch
 	for _, js := range d.changed {
@@ -39,11 +40,13 @@
 	return b, !b.Empty() || len(b.starts)+len(b.acks) > 0, nil
 }
 
-// Empty reports whether nothing of the batch has to be in the store.
+// Empty reports whether the batch has no records for the store.
 func (b *Batch) Empty() bool { return len(b.Jobs)+len(b.Progress) == 0 }
 
-// record adds the records of a job that has changed. What callers are told of it is written as it begins and as it ends. Its progress is dropped
-// once its outcome is in the store: with neither, the next owner would take it for a new job.
+// record adds the records of a job that has changed. The summary for callers is
+// written as the job begins and as it ends. The progress is dropped only once
+// the outcome is in the store: with neither there, the next owner would treat
+// the job as a new one.
 func (d *Dispatcher) record(b *Batch, js *jobState) error {
 	ended := js.progress.Outcome != job.Open
 	if ended && js.summary < summaryEnding || js.summary == summaryNone && js.progress.Began() {
@@ -73,7 +76,7 @@
 	return nil
 }
 
-// Committed takes in that a batch is in the store: its orders may leave.
+// Committed handles that a batch is in the store: its orders may be sent.
 func (d *Dispatcher) Committed(now unit.Instant, b Batch) {
 	for _, r := range b.starts {
 		if r.state == runOrdered {
@@ -94,19 +97,19 @@
 	}
 }
 
-// target returns where an order to a worker goes, under this owner's epoch.
+// target returns the target of an order to a worker, under this owner's epoch.
 func (d *Dispatcher) target(w *worker) Target {
 	return Target{Worker: w.ID, Address: w.Address, Fence: d.fence(w)}
 }
 
-// firstOrder sends the order of a run whose placement is in the store, unless that has
-// become wrong meanwhile.
+// firstOrder sends the first start order of a run whose placement is in the
+// store, or stops the run if the placement is no longer valid.
 func (d *Dispatcher) firstOrder(now unit.Instant, r *run) {
-	if r.leaving() {
-		d.stopRun(now, r, "its worker began to leave")
+	if r.workerDraining() {
+		d.stopRun(now, r, "its worker is draining")
 		return
 	}
-	if r.crowded() {
+	if r.workerOverfull() {
 		d.stopRun(now, r, noRoomLeft)
 		return
 	}
@@ -126,9 +129,9 @@
 		d.stopRun(now, r, "its permit has expired")
 		return
 	}
-	if what := d.checkStart(r); what != "" {
-		d.violated(now, r, what)
-		d.stopRun(now, r, what)
+	if violation := d.checkStart(r); violation != "" {
+		d.violated(now, r, violation)
+		d.stopRun(now, r, violation)
 		return
 	}
 	if r.apply(evCommitted) {
@@ -136,36 +139,41 @@
 	}
 }
 
-// noRoomLeft is why a run doesn't start on a worker that has become too small: one that doesn't guard its room would begin it past it.
+// noRoomLeft is why a run doesn't start on a worker whose capacity has shrunk:
+// a worker that doesn't check its capacity would start the run beyond it.
 const noRoomLeft = "its worker has less room now"
 
-// leaving reports whether the worker of a run, or of a member of its gang, leaves.
-func (r *run) leaving() bool {
+// workerDraining reports whether the worker of a run, or of a member of its
+// gang, is draining.
+func (r *run) workerDraining() bool {
 	return r.anyWorker(func(w *worker) bool { return w.Draining })
 }
 
-// crowded reports the same of a worker on which more runs than it has room for.
-func (r *run) crowded() bool { return r.anyWorker((*worker).overfull) }
+// workerOverfull reports whether the worker of a run, or of a member of its
+// gang, has more runs than it has room for.
+func (r *run) workerOverfull() bool { return r.anyWorker((*worker).overfull) }
 
-// anyWorker reports whether something is so of the worker of a run, or of a member of its gang.
-func (r *run) anyWorker(so func(*worker) bool) bool {
-	return r.anyMember(func(m *run) bool { return so(m.worker) })
+// anyWorker reports whether a predicate holds for the worker of a run, or of a
+// member of its gang.
+func (r *run) anyWorker(holds func(*worker) bool) bool {
+	return r.anyMember(func(m *run) bool { return holds(m.worker) })
 }
 
-// anyMember reports whether something is so of a run, or of a member of its gang.
-func (r *run) anyMember(so func(*run) bool) bool {
+// anyMember reports whether a predicate holds for a run, or for a member of its
+// gang.
+func (r *run) anyMember(holds func(*run) bool) bool {
 	if r.step == nil || !r.step.step.Gang {
-		return so(r)
+		return holds(r)
 	}
 	for _, m := range r.step.runs {
-		if so(m) {
+		if holds(m) {
 			return true
 		}
 	}
 	return false
 }
 
-// orderStart sends an order to start, for the first time or again.
+// orderStart sends a start order, for the first time or again.
 func (d *Dispatcher) orderStart(now unit.Instant, r *run) {
 	if r.since == 0 {
 		r.since = now
@@ -181,13 +189,14 @@
 	})
 }
 
-// orderStop sends an order to stop, for the first time or again.
+// orderStop sends a stop order, for the first time or again.
 func (d *Dispatcher) orderStop(now unit.Instant, r *run) {
 	r.stopAsked, r.inFlight = now, true
 	d.orders.Stops = append(d.orders.Stops, Stop{Target: d.target(r.worker), Task: r.task, Run: r.number})
 }
 
-// place decides that a task runs on a worker, and returns the run. The order leaves after the next batch.
+// place assigns a task to a worker and returns the run. The start order is sent
+// after the next batch.
 func (d *Dispatcher) place(s *stepState, index int, w *worker, number job.Run) *run {
 	js := s.job
 	if len(js.progress.Tasks) == 0 {
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -5,10 +5,12 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// A wave of maintenance names machines; which worker is the present life of one is told by the list, by the platform's list of machines, or by
-// nobody for a while.
+// A wave of maintenance names machines. Which worker is the present incarnation
+// of a machine is learned from the list of workers or from the platform's list
+// of machines, and may be unknown for a while.
 
-// MachinesWanted reports whether a wave has machines of which no present life is known.
+// MachinesWanted reports whether a wave includes machines whose present
+// incarnation isn't known.
 func (d *Dispatcher) MachinesWanted() bool {
 	for _, x := range d.waves {
 		for _, m := range x.plan.Open() {
@@ -20,8 +22,8 @@
 	return false
 }
 
-// SetLives takes in which workers are the present lives of machines, for workers whose
-// entry in the list names none.
+// SetLives sets which workers are the present incarnations of machines, for
+// workers whose entry in the list names no machine.
 func (d *Dispatcher) SetLives(now unit.Instant, lives []Life) {
 	for _, l := range lives {
 		w := d.listedUnder(l.Worker)
@@ -34,7 +36,8 @@
 	}
 }
 
-// listedUnder returns the life that the platform's list shows under a name, or nil.
+// listedUnder returns the incarnation under a name that the platform's list
+// has, or nil.
 func (d *Dispatcher) listedUnder(name id.WorkerName) *worker {
 	for _, w := range d.order {
 		if w.name == name && w.listed {
@@ -44,9 +47,10 @@
 	return nil
 }
 
-// lifeOn returns the worker that is the present life of a machine, or nil: of those that are listed the one
-// that answered last. The entry of an earlier life may stand beside it. A life that doesn't answer any more, and
-// has no rival, is the present one too.
+// lifeOn returns the worker that is the present incarnation of a machine, or
+// nil. Of the listed ones it is the one that answered last, since the list may
+// still have the entry of an earlier incarnation. One that has answered but no
+// longer does is the present one too, if it has no rival.
 func (d *Dispatcher) lifeOn(m id.Machine) *worker {
 	var present *worker
 	for _, w := range d.order {
@@ -58,8 +62,9 @@
 	return present
 }
 
-// unconfirmLives makes the lives of a machine that was taken down be asked anew: one that answers now is its next life,
-// or its maintenance was done before. An entry in the list proves nothing.
+// unconfirmLives requests new answers from the incarnations of a machine that
+// was taken down: one that answers now is the next incarnation, or the
+// maintenance was done before. An entry in the list proves nothing.
 func (d *Dispatcher) unconfirmLives(now unit.Instant, m id.Machine) {
 	for _, w := range d.order {
 		if w.Machine == m {
@@ -68,7 +73,8 @@
 	}
 }
 
-// back takes in that a worker has answered: its machine is back if the renewal left after the machine was taken down.
+// back handles an answer of a worker: its machine is back if the renewal was
+// sent after the machine was taken down.
 func (d *Dispatcher) back(w *worker) {
 	if w.Machine == "" || !w.confirmed() {
 		return
--- a/core/dispatch/message.go
+++ b/core/dispatch/message.go
@@ -10,7 +10,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Target is the life of a worker that an order is meant for.
+// Target is the incarnation of a worker that an order is meant for.
 type Target struct {
 	Worker  id.Worker
 	Address string
@@ -26,15 +26,16 @@
 	Run        job.Run
 	Text       string
 	Checkpoint string
-	// Ticket is the permit of the advice service; empty where none is needed.
+	// Ticket is the permit of the advice service; empty if none is needed.
 	Ticket string
-	// Until is when the lease of all that runs on the worker ends, by its clock.
+	// Until is when the lease of all runs on the worker ends, by its clock.
 	Until fleet.Clock
-	// Unsure is set if an earlier order to start the run may have been carried out.
+	// Unsure is set if an earlier copy of the start order may have been carried
+	// out.
 	Unsure bool
 }
 
-// StartResult is what became of a Start.
+// StartResult is the result of a Start.
 type StartResult struct {
 	Start   Start
 	Verdict fleet.Verdict
@@ -48,14 +49,14 @@
 	Run  job.Run
 }
 
-// StopResult is what became of a Stop.
+// StopResult is the result of a Stop.
 type StopResult struct {
 	Stop    Stop
 	Verdict fleet.Verdict
 	Clock   fleet.Clock
 }
 
-// Pace sets the share of its full speed, in percent, at which a run works.
+// Pace orders a worker to set the speed of a run, in percent of its full speed.
 type Pace struct {
 	Target
 	Task    job.Task
@@ -63,88 +64,94 @@
 	Percent int
 }
 
-// PaceResult is what became of a Pace.
+// PaceResult is the result of a Pace.
 type PaceResult struct {
 	Pace    Pace
 	Verdict fleet.Verdict
 	Clock   fleet.Clock
 }
 
-// Renew renews the lease of all that runs on a worker and asks what runs there.
+// Renew renews the lease of all runs on a worker and asks for a report of them.
 type Renew struct {
 	Target
-	// Until is 0 if the lease is to be left as it is.
+	// Until is the new end of the lease, by the worker's clock; 0 leaves the
+	// lease unchanged.
 	Until fleet.Clock
-	// Told is the last end that the worker may forget.
+	// Told is the sequence number of the last end that the worker may forget.
 	Told uint64
-	// Wait is how long the worker may wait with its answer for an end.
+	// Wait is how long the worker may delay its answer until a run ends.
 	Wait time.Duration
 }
 
-// RenewResult is what became of a Renew.
+// RenewResult is the result of a Renew.
 type RenewResult struct {
 	Renew Renew
-	// Sent is when the order left.
+	// Sent is when the order was sent.
 	Sent    unit.Instant
 	Verdict fleet.Verdict
 	Report  fleet.Report
 }
 
-// Ask is a question to the advice service: on which of the workers a step may run.
+// Ask is a question to the advice service: on which of the workers may a step
+// run?
 type Ask struct {
 	Step    job.StepID
 	Workers []id.Worker
-	// Adviser is the number of the host that asks, from 0.
+	// Adviser is the index of the host that asks, from 0.
 	Adviser int
-	// Takes is how long the service needs for its answer.
+	// Takes is how long the service needs to answer.
 	Takes time.Duration
 }
 
-// Permit is the advice service's leave to run a step on one life of a worker.
+// Permit is the advice service's permission to run a step on one incarnation of
+// a worker.
 type Permit struct {
 	Worker id.Worker
 	Ticket string
 }
 
-// AskResult is what became of an Ask. Workers that were asked about and have no permit
-// may not run the step.
+// AskResult is the result of an Ask. Workers that were asked about and have no
+// permit may not run the step.
 type AskResult struct {
 	Ask     Ask
 	Verdict fleet.Verdict
 	Permits []Permit
-	// Valid is how long the permits hold from the answer on, Sent when the question
-	// left.
+	// Valid is how long the permits are valid from the answer on, Sent when the
+	// question was sent.
 	Valid time.Duration
 	Sent  unit.Instant
 }
 
-// Upkeep orders a machine to be taken down for its maintenance. All that runs there dies.
+// Upkeep orders a machine to be taken down for its maintenance. Everything that
+// runs there is killed.
 type Upkeep struct {
 	Machine id.Machine
 	Wave    id.Wave
 	Epoch   id.Epoch
 }
 
-// UpkeepResult is what became of an Upkeep. Stale means that the machine isn't of the wave,
-// Invalid that there is no such machine, and Busy that it can't go down now.
+// UpkeepResult is the result of an Upkeep. Stale means that the machine isn't
+// part of the wave, Invalid that there is no such machine, and Busy that it
+// can't be taken down now.
 type UpkeepResult struct {
 	Upkeep  Upkeep
 	Verdict fleet.Verdict
 }
 
-// Life says under which name the present life of a machine was begun.
+// Life is the name under which the present incarnation of a machine began.
 type Life struct {
 	Machine id.Machine
 	Worker  id.WorkerName
 }
 
-// WaveReport says how far a wave is, for the operator.
+// WaveReport reports the state of a wave to the operator.
 type WaveReport struct {
 	Wave     id.Wave
 	Finished bool
 }
 
-// Orders are orders to workers and machines, questions to the advice service, and reports.
+// Orders are orders to workers and machines, questions to the advice service,
+// and reports to the operator.
 type Orders struct {
 	Starts []Start
 	Stops  []Stop
@@ -156,9 +163,11 @@
 	Reports []WaveReport
 }
 
-// Batch is a set of records for the store, and what waits for them.
+// Batch is a set of records for the store, and what may happen once they are
+// there.
 type Batch struct {
-	// Jobs goes to the log that every host follows, Progress to the progress log. Neither waits for the other.
+	// Jobs goes to the log that every host follows, Progress to the progress
+	// log. Neither waits for the other.
 	Jobs, Progress []jobtable.Record
 	starts         []*run
 	acks           []ack
@@ -166,11 +175,11 @@
 	ended []*jobState
 }
 
-// ack is an end that a worker may forget once the batch is in the store.
+// ack is a worker's last end that it may forget once the batch is in the store.
 type ack struct {
 	worker *worker
 	seen   uint64
 }
 
-// scale returns by times t.
-func scale(t time.Duration, by float64) time.Duration { return time.Duration(float64(t) * by) }
+// scale returns t multiplied by a factor.
+func scale(t time.Duration, factor float64) time.Duration { return time.Duration(float64(t) * factor) }
--- a/core/dispatch/orders_test.go
+++ b/core/dispatch/orders_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// collect turns orders into lines.
+// collect formats the orders as lines.
 func (s *script) collect() {
 	o := s.d.Take()
 	for _, x := range o.Starts {
--- a/core/dispatch/owners_test.go
+++ b/core/dispatch/owners_test.go
@@ -6,11 +6,13 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// TestGangAcrossOwners plays the scripts of testdata/owners.
+// TestGangAcrossOwners runs the scripts in testdata/owners.
 //
-// One run of a gang of two used up both attempts of its job. A member had failed and was counted; the owner changed; the
-// next one learned that the other member had failed in the same run ("task-ended", "failed", twice for run 1) and
-// counted that too, since no record tells of which run the failures were.
+// It guards against a gang of two that uses up both attempts of its job in one
+// run. A member failed and was counted, then the owner changed. The next owner
+// learned that the other member had failed in the same run (task-ended,
+// "failed", twice for run 1) and counted that too, since no record told which
+// run the failures belonged to.
 func TestGangAcrossOwners(t *testing.T) {
 	scripttest.EachIn(t, "owners", func(t *testing.T, text string) { newScript(t).run(text) })
 }
--- a/core/dispatch/runset.go
+++ b/core/dispatch/runset.go
@@ -7,12 +7,13 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// runSet holds the runs of one worker in the order of their tasks, at most one of each task, so
-// that walks are the same on every host. A worker has a few dozen at most. The zero value is
-// empty.
+// runSet holds the runs of one worker sorted by task, at most one for each
+// task, so that every host iterates in the same order. A worker has a few dozen
+// at most. The zero value is empty.
 type runSet []*run
 
-// find returns the position of a task's run, or where it would be, and whether it is there.
+// find returns the index of a task's run and true, or the index at which to
+// insert it and false.
 func (s runSet) find(t job.Task) (int, bool) {
 	return slices.BinarySearchFunc(s, t, func(r *run, t job.Task) int { return compareTasks(r.task, t) })
 }
@@ -26,7 +27,7 @@
 	return s[at]
 }
 
-// put adds a run in place of the one of the same task.
+// put adds a run, replacing the one of the same task.
 func (s *runSet) put(r *run) {
 	at, ok := s.find(r.task)
 	if ok {
@@ -36,7 +37,7 @@
 	*s = slices.Insert(*s, at, r)
 }
 
-// remove takes the run of a task out, if there is one.
+// remove removes the run of a task, if there is one.
 func (s *runSet) remove(t job.Task) {
 	if at, ok := s.find(t); ok {
 		*s = slices.Delete(*s, at, at+1)
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -11,10 +11,10 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// runState is how far a run is; the chart run.chart has the transitions.
+// runState is the state of a run; run.chart defines the transitions.
 type runState string
 
-// runEvent is what happens to a run.
+// runEvent is an event that may change the state of a run.
 type runEvent string
 
 const (
@@ -32,44 +32,48 @@
 	evLost      runEvent = "lost"
 )
 
-// runChart has the transitions of a run.
+// runChart is the state machine of a run.
 var runChart = chart.MustParse[runState, runEvent]("run.chart", charts.Read("run"))
 
-// jobState is one open job.
+// jobState is the owner's state of one job.
 type jobState struct {
 	id        id.Job
 	spec      *job.Spec
 	progress  job.Progress
 	cancelled bool
-	// steps are ordered by round and step.
+	// steps are sorted by round and step.
 	steps []*stepState
-	// changed is set while the store's records are older than progress.
+	// changed is set while the records in the store are older than progress.
 	changed bool
-	// summary is what callers are told of the job. hasProgress is set while the progress log has the job, or is about to.
+	// summary is the phase of the summary that callers read. hasProgress is set
+	// while the progress log has a record of the job, or one is being written.
 	summary     summaryPhase
 	hasProgress bool
 	// open counts the steps that are not done.
 	open int
 	// seen is when this owner learned of the job.
 	seen unit.Instant
-	// blamed holds the workers on which a run of the job failed at once.
+	// blamed holds the workers on which a run of the job failed right after its
+	// start.
 	blamed []id.Worker
-	// atRisk is set once it was noted that the customer's guarantee doesn't hold.
+	// atRisk is set once a note says that the customer's guarantee can't be met
+	// for the job.
 	atRisk bool
 }
 
-// summaryPhase is how far the summary of a job is.
+// summaryPhase is the phase of the summary record of a job.
 type summaryPhase int
 
-// The phases of a summary, each later than those before.
+// The phases of a summary, in order.
 const (
-	// summaryNone: none was written, since no task was placed.
+	// summaryNone: no summary was written, since no task was placed.
 	summaryNone summaryPhase = iota
-	// summaryBegun: one is in the store, or on its way, that tells that the job has begun.
+	// summaryBegun: a summary without an outcome is in the store or being
+	// written.
 	summaryBegun
-	// summaryEnding: one with the outcome is on its way.
+	// summaryEnding: a summary with the outcome is being written.
 	summaryEnding
-	// summaryEnded: one with the outcome is in the store.
+	// summaryEnded: a summary with the outcome is in the store.
 	summaryEnded
 )
 
@@ -79,91 +83,104 @@
 	round int
 	index int
 	step  *job.Step
-	// base is the position of the step's first task in the job's progress.
+	// base is the index of the step's first task in the job's progress.
 	base int
-	// done counts the step's tasks that are done; counted is set once the job's
-	// open steps were lowered for it.
+	// done counts the tasks that are done. counted is set once the job's count
+	// of open steps was decremented for the step.
 	done    int
 	counted bool
 	// failedRun is the last run of the gang that was counted as failed.
 	failedRun job.Run
-	// runs holds the runs of the step's tasks that take room, by task index.
+	// runs holds the runs of the step's tasks that occupy room on workers, by
+	// task index.
 	runs map[int]*run
-	// waitingSince is when the step's tasks first found no room; 0 if they have
-	// found it or were not tried.
+	// waitingSince is when no room was first found for the step's tasks; 0 if
+	// there was room or none was sought.
 	waitingSince unit.Instant
-	// claim is the room that is kept for the step's gang.
+	// claim is the room that is reserved for the waiting tasks of the step.
 	claim *claim
-	// triedFewer is when room for fewer than all waiting tasks was last sought.
+	// triedFewer is when room for only a part of the waiting tasks was last
+	// sought.
 	triedFewer unit.Instant
-	// failures holds the newest failure of each task, by its index; that of a gang is
-	// under 0.
+	// failures holds the latest failure of each task by its index, and that of
+	// a gang under 0.
 	failures map[int]failure
-	// showsProgress is set once a run of the step has shown some.
+	// showsProgress is set once a run of the step has reported progress.
 	showsProgress bool
-	// stalls counts the runs of each task that were stopped because they made no progress, by the same.
+	// stalls counts the runs of each task that were stopped because they made
+	// no progress, with the same keys as failures.
 	stalls map[int]int
-	// excused counts the crashes soon after their starts that this owner has excused, by task index.
+	// excused counts the crashes soon after a start that this owner didn't hold
+	// against a task, by task index.
 	excused map[int]int
-	// permits holds what the advice service said of each worker.
+	// permits holds the answer of the advice service for each worker.
 	permits map[id.Worker]permit
-	// asking is set while a question for the step is under way.
+	// asking is set while a question to the advice service about the step is in
+	// flight.
 	asking bool
 }
 
-// run is one run of a task that takes a worker's room.
+// run is one run of a task that occupies room on a worker.
 type run struct {
 	task   job.Task
 	number job.Run
 	state  runState
 	worker *worker
 	need   job.Resources
-	// shield is the room beside the run that is kept empty: what its worker had free when a suspect was placed there.
+	// shield is room beside the run that is kept empty: what was free on its
+	// worker when a task suspected of crashing workers was placed there.
 	shield job.Resources
-	// step is nil if the job is not known any more; such a run is stopped.
+	// step is nil if the job is no longer known; such a run is stopped.
 	step *stepState
-	// since is when the order was first sent, or when the run was first seen.
+	// since is when the start order was first sent, or when this owner first
+	// learned of the run.
 	since unit.Instant
-	// started is when the worker confirmed it, 0 before.
+	// started is when the worker confirmed the start; 0 before.
 	started    unit.Instant
 	checkpoint string
 	percent    int
-	// reported is when the worker told these, advanced when percent was last seen to grow.
+	// reported is when the worker last reported checkpoint and percent,
+	// advanced when percent last increased.
 	reported, advanced unit.Instant
-	// load is the worker's figure of the run: a serving task's tail latency in
-	// milliseconds, another one's processor time in use.
+	// load is the worker's load figure of the run: the tail latency of a
+	// serving task in milliseconds, the processor time in use of any other.
 	load int64
-	// slowed is how many percent of its full speed the run was last ordered to leave
-	// to others; 0 if it works at full speed.
+	// slowed is the share of its full speed, in percent, that the run was last
+	// ordered to give up to others; 0 at full speed.
 	slowed int
-	// stopAsked is when the last order to stop was sent, stopDone whether it was
-	// answered.
+	// stopAsked is when the last stop order was sent, stopDone when the worker
+	// first confirmed one.
 	stopAsked unit.Instant
 	stopDone  unit.Instant
-	// missed is when an answer came that told nothing of the run; 0 if the newest one told of it.
+	// missed is when the worker's report first didn't list the run; 0 if the
+	// latest report lists it.
 	missed unit.Instant
-	// asked is when the last order to start was sent, orders how many were.
+	// asked is when the last start order was sent, orders how many were sent.
 	asked  unit.Instant
 	orders int
-	// startLapse is when the lease of an order to start that is under way has surely run out; 0 if none is. strayLapse is the same for
-	// orders without an answer that the next life under the worker's name may carry out.
+	// startLapse is when the lease of a start order in flight has expired for
+	// certain; 0 if none is in flight. strayLapse is the same for unanswered
+	// start orders that the next incarnation under the worker's name may still
+	// carry out.
 	startLapse, strayLapse unit.Instant
 	// inFlight is set while an order for the run has no verdict.
 	inFlight bool
-	// unanswered is set once an order to start has got no answer: it may be carried
-	// out seconds later.
+	// unanswered is set once a start order has got no answer: the worker may
+	// carry it out seconds later.
 	unanswered bool
-	// resumed is set for a run that an earlier owner ordered: when it began isn't known.
+	// resumed is set for a run that an earlier owner ordered; its start time
+	// isn't known.
 	resumed bool
-	// inherited is the life that the run was placed on while it isn't known whether its worker's, the next one under the
-	// name, has it; else empty.
+	// inherited is the incarnation that the run was placed on, while it isn't
+	// known whether the next incarnation under the name has the run; else
+	// empty.
 	inherited id.Worker
-	// why says for logs what the run is stopped for.
+	// why is the reason, for the log, why the run is stopped.
 	why string
 }
 
-// apply moves the run along its chart. An event that its state doesn't allow changes
-// nothing and is reported as false.
+// apply applies an event to the run's state machine. It reports false and
+// changes nothing if the state doesn't allow the event.
 func (r *run) apply(ev runEvent) bool {
 	to, err := runChart.Next(r.state, ev)
 	if err != nil {
@@ -173,88 +190,107 @@
 	return true
 }
 
-// worker is one life of a worker. What is known of its answers, from the weakest on: answered says that it said anything,
-// synced that it told what runs there, confirmed that it did so since another life was known beside it, heard that it
-// answered lately, so that orders may extend its lease.
+// worker is one incarnation of a worker. Four terms say what is known of its
+// answers, from the weakest on: answered, it sent any answer; synced, it
+// reported its runs; confirmed, it did so after a rival incarnation became
+// known; heard, it answered recently enough for orders to extend its lease.
 type worker struct {
 	fleet.Listing
-	// name is the one under which this life was begun. Others may have been begun under it.
+	// name is the name that this incarnation began under. Other incarnations
+	// may have begun under it as well.
 	name id.WorkerName
-	// pool and rackUse are what the worker counts in during this pass; nil if new tasks may
-	// not go to it.
+	// pool and rackUse are the counts of the current pass that include the
+	// worker; nil if new tasks may not be placed on it.
 	pool    *pool
 	rackUse *rackUse
-	// held is set while the worker's machine is to go down for maintenance, evacuated while the operator has evacuated its
-	// failure domain.
+	// held is set while the worker's machine is about to go down for
+	// maintenance, evacuated while its failure domain is evacuated.
 	held, evacuated bool
-	// raise is that of the fence of orders to the worker; it never falls. exposed is set once an order to start, a lease or news of ends may have
-	// left under it.
+	// raise is that of the fence of orders to the worker; it never decreases.
+	// exposed is set once an order that starts a run, grants a lease or lets
+	// the worker forget ends may have been sent under it.
 	raise   id.Raise
 	exposed bool
-	// since is when this owner first knew of the worker.
+	// since is when this owner learned of the worker.
 	since unit.Instant
-	// listed is set while the platform's list has the worker.
+	// listed is set while the platform's list contains the worker.
 	listed bool
-	// leaves is when a draining worker may be gone, leavesAt what its clock shows then at least; 0 if its entry tells no clock.
+	// leaves is when a draining worker may be gone; leavesAt is the least
+	// reading of the worker's own clock at that time, or 0 if its entry has no
+	// clock.
 	leaves   unit.Instant
 	leavesAt fleet.Clock
-	// used is what runs take of the capacity, reserved what claims do.
+	// used is the part of the capacity that runs take, reserved the part that
+	// claims take.
 	used, reserved job.Resources
 	runs           runSet
-	// clockAt is when the worker's clock showed Clock at the earliest.
+	// clockAt is the earliest time at which the worker's clock can have shown
+	// Clock.
 	clockAt unit.Instant
-	// answered is when its last answer came, firstAsked when this owner's first renewal left; 0 for never.
+	// answered is when its last answer arrived, firstAsked when this owner's
+	// first renewal was sent; 0 for never.
 	answered, firstAsked unit.Instant
-	// seen is the last end that was noted, durable the last one whose note is in
-	// the store, told the last one that the worker may forget.
+	// seen is the sequence number of the last end that was taken in, durable
+	// that of the last end whose record is in the store, told that of the last
+	// end that the worker was told to forget.
 	seen, durable, told uint64
-	// pacedAt is when the runs that use what others leave were last slowed down or up.
+	// pacedAt is when the speed of the runs that use spare capacity was last
+	// changed.
 	pacedAt unit.Instant
-	// synced is when a renewal was sent that the worker answered, under the
-	// present epoch; 0 before the first. toldClock is what its clock showed in the answer,
-	// 0 if that told none.
+	// synced is when the latest renewal was sent that the worker answered under
+	// the present epoch; 0 before the first. toldClock is the worker's clock in
+	// that answer, 0 if it had none.
 	synced    unit.Instant
 	toldClock fleet.Clock
-	// askedAgain is when it was last wanted that the worker answers anew; answers to renewals that had left don't count.
+	// askedAgain is when a new answer was last requested; answers to renewals
+	// that were sent before don't count.
 	askedAgain unit.Instant
-	// holding is set while a renewal is on its way, waits if that one waits for news; nextHold is when the next
-	// one is due.
+	// holding is set while a renewal is in flight, waits if that renewal waits
+	// at the worker for a report. nextHold is when the next renewal is due.
 	holding  bool
 	waits    bool
 	nextHold unit.Instant
-	// askedInVain is set if the last renewal that has ended got no answer, and ended in time. This host may have stood still while one
-	// was under way that ended later.
+	// askedInVain is set if the last completed renewal got no answer and its
+	// failure was handled in time. One that is handled late proves nothing:
+	// this host may have been frozen meanwhile.
 	askedInVain bool
-	// lostAt is when the first renewal since its last answer had got none; 0 if none has.
+	// lostAt is when a renewal first got no answer after the worker's last
+	// answer; 0 if none did.
 	lostAt unit.Instant
-	// lastUnanswered is set if the last renewal got no answer. The next one doesn't wait for news, so that
-	// its loss shows 2 s earlier.
+	// lastUnanswered is set if the last renewal got no answer. The next one
+	// doesn't wait for a report, so that its loss is noticed 2 s earlier.
 	lastUnanswered bool
-	// strays holds the orders to start runs that are over, of which a copy got no answer lately; toldStray is when the last renewal
-	// left that told of ends and got no answer, 0 for never. The next life under the name may take them. strayUntil is when every
-	// lease has surely run out there that an order without an answer may bring.
+	// strays holds the start orders of runs that are over, of which a copy
+	// recently got no answer. toldStray is when the last unanswered renewal was
+	// sent that told the worker to forget ends; 0 for never. The next
+	// incarnation under the name may carry out either. strayUntil is when every
+	// lease has expired there for certain that an unanswered order may grant.
 	strays                []strayStart
 	toldStray, strayUntil unit.Instant
-	// pausedUntil keeps new tasks away, since pausedAt.
+	// pausedUntil is until when the worker gets no new tasks, pausedAt when
+	// that was decided.
 	pausedAt, pausedUntil unit.Instant
-	// contested is when another life at the worker's address or of its machine was last listed; 0 if there
-	// is no such life. replaced is set once another life has answered in its place, until it is listed again.
+	// contested is when a rival incarnation, at the worker's address or of its
+	// machine, was last listed; 0 if there is none. replaced is set once a
+	// rival has answered in the worker's place, until the worker is listed
+	// again.
 	contested unit.Instant
 	replaced  bool
-	// grantedUntil is when every lease that may have been granted has surely run out, renewalLapse the same for the
-	// renewal under way; 0 if that grants none.
+	// grantedUntil is when every lease that may have been granted has expired
+	// for certain, renewalLapse the same for the renewal in flight; 0 if that
+	// grants none.
 	grantedUntil, renewalLapse unit.Instant
-	// streak counts failed ends of different jobs since the last success; lastFailed
-	// is the job of the newest one.
+	// streak counts the failed runs of different jobs since the last success;
+	// lastFailed is the job of the latest one.
 	streak     int
 	lastFailed id.Job
 }
 
-// sorted returns a copy of the worker's runs, for walks that change them.
+// sorted returns a copy of the worker's runs, for loops that change the set.
 func (w *worker) sorted() runSet { return slices.Clone(w.runs) }
 
-// together returns the states of the tasks that start and end with the one at index: its
-// whole gang, or itself alone. The job must have progress.
+// together returns the states of the tasks that start and end together with the
+// one at index: its whole gang, or the task alone. The job must have progress.
 func (s *stepState) together(index int) []job.TaskState {
 	tasks := s.job.progress.Tasks[s.base : s.base+s.step.Count]
 	if s.step.Gang {
@@ -263,7 +299,7 @@
 	return tasks[index : index+1]
 }
 
-// busy reports whether some run of the job still takes room.
+// busy reports whether a run of the job still occupies room.
 func (js *jobState) busy() bool {
 	for _, s := range js.steps {
 		if len(s.runs) > 0 {
@@ -281,7 +317,8 @@
 	return js.steps[t.Round*len(js.spec.Steps)+t.Step]
 }
 
-// stepOfTask returns the step of a task, or nil if there is no such task of a known job.
+// stepOfTask returns the step of a task, or nil if the job isn't known or has
+// no such task.
 func (d *Dispatcher) stepOfTask(t job.Task) *stepState {
 	js := d.jobs[t.Job]
 	if js == nil {
@@ -290,7 +327,7 @@
 	return js.stepOf(t)
 }
 
-// task returns the name of the step's task at an index.
+// task returns the name of the step's task with the given index.
 func (s *stepState) task(i int) job.Task {
 	return job.Task{Job: s.job.id, Round: s.round, Step: s.index, Index: i}
 }
--- a/core/dispatch/stop.go
+++ b/core/dispatch/stop.go
@@ -6,7 +6,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// CancelJob ends a job for good. What runs of it is stopped.
+// CancelJob cancels a job and stops its runs.
 func (d *Dispatcher) CancelJob(now unit.Instant, name id.Job) {
 	js := d.jobs[name]
 	if js == nil || js.cancelled || js.progress.Outcome != job.Open {
@@ -16,7 +16,7 @@
 	d.finish(now, js, job.Cancelled, "cancelled")
 }
 
-// finish sets the outcome of an open job and stops what still runs.
+// finish sets the outcome of an open job and stops the runs that are left.
 func (d *Dispatcher) finish(now unit.Instant, js *jobState, o job.Outcome, why string) {
 	if js.progress.Outcome != job.Open {
 		return
@@ -27,8 +27,8 @@
 		s.dropClaim()
 	}
 	if o != job.Completed {
-		// What still runs of a completed job is a gang that has ended as a whole;
-		// its workers list the other members' ends by themselves.
+		// The runs left of a completed job belong to a gang that has ended as a
+		// whole; its workers list the other members' ends without a stop.
 		d.stopAll(now, js, why)
 	}
 	if !js.busy() {
@@ -54,7 +54,8 @@
 	}
 }
 
-// stop takes a run back: at once if its order has not left, else by an order.
+// stop stops a run: at once if its start order hasn't been sent, else by a stop
+// order.
 func (d *Dispatcher) stop(now unit.Instant, r *run, why string) {
 	if r.state == runStopping || r.state == runGone {
 		return
@@ -73,7 +74,8 @@
 	d.orderStop(now, r)
 }
 
-// putBack makes the task of a run wait again, unless it is done or was placed anew.
+// putBack makes the task of a run wait again, unless it is done or was placed
+// again.
 func (d *Dispatcher) putBack(r *run) {
 	if r.step == nil {
 		return
@@ -92,8 +94,8 @@
 	}
 }
 
-// keepCheckpoint notes a checkpoint for a task, or for all members of a gang: they
-// have to be started with the same one.
+// keepCheckpoint sets the checkpoint of a task, or of all members of a gang,
+// which have to start from the same one.
 func (d *Dispatcher) keepCheckpoint(s *stepState, index int, checkpoint string) {
 	tasks := s.together(index)
 	for i := range tasks {
@@ -101,7 +103,7 @@
 	}
 }
 
-// lose gives up one run, and with it its gang.
+// lose gives up a run and stops the rest of its gang.
 func (d *Dispatcher) lose(now unit.Instant, r *run, why string) {
 	d.putBack(r)
 	d.release(r)
@@ -110,7 +112,7 @@
 	}
 }
 
-// stopRun stops a run, and with it its gang.
+// stopRun stops a run together with its gang.
 func (d *Dispatcher) stopRun(now unit.Instant, r *run, why string) {
 	if r.step != nil && r.step.step.Gang {
 		d.stopStep(now, r.step, why)
--- a/core/dispatch/world_test.go
+++ b/core/dispatch/world_test.go
@@ -15,21 +15,22 @@
 	"curlewsill.org/curlewsill/core/world"
 )
 
-// The world's times.
+// Times of the simulated world.
 const (
 	// worldStep is the time between two passes.
 	worldStep = 5 * time.Millisecond
-	// worldTrip is how long an order and its answer take together unless a test says otherwise.
+	// worldTrip is the round trip of an order and its answer unless a test sets
+	// another.
 	worldTrip = 4 * time.Millisecond
 	// worldWrite is how long an append takes.
 	worldWrite = 8 * time.Millisecond
 	// worldTimeout is how long the owner waits for an answer.
 	worldTimeout = 800 * time.Millisecond
-	// workersOfRack is how many workers stand in one rack.
-	workersOfRack = 12
+	// workersPerRack is the number of workers in a rack.
+	workersPerRack = 12
 )
 
-// load hands jobs in to a world.
+// load submits jobs to a world.
 type load struct {
 	*world.World
 	tb     testing.TB
@@ -39,13 +40,13 @@
 	accepted int
 }
 
-// newWorld returns a world of so many idle workers, whose owner sends its orders one after the
-// other, each after the time that sending one takes.
+// newWorld returns a world with idle workers. Its owner sends its orders one at
+// a time, each taking the time sending.
 func newWorld(tb testing.TB, workers int, sending time.Duration) *load {
 	return newFarWorld(tb, workers, sending, worldTrip)
 }
 
-// newFarWorld returns a world whose orders and their answers take so long together.
+// newFarWorld is newWorld with the given round trip of orders.
 func newFarWorld(tb testing.TB, workers int, sending, trip time.Duration) *load {
 	s := world.Setup{
 		Make: func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
@@ -59,7 +60,7 @@
 	}
 	for i := range workers {
 		s.Workers = append(s.Workers, world.Worker{
-			ID: id.Worker(fmt.Sprintf("worker-%04d", i)), Service: "svc", Rack: id.Rack(fmt.Sprintf("r%03d", i/workersOfRack)), Speed: 1,
+			ID: id.Worker(fmt.Sprintf("worker-%04d", i)), Service: "svc", Rack: id.Rack(fmt.Sprintf("r%03d", i/workersPerRack)), Speed: 1,
 			Capacity: job.Resources{CPU: 32000, Memory: 128 * unit.GiB, Accelerators: 8},
 		})
 	}
@@ -73,14 +74,14 @@
 // jobName returns the name of the Nth job.
 func jobName(n int) id.Job { return id.Job(fmt.Sprintf("%016x", n)) }
 
-// submit hands in a job of equal tasks.
+// submit submits a job of equal tasks.
 func (l *load) submit(priority, count, gpus int, takes time.Duration) {
 	l.submitStep(priority, takes, job.Step{
 		Count: count, Estimate: takes, Need: job.Resources{CPU: 1000 * job.MilliCPU(gpus), Memory: unit.GiB, Accelerators: gpus},
 	})
 }
 
-// submitStep hands in a job of one step whose tasks all take the same time.
+// submitStep submits a job of one step whose tasks all take the same time.
 func (l *load) submitStep(priority int, takes time.Duration, step job.Step) {
 	l.jobs++
 	l.accepted += step.Count
@@ -99,15 +100,16 @@
 	}
 }
 
-// check fails if something that must hold did not.
+// check reports the invariants that were violated as test errors.
 func (l *load) check() {
 	for _, v := range l.Violations() {
 		l.tb.Error(v)
 	}
 }
 
-// arrive hands in a second's jobs of three kinds: many small urgent ones, some wide ones of
-// large tasks, and some very wide ones of small tasks. Scale is 1 for 350 workers.
+// arrive submits a second's jobs of three kinds: many small urgent ones, some
+// wide ones of large tasks, and some very wide ones of small tasks. Scale is 1
+// for 350 workers.
 func (l *load) arrive(scale float64) {
 	kinds := []struct {
 		rate            float64
