--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -91,7 +91,7 @@
 // ask now. A permit that expires within the time ahead counts as none.
 func (d *Dispatcher) consult(now unit.Instant, c candidate, ahead time.Duration) {
 	advice := c.step.job.spec.Advice
-	if !advice.Needed || c.step.asking {
+	if !advice.Needed || c.step.adviceInFlight {
 		return
 	}
 	by, ok := d.advice.idle(now)
@@ -104,7 +104,7 @@
 	}
 	s := c.step
 	a := Ask{Step: s.name(), Workers: workers, Adviser: by, Takes: advice.Takes(len(workers))}
-	d.advice.advisers[by].busy, s.asking = true, true
+	d.advice.advisers[by].busy, s.adviceInFlight = true, true
 	d.orders.Asks = append(d.orders.Asks, a)
 	d.noteJob(EventAdviceAsked, now, s.job, fmt.Sprintf("step %s: %d workers", a.Step, len(workers)), a.Takes)
 }
@@ -170,8 +170,8 @@
 	return job.StepID{Job: s.job.id, Round: s.round, Step: s.index}
 }
 
-// stepOf returns the step with a name, or nil if its job isn't known any more.
-func (d *Dispatcher) stepOf(name job.StepID) *stepState {
+// stepByID returns the step with a name, or nil if its job isn't known any more.
+func (d *Dispatcher) stepByID(name job.StepID) *stepState {
 	js := d.jobs[name.Job]
 	if js == nil {
 		return nil
@@ -183,9 +183,9 @@
 func (d *Dispatcher) Advised(now unit.Instant, res AskResult) {
 	by := &d.advice.advisers[res.Ask.Adviser]
 	by.busy = false
-	s := d.stepOf(res.Ask.Step)
+	s := d.stepByID(res.Ask.Step)
 	if s != nil {
-		s.asking = false
+		s.adviceInFlight = false
 	}
 	if res.Verdict != fleet.Carried {
 		by.fail(now)
--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -90,7 +90,7 @@
 		return
 	}
 	r.inFlight = false
-	r.worker.grantedBy(r.startLapse, res.Verdict)
+	r.worker.recordGrant(r.startLapse, res.Verdict)
 	r.startLapse = 0
 	switch res.Verdict {
 	case fleet.Carried:
@@ -100,7 +100,7 @@
 		d.window.answered(now, now.Sub(r.asked))
 	case fleet.Unknown:
 		r.unanswered = true
-		r.strayLapse = d.strayed(r.worker, r.asked)
+		r.lateStartLeaseExpiry = d.strayed(r.worker, r.asked)
 	case fleet.Unreachable, fleet.Replaced, fleet.Fenced, fleet.Expired:
 		// The order is repeated by resend, or the worker was given up above.
 	case fleet.Stale:
@@ -109,10 +109,10 @@
 		if r.step != nil {
 			r.step.dropPermit(r.worker)
 		}
-		d.rejected(now, r, res.Verdict)
+		d.startRejected(now, r, res.Verdict)
 	case fleet.NoRoom, fleet.Busy, fleet.Invalid:
 		r.worker.pause(now, busyPause)
-		d.rejected(now, r, res.Verdict)
+		d.startRejected(now, r, res.Verdict)
 	}
 }
 
@@ -128,8 +128,8 @@
 	r.worker.nextHold = min(r.worker.nextHold, now)
 }
 
-// rejected takes back a run that its worker did not start.
-func (d *Dispatcher) rejected(now unit.Instant, r *run, v fleet.Verdict) {
+// startRejected takes back a run that its worker did not start.
+func (d *Dispatcher) startRejected(now unit.Instant, r *run, v fleet.Verdict) {
 	if r.state == runRunning {
 		return // the answer is older than one that was handled already
 	}
@@ -177,7 +177,7 @@
 	w.askedInVain = false
 	if w.lastUnanswered || res.Verdict == fleet.Unreachable {
 		w.askedInVain = now.Sub(res.Sent) <= res.Renew.Wait+renewLimit+lateResult
-		w.exposed = w.exposed || w.lastUnanswered && (res.Renew.Until != 0 || res.Renew.Told > 0)
+		w.changeSent = w.changeSent || w.lastUnanswered && (res.Renew.Until != 0 || res.Renew.Told > 0)
 		d.raiseAfterLoss(w)
 		if w.lostAt == 0 {
 			w.lostAt = now
@@ -188,7 +188,7 @@
 		// before a lease of 6 s expires.
 		w.nextHold = max(now, res.Sent.Add(renewPause))
 	}
-	w.grantedBy(w.renewalLapse, res.Verdict)
+	w.recordGrant(w.renewalLapse, res.Verdict)
 	w.renewalLapse = 0
 	if w.lastUnanswered && res.Renew.Until != 0 {
 		d.strayed(w, res.Sent)
@@ -215,7 +215,7 @@
 		return
 	}
 	w.told, w.lostAt = max(w.told, res.Renew.Told), 0
-	if res.Sent > w.askedAgain {
+	if res.Sent > w.syncRequestedAt {
 		w.synced, w.toldClock = res.Sent, res.Report.Clock
 	}
 	d.follow(now, w)
@@ -223,7 +223,7 @@
 	for _, e := range res.Report.Ended {
 		ended[e.Task] = true
 		if e.Seq > w.seen {
-			w.seen, d.acks = e.Seq, true
+			w.seen, d.newEnds = e.Seq, true
 			d.end(now, w, e)
 		}
 	}
@@ -236,7 +236,7 @@
 	}
 	w.endTrial(now)
 	d.pace(now, w)
-	d.back(w)
+	d.noteMachineBack(w)
 	if w.seen == w.durable {
 		w.nextHold = now
 	}
--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -17,14 +17,14 @@
 			w := newWorld(b, workers, 0)
 			scale := float64(workers) / 350
 			for range 8 {
-				w.arrive(scale)
+				w.submitMix(scale)
 				w.Run(time.Second)
 			}
 			before := w.Tally().Starts
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				w.arrive(scale)
+				w.submitMix(scale)
 				w.Run(time.Second)
 			}
 			b.ReportMetric(float64(w.Tally().Starts-before)/float64(b.N), "starts/op")
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -73,18 +73,18 @@
 	// state.
 	changed []*jobState
 	forget  []id.Job
-	// acks is set if ends reported by workers were taken in since the last
+	// newEnds is set if ends reported by workers were taken in since the last
 	// batch.
-	acks   bool
-	fenced bool
+	newEnds bool
+	fenced  bool
 	// raise is the last one that was assigned to a worker's fence; it never
 	// decreases.
 	raise id.Raise
-	// assured is the latest time as of which no other host was the owner; 0 if
+	// soleOwnerAt is the latest time as of which no other host was the owner; 0 if
 	// nothing reports that, as in a model without other hosts: leases are
 	// granted then.
-	assured unit.Instant
-	// leasesWithheld is set while leases aren't extended because assured is too
+	soleOwnerAt unit.Instant
+	// leasesWithheld is set while leases aren't extended because soleOwnerAt is too
 	// old.
 	leasesWithheld bool
 	// evacuated holds the failure domains where nothing may start, as of
@@ -108,7 +108,7 @@
 }
 
 // Assure records that no other host was the owner at a time.
-func (d *Dispatcher) Assure(at unit.Instant) { d.assured = max(d.assured, at) }
+func (d *Dispatcher) Assure(at unit.Instant) { d.soleOwnerAt = max(d.soleOwnerAt, at) }
 
 // Fenced reports whether this owner must give way: a worker has seen a later
 // epoch, or the fence can't be raised any more.
--- a/core/dispatch/fence.go
+++ b/core/dispatch/fence.go
@@ -24,7 +24,7 @@
 		return
 	}
 	d.raise++
-	w.raise, w.exposed = d.raise, false
+	w.raise, w.changeSent = d.raise, false
 }
 
 // raiseAfterLoss raises the fence after a renewal that got no answer, if an
@@ -32,7 +32,7 @@
 // present fence. Raising it for each lost renewal would use up the owner's
 // raises within minutes while a large failure domain is unreachable.
 func (d *Dispatcher) raiseAfterLoss(w *worker) {
-	if w.exposed {
+	if w.changeSent {
 		d.raiseFence(w)
 	}
 }
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -29,13 +29,13 @@
 	}
 	b.Progress = append(b.Progress, records...)
 	b.starts, d.starts = d.starts, nil
-	if d.acks {
+	if d.newEnds {
 		for _, w := range d.order {
 			if w.seen > w.durable {
 				b.acks = append(b.acks, ack{worker: w, seen: w.seen})
 			}
 		}
-		d.acks = false
+		d.newEnds = false
 	}
 	return b, !b.Empty() || len(b.starts)+len(b.acks) > 0, nil
 }
@@ -80,7 +80,7 @@
 func (d *Dispatcher) Committed(now unit.Instant, b Batch) {
 	for _, r := range b.starts {
 		if r.state == runOrdered {
-			d.firstOrder(now, r)
+			d.sendFirstStart(now, r)
 		}
 	}
 	for _, js := range b.ended {
@@ -102,9 +102,9 @@
 	return Target{Worker: w.ID, Address: w.Address, Fence: d.fence(w)}
 }
 
-// firstOrder sends the first start order of a run whose placement is in the
+// sendFirstStart sends the first start order of a run whose placement is in the
 // store, or stops the run if the placement is no longer valid.
-func (d *Dispatcher) firstOrder(now unit.Instant, r *run) {
+func (d *Dispatcher) sendFirstStart(now unit.Instant, r *run) {
 	if r.workerDraining() {
 		d.stopRun(now, r, "its worker is draining")
 		return
@@ -180,7 +180,7 @@
 	}
 	r.asked, r.inFlight, r.startLapse = now, true, d.lapseOf(now)
 	r.orders++
-	r.worker.exposed = true
+	r.worker.changeSent = true
 	s := r.step
 	d.orders.Starts = append(d.orders.Starts, Start{
 		Target: d.target(r.worker), Domain: r.worker.Domain, Task: r.task, Run: r.number, Text: s.job.spec.Text,
--- a/core/dispatch/lease.go
+++ b/core/dispatch/lease.go
@@ -11,9 +11,9 @@
 	// clockDrift is how much faster than a worker's clock the owner's may run:
 	// the platform lets workers' clocks be 2 % slow.
 	clockDrift = 1.0 / 0.98
-	// lapseSlack is added to the end of each lease: an order takes a few
+	// leaseExpiryMargin is added to the end of each lease: an order takes a few
 	// milliseconds to reach the worker, and timers fire late.
-	lapseSlack = 200 * time.Millisecond
+	leaseExpiryMargin = 200 * time.Millisecond
 	// assuredFor is how long an owner grants leases after the last time as of
 	// which no other host was the owner. Its read of the jobs is 1 s old at
 	// most, or 2.6 s after a read that failed. The next owner waits that much
@@ -23,12 +23,12 @@
 
 // grants reports whether leases may be granted and extended.
 func (d *Dispatcher) grants(now unit.Instant) bool {
-	return d.assured == 0 || now.Sub(d.assured) <= assuredFor
+	return d.soleOwnerAt == 0 || now.Sub(d.soleOwnerAt) <= assuredFor
 }
 
 // noteGrants logs when leases are no longer extended, and when they are again.
 func (d *Dispatcher) noteGrants(now unit.Instant) {
-	d.noteWithheld(&d.leasesWithheld, !d.grants(now), EventLeasesWithheld, EventLeasesGranted, age(now, d.assured))
+	d.noteWithheld(&d.leasesWithheld, !d.grants(now), EventLeasesWithheld, EventLeasesGranted, age(now, d.soleOwnerAt))
 }
 
 // noteWithheld logs a change of whether something is withheld, with the age of
@@ -63,15 +63,15 @@
 func (w *worker) lapse() unit.Instant {
 	last := max(w.grantedUntil, w.renewalLapse)
 	for _, r := range w.runs {
-		last = max(last, r.startLapse, r.strayLapse)
+		last = max(last, r.startLapse, r.lateStartLeaseExpiry)
 	}
 	return last
 }
 
-// grantedBy handles the verdict of an order that grants a lease until a time.
+// recordGrant handles the verdict of an order that grants a lease until a time.
 // An order that was certainly not sent has granted none. Without this exception
 // the tasks of a crashed worker would wait for a lease that nobody holds.
-func (w *worker) grantedBy(until unit.Instant, v fleet.Verdict) {
+func (w *worker) recordGrant(until unit.Instant, v fleet.Verdict) {
 	if v != fleet.Unreachable {
 		w.grantedUntil = max(w.grantedUntil, until)
 	}
@@ -80,7 +80,7 @@
 // lapseOf returns when a lease that is granted now, or earlier, has expired for
 // certain.
 func (d *Dispatcher) lapseOf(now unit.Instant) unit.Instant {
-	return now.Add(scale(d.config.MaxLease, clockDrift)).Add(lapseSlack)
+	return now.Add(scale(d.config.MaxLease, clockDrift)).Add(leaseExpiryMargin)
 }
 
 // clock returns a reading that the worker's clock has reached for certain.
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -26,19 +26,19 @@
 // workers whose entry in the list names no machine.
 func (d *Dispatcher) SetLives(now unit.Instant, lives []Life) {
 	for _, l := range lives {
-		w := d.listedUnder(l.Worker)
+		w := d.listedByName(l.Worker)
 		if w == nil || w.Machine == l.Machine {
 			continue
 		}
 		w.Machine = l.Machine
 		d.contest(now, w)
-		d.back(w)
+		d.noteMachineBack(w)
 	}
 }
 
-// listedUnder returns the incarnation under a name that the platform's list
+// listedByName returns the incarnation under a name that the platform's list
 // has, or nil.
-func (d *Dispatcher) listedUnder(name id.WorkerName) *worker {
+func (d *Dispatcher) listedByName(name id.WorkerName) *worker {
 	for _, w := range d.order {
 		if w.name == name && w.listed {
 			return w
@@ -68,14 +68,14 @@
 func (d *Dispatcher) unconfirmLives(now unit.Instant, m id.Machine) {
 	for _, w := range d.order {
 		if w.Machine == m {
-			w.synced, w.askedAgain, w.nextHold = 0, now, min(w.nextHold, now)
+			w.synced, w.syncRequestedAt, w.nextHold = 0, now, min(w.nextHold, now)
 		}
 	}
 }
 
-// back handles an answer of a worker: its machine is back if the renewal was
+// noteMachineBack handles an answer of a worker: its machine is back if the renewal was
 // sent after the machine was taken down.
-func (d *Dispatcher) back(w *worker) {
+func (d *Dispatcher) noteMachineBack(w *worker) {
 	if w.Machine == "" || !w.confirmed() {
 		return
 	}
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -115,9 +115,9 @@
 	excused map[int]int
 	// permits holds the answer of the advice service for each worker.
 	permits map[id.Worker]permit
-	// asking is set while a question to the advice service about the step is in
-	// flight.
-	asking bool
+	// adviceInFlight is set while a question to the advice service about the
+	// step is in flight.
+	adviceInFlight bool
 }
 
 // run is one run of a task that occupies room on a worker.
@@ -149,20 +149,20 @@
 	// ordered to give up to others; 0 at full speed.
 	slowed int
 	// stopAsked is when the last stop order was sent, stopDone when the worker
-	// first confirmed one.
+	// confirmed a stop; 0 if it hasn't, or if the order is due again.
 	stopAsked unit.Instant
 	stopDone  unit.Instant
-	// missed is when the worker's report first didn't list the run; 0 if the
-	// latest report lists it.
+	// missed is when a report arrived that didn't list the run; 0 if the latest
+	// report lists it.
 	missed unit.Instant
 	// asked is when the last start order was sent, orders how many were sent.
 	asked  unit.Instant
 	orders int
 	// startLapse is when the lease of a start order in flight has expired for
-	// certain; 0 if none is in flight. strayLapse is the same for unanswered
-	// start orders that the next incarnation under the worker's name may still
-	// carry out.
-	startLapse, strayLapse unit.Instant
+	// certain; 0 if none is in flight. lateStartLeaseExpiry is the same for
+	// unanswered start orders that the next incarnation under the worker's name
+	// may still carry out.
+	startLapse, lateStartLeaseExpiry unit.Instant
 	// inFlight is set while an order for the run has no verdict.
 	inFlight bool
 	// unanswered is set once a start order has got no answer: the worker may
@@ -207,10 +207,10 @@
 	// maintenance, evacuated while its failure domain is evacuated.
 	held, evacuated bool
 	// raise is that of the fence of orders to the worker; it never decreases.
-	// exposed is set once an order that starts a run, grants a lease or lets
+	// changeSent is set once an order that starts a run, grants a lease or lets
 	// the worker forget ends may have been sent under it.
-	raise   id.Raise
-	exposed bool
+	raise      id.Raise
+	changeSent bool
 	// since is when this owner learned of the worker.
 	since unit.Instant
 	// listed is set while the platform's list contains the worker.
@@ -242,9 +242,9 @@
 	// that answer, 0 if it had none.
 	synced    unit.Instant
 	toldClock fleet.Clock
-	// askedAgain is when a new answer was last requested; answers to renewals
-	// that were sent before don't count.
-	askedAgain unit.Instant
+	// syncRequestedAt is when a new report was last requested; answers to
+	// renewals that were sent before don't count.
+	syncRequestedAt unit.Instant
 	// holding is set while a renewal is in flight, waits if that renewal waits
 	// at the worker for a report. nextHold is when the next renewal is due.
 	holding  bool
--- a/core/dispatch/stop.go
+++ b/core/dispatch/stop.go
@@ -66,7 +66,7 @@
 		return
 	}
 	if ordered {
-		d.putBack(r)
+		d.requeue(r)
 		d.release(r)
 		return
 	}
@@ -74,9 +74,9 @@
 	d.orderStop(now, r)
 }
 
-// putBack makes the task of a run wait again, unless it is done or was placed
+// requeue makes the task of a run wait again, unless it is done or was placed
 // again.
-func (d *Dispatcher) putBack(r *run) {
+func (d *Dispatcher) requeue(r *run) {
 	if r.step == nil {
 		return
 	}
@@ -105,7 +105,7 @@
 
 // lose gives up a run and stops the rest of its gang.
 func (d *Dispatcher) lose(now unit.Instant, r *run, why string) {
-	d.putBack(r)
+	d.requeue(r)
 	d.release(r)
 	if r.step != nil && r.step.step.Gang && r.step.done < r.step.step.Count {
 		d.stopStep(now, r.step, "gang member lost: "+why)
