--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -116,13 +116,13 @@
 func (c *candidate) workersToAsk(now unit.Instant, ahead time.Duration, advice job.Advice, yield float64) []id.Worker {
 	s := c.step
 	need := s.step.Reserved()
-	unasked := c.withoutPermit(now, ahead)
-	if len(unasked) == 0 || s.job.spec.Priority > 0 && !need.Fits(unasked[0].free()) {
+	noPermit := c.withoutPermit(now, ahead)
+	if len(noPermit) == 0 || s.job.spec.Priority > 0 && !need.Fits(noPermit[0].free()) {
 		return nil // without room a permit is of no use to work that isn't urgent
 	}
 	var out []id.Worker
 	expected := 0.0
-	for _, w := range unasked[:min(askBatch, len(unasked))] {
+	for _, w := range noPermit[:min(askBatch, len(noPermit))] {
 		out = append(out, w.ID)
 		room := w.free()
 		if !need.Fits(room) {
@@ -143,12 +143,12 @@
 func (c *candidate) withoutPermit(now unit.Instant, ahead time.Duration) []*worker {
 	s := c.step
 	need := s.step.Reserved()
-	fitting := map[id.Rack]int{}
+	fittingByRack := map[id.Rack]int{}
 	var out []*worker
 	for _, w := range c.possible {
 		fits := need.Fits(w.free())
 		if fits {
-			fitting[w.Rack]++
+			fittingByRack[w.Rack]++
 		}
 		if s.permitLasts(now, w, ahead) {
 			continue
@@ -158,7 +158,7 @@
 	slices.SortStableFunc(out, func(a, b *worker) int {
 		return cmp.Or(
 			-compareBools(need.Fits(a.free()), need.Fits(b.free())),
-			-cmp.Compare(fitting[a.Rack], fitting[b.Rack]),
+			-cmp.Compare(fittingByRack[a.Rack], fittingByRack[b.Rack]),
 			cmp.Compare(a.Rack, b.Rack),
 		)
 	})
@@ -170,7 +170,8 @@
 	return job.StepID{Job: s.job.id, Round: s.round, Step: s.index}
 }
 
-// stepByID returns the step with a name, or nil if its job isn't known any more.
+// stepByID returns the step with a name, or nil if its job isn't known any
+// more.
 func (d *Dispatcher) stepByID(name job.StepID) *stepState {
 	js := d.jobs[name.Job]
 	if js == nil {
--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -74,9 +74,10 @@
 	if w == nil {
 		return nil
 	}
+	// Any other answer doesn't show which incarnation under the name sent it.
 	if v == fleet.Replaced || v == fleet.Fenced || !fleet.TellsStart(w.ID) {
 		d.applyVerdict(now, w, t, v, c)
-	} // else the answer doesn't tell which incarnation under the name sent it
+	}
 	return w.run(task, number)
 }
 
@@ -231,7 +232,8 @@
 		return // it answered before the next incarnation did: the runs that it lists are over
 	}
 	d.compare(now, w, res, ended)
-	if now.Sub(res.Sent) <= res.Renew.Wait+renewLimit { // else the answer was delayed in this host, and its progress is out of date
+	// A later answer was delayed in this host, and its progress is out of date.
+	if now.Sub(res.Sent) <= res.Renew.Wait+renewLimit {
 		d.stopStalled(now, w)
 	}
 	w.endTrial(now)
--- a/core/dispatch/check.go
+++ b/core/dispatch/check.go
@@ -60,9 +60,9 @@
 // guarantee waits although every run that may be stopped for it was considered.
 func (d *Dispatcher) reclaimable(now unit.Instant, c candidate) {
 	js := c.step.job
-	if !c.covered || js.atRisk || now.Sub(js.seen) < d.config.StopTime {
+	if !c.covered || js.guaranteeAtRisk || now.Sub(js.seen) < d.config.StopTime {
 		return
 	}
-	js.atRisk = true
+	js.guaranteeAtRisk = true
 	d.noteJob(EventGuaranteeAtRisk, now, js, "no room can be freed for urgent work", 0)
 }
--- a/core/dispatch/commands_test.go
+++ b/core/dispatch/commands_test.go
@@ -27,7 +27,8 @@
 	case "job":
 		s.addJob(id.Job(f[1]), o)
 	case "replaced":
-		s.apply([]jobtable.Record{s.table.ForgetRecords(id.Job(f[1]))[0]}) // a host that starts reading now sees only the last spec
+		// A host that starts reading now sees only the last spec.
+		s.apply([]jobtable.Record{s.table.ForgetRecords(id.Job(f[1]))[0]})
 		s.writeSpec(id.Job(f[1]), o)
 	case "cancel":
 		s.apply([]jobtable.Record{s.table.CancelRecord(id.Job(f[1]))})
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -80,12 +80,12 @@
 	// raise is the last one that was assigned to a worker's fence; it never
 	// decreases.
 	raise id.Raise
-	// soleOwnerAt is the latest time as of which no other host was the owner; 0 if
-	// nothing reports that, as in a model without other hosts: leases are
+	// soleOwnerAt is the latest time as of which no other host was the owner; 0
+	// if nothing reports that, as in a model without other hosts: leases are
 	// granted then.
 	soleOwnerAt unit.Instant
-	// leasesWithheld is set while leases aren't extended because soleOwnerAt is too
-	// old.
+	// leasesWithheld is set while leases aren't extended because soleOwnerAt is
+	// too old.
 	leasesWithheld bool
 	// evacuated holds the failure domains where nothing may start, as of
 	// informed; informed is 0 before anything is known.
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// noteMachineBack handles an answer of a worker: its machine is back if the renewal was
-// sent after the machine was taken down.
+// noteMachineBack handles an answer of a worker: its machine is back if the
+// renewal was sent after the machine was taken down.
 func (d *Dispatcher) noteMachineBack(w *worker) {
 	if w.Machine == "" || !w.confirmed() {
 		return
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -56,9 +56,9 @@
 	// blamed holds the workers on which a run of the job failed right after its
 	// start.
 	blamed []id.Worker
-	// atRisk is set once a note says that the customer's guarantee can't be met
-	// for the job.
-	atRisk bool
+	// guaranteeAtRisk is set once a note says that the customer's guarantee
+	// can't be met for the job.
+	guaranteeAtRisk bool
 }
 
 // summaryPhase is the phase of the summary record of a job.
@@ -238,8 +238,8 @@
 	// changed.
 	pacedAt unit.Instant
 	// synced is when the latest renewal was sent that the worker answered under
-	// the present epoch; 0 before the first. toldClock is the worker's clock in
-	// that answer, 0 if it had none.
+	// the present epoch; 0 if there is none that counts. toldClock is the
+	// worker's clock in that answer, 0 if it had none.
 	synced    unit.Instant
 	toldClock fleet.Clock
 	// syncRequestedAt is when a new report was last requested; answers to
--- a/core/dispatch/world_test.go
+++ b/core/dispatch/world_test.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// submitMix submits a second's jobs of three kinds: many small urgent ones, some
-// wide ones of large tasks, and some very wide ones of small tasks. Scale is 1
-// for 350 workers.
+// submitMix submits a second's jobs of three kinds: many small urgent ones,
+// some wide ones of large tasks, and some very wide ones of small tasks. Scale
+// is 1 for 350 workers.
 func (l *load) submitMix(scale float64) {
 	kinds := []struct {
 		rate            float64
