--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -77,8 +77,8 @@
 	// batch.
 	newEnds bool
 	fenced  bool
-	// raise is the last one that was assigned to a worker's fence; it never
-	// decreases.
+	// raise is the last raise number that was assigned to a worker's fence; it
+	// never decreases.
 	raise id.Raise
 	// soleOwnerAt is the latest time as of which no other host was the owner; 0
 	// if nothing reports that, as in a model without other hosts: leases are
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// Committed handles that a batch is in the store: its orders may be sent.
+// Committed must be called once a batch is in the store: its orders may then be
+// sent.
 func (d *Dispatcher) Committed(now unit.Instant, b Batch) {
 	for _, r := range b.starts {
 		if r.state == runOrdered {
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -206,9 +206,10 @@
 	// held is set while the worker's machine is about to go down for
 	// maintenance, evacuated while its failure domain is evacuated.
 	held, evacuated bool
-	// raise is that of the fence of orders to the worker; it never decreases.
-	// changeSent is set once an order that starts a run, grants a lease or lets
-	// the worker forget ends may have been sent under it.
+	// raise is the raise number of the fence under which orders to the worker
+	// are sent; it never decreases. changeSent is set once an order that starts
+	// a run, grants a lease or lets the worker forget ends may have been sent
+	// under it.
 	raise      id.Raise
 	changeSent bool
 	// since is when this owner learned of the worker.
--- a/core/dispatch/stop.go
+++ b/core/dispatch/stop.go
@@ -16,7 +16,7 @@
 	d.finish(now, js, job.Cancelled, "cancelled")
 }
 
-// finish sets the outcome of an open job and stops the runs that are left.
+// finish sets the outcome of an open job and stops its remaining runs.
 func (d *Dispatcher) finish(now unit.Instant, js *jobState, o job.Outcome, why string) {
 	if js.progress.Outcome != job.Open {
 		return
@@ -27,8 +27,8 @@
 		s.dropClaim()
 	}
 	if o != job.Completed {
-		// The runs left of a completed job belong to a gang that has ended as a
-		// whole; its workers list the other members' ends without a stop.
+		// The remaining runs of a completed job belong to a gang that has ended
+		// as a whole; its workers list the other members' ends without a stop.
 		d.stopAll(now, js, why)
 	}
 	if !js.busy() {
