--- a/core/world/check_internal_test.go
+++ b/core/world/check_internal_test.go
@@ -34,7 +34,7 @@
 	for _, c := range strings.Split("\n"+string(data), "\n[")[1:] {
 		name, text, _ := strings.Cut(c, "]\n")
 		t.Run(name, func(t *testing.T) {
-			p := newChecked(t)
+			p := newHarness(t)
 			for _, l := range strings.Split(text, "\n") {
 				if l = strings.TrimSpace(l); l != "" {
 					p.do(strings.Fields(l))
@@ -45,13 +45,13 @@
 }
 
 // checked is a world that is given orders by hand.
-type checked struct {
+type harness struct {
 	t *testing.T
 	w *World
-	s *submitted
+	s *submittedJob
 }
 
-func newChecked(t *testing.T) *checked {
+func newHarness(t *testing.T) *harness {
 	s := Setup{
 		Make: func(e id.Epoch, table *jobtable.Table) *dispatch.Dispatcher {
 			return dispatch.New(dispatch.Config{MaxLease: time.Hour}, policy.New(), e, table)
@@ -67,28 +67,28 @@
 		t.Fatal(err)
 	}
 	w.owner.end() // it would stop what it hasn't ordered
-	return &checked{t: t, w: w}
+	return &harness{t: t, w: w}
 }
 
 // do carries out one line.
-func (c *checked) do(f []string) {
+func (c *harness) do(f []string) {
 	switch f[0] {
 	case "job":
 		c.addJob(f)
 	case "start":
-		c.w.byLife[id.Worker(f[1])].start(c.order(f))
+		c.w.byIncarnation[id.Worker(f[1])].startRun(c.order(f))
 	case "late":
-		m, o := c.w.byLife[id.Worker(f[1])], c.order(f)
-		c.w.deliverLate(connection{machine: m}, o.Target, c.duration(f[5]), func(m *machine) fleet.Verdict { return m.start(o) })
+		m, o := c.w.byIncarnation[id.Worker(f[1])], c.order(f)
+		c.w.deliverLate(connection{machine: m}, o.Target, c.duration(f[5]), func(m *machine) fleet.Verdict { return m.startRun(o) })
 	case "reborn":
-		c.w.byLife[id.Worker(f[1])].die(100*time.Millisecond, sameName)
+		c.w.byIncarnation[id.Worker(f[1])].endIncarnation(100*time.Millisecond, sameID)
 	case "told":
-		m := c.w.byLife[id.Worker(f[1])]
+		m := c.w.byIncarnation[id.Worker(f[1])]
 		m.renew(dispatch.Renew{Told: m.seq, Until: fleet.Clock(time.Hour)}, func(fleet.Report) {})
 	case "run":
 		c.w.Run(c.duration(f[1]))
 	case "shown":
-		c.w.finish(c.s, State(f[1]))
+		c.w.recordOutcome(c.s, State(f[1]))
 	case "want":
 		c.want(strings.Join(f[1:], " "))
 	default:
@@ -97,7 +97,7 @@
 }
 
 // order reads an order to start: WORKER STEP INDEX RUN.
-func (c *checked) order(f []string) dispatch.Start {
+func (c *harness) order(f []string) dispatch.Start {
 	return dispatch.Start{
 		Target: dispatch.Target{Worker: id.Worker(f[1])}, Task: job.Task{Job: "j", Step: c.number(f[2]), Index: c.number(f[3])},
 		Run: job.Run(c.number(f[4])), Until: fleet.Clock(time.Hour),
@@ -105,7 +105,7 @@
 }
 
 // want compares what was found.
-func (c *checked) want(text string) {
+func (c *harness) want(text string) {
 	got := c.w.Violations()
 	if text == "nothing" && len(got) == 0 {
 		return
@@ -116,7 +116,7 @@
 }
 
 // addJob makes the job known to the workers, but not to the owner.
-func (c *checked) addJob(f []string) {
+func (c *harness) addJob(f []string) {
 	step := job.Step{Count: 1, Need: job.Resources{Accelerators: 8}}
 	spec := job.Spec{MaxAttempts: 3}
 	fails, steps := 0.0, 1
@@ -144,14 +144,14 @@
 		}
 		spec.Steps = append(spec.Steps, step)
 	}
-	c.s = &submitted{Job: Job{Name: "j", Spec: spec, FailShare: fails, CrashAfter: crash}, at: c.w.now, state: Open, ledger: map[job.Task]*taskLedger{}}
+	c.s = &submittedJob{Job: Job{Name: "j", Spec: spec, FailShare: fails, CrashAfter: crash}, submittedAt: c.w.now, state: Open, histories: map[job.Task]*taskHistory{}}
 	for range spec.Width() {
 		c.s.Takes = append(c.s.Takes, time.Second)
 	}
 	c.w.jobs["j"] = c.s
 }
 
-func (c *checked) number(s string) int {
+func (c *harness) number(s string) int {
 	n, err := strconv.Atoi(s)
 	if err != nil {
 		c.t.Fatal(err)
@@ -159,7 +159,7 @@
 	return n
 }
 
-func (c *checked) duration(s string) time.Duration {
+func (c *harness) duration(s string) time.Duration {
 	d, err := time.ParseDuration(s)
 	if err != nil {
 		c.t.Fatal(err)
--- a/core/world/evacuation.go
+++ b/core/world/evacuation.go
@@ -21,7 +21,7 @@
 	domains := w.domains()
 	chosen := w.chosen(f, len(domains))
 	if len(chosen) == 0 {
-		chosen = []int{int(w.chance("evacuate", w.now) * float64(len(domains)))}
+		chosen = []int{int(w.draw("evacuate", w.now) * float64(len(domains)))}
 	}
 	for _, i := range chosen {
 		d := domains[i]
@@ -51,27 +51,27 @@
 // checkDomain checks that a run may begin where its worker is. Late orders are left out: no owner can take them back.
 func (w *World) checkDomain(m *machine, o dispatch.Start) {
 	e, evacuated := w.evacuations[m.Domain]
-	if evacuated && !w.late.carrying && w.now > e.since.Add(w.setup.Evacuation) {
-		w.violated(fmt.Sprintf("%s was started in %s, which was evacuated %s before", o.Task, m.Domain, w.now.Sub(e.since)))
+	if evacuated && !w.lateOrders.carrying && w.now > e.since.Add(w.setup.Evacuation) {
+		w.recordViolation(fmt.Sprintf("%s was started in %s, which was evacuated %s before", o.Task, m.Domain, w.now.Sub(e.since)))
 	}
 }
 
 // readOperator lets the owner read what the operator has written, again and again. While the store is away, it hears nothing.
-func (o *owner) readOperator() {
+func (o *owner) pollOperator() {
 	w := o.world
 	if o.ended || w.setup.Evacuation == 0 {
 		return
 	}
-	left, up := w.now, w.now >= w.store.up
+	left, up := w.now, w.now >= w.store.upAt
 	domains := slices.Sorted(maps.Keys(w.evacuations))
 	w.Plan(w.setup.Times.Read, func() {
 		if !up {
 			return
 		}
-		o.take(func(o *owner) {
+		o.enqueueEvent(func(o *owner) {
 			o.core.Evacuate(domains)
 			o.core.Inform(left)
 		})
 	})
-	w.Plan(w.setup.Times.Poll, o.readOperator)
+	w.Plan(w.setup.Times.Poll, o.pollOperator)
 }
--- a/core/world/fault.go
+++ b/core/world/fault.go
@@ -72,7 +72,7 @@
 
 // latestOrder is how late an order is at most that was meant for the life before, by the platform's pages. Nothing but time keeps the next life
 // under a name from taking it.
-const latestOrder = 12 * time.Second
+const maxOrderDelay = 12 * time.Second
 
 // Fault is something that goes wrong.
 type Fault struct {
@@ -86,9 +86,9 @@
 
 // lateOrders says which orders are late.
 type lateOrders struct {
-	until unit.Instant
-	share float64
-	by    time.Duration
+	until   unit.Instant
+	share   float64
+	delayBy time.Duration
 	// sent numbers the orders.
 	sent int
 	// carrying is set while a late order is carried out.
@@ -101,10 +101,10 @@
 		return 0
 	}
 	l.sent++
-	if w.chance("late", t.Worker, l.sent) >= l.share {
+	if w.draw("late", t.Worker, l.sent) >= l.share {
 		return 0
 	}
-	return l.by
+	return l.delayBy
 }
 
 // Strike lets a fault begin now.
@@ -112,49 +112,49 @@
 	until := w.now.Add(f.Lasts)
 	switch f.Kind {
 	case Kill:
-		w.each(f, func(m *machine) { m.die(f.Lasts, ownName) })
+		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Lasts, newID) })
 	case Reborn:
 		if !w.setup.TellStart {
 			return fmt.Errorf("%w: %q of workers that don't tell their starts", ErrFault, f.Kind)
 		}
-		w.each(f, func(m *machine) { m.die(f.Lasts, sameName) })
+		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Lasts, sameID) })
 	case Silence:
-		w.each(f, func(m *machine) { m.silentUntil = until })
+		w.eachChosen(f, func(m *machine) { m.silentUntil = until })
 	case Drain:
-		w.each(f, func(m *machine) { m.drain(f.Lasts, f.Lasts) })
+		w.eachChosen(f, func(m *machine) { m.drain(f.Lasts, f.Lasts) })
 	case Apart:
-		w.each(f, func(m *machine) { m.part(f.Lasts) })
+		w.eachChosen(f, func(m *machine) { m.partition(f.Lasts) })
 	case StaleEntry:
-		w.each(f, func(m *machine) { m.showEarlier() })
+		w.eachChosen(f, func(m *machine) { m.showPreviousListing() })
 	case ReadList:
 		w.readList()
 	case Fail:
-		w.each(f, func(m *machine) { m.failsUntil = until })
+		w.eachChosen(f, func(m *machine) { m.failsUntil = until })
 	case Busy:
-		w.each(f, func(m *machine) { m.busyUntil = until })
+		w.eachChosen(f, func(m *machine) { m.busyUntil = until })
 	case Mute:
-		w.each(f, func(m *machine) { m.muteUntil = until })
+		w.eachChosen(f, func(m *machine) { m.muteUntil = until })
 	case Shrink:
-		w.each(f, func(m *machine) { m.shrink(f.Lasts, max(1, f.Factor)) })
+		w.eachChosen(f, func(m *machine) { m.shrink(f.Lasts, max(1, f.Factor)) })
 	case Slow:
-		w.each(f, func(m *machine) { m.slowUntil, m.slowBy = until, max(1, f.Factor) })
+		w.eachChosen(f, func(m *machine) { m.slowUntil, m.slowBy = until, max(1, f.Factor) })
 	case Still:
-		w.each(f, func(m *machine) { m.still = append(m.still, span{from: w.now, to: until}) })
+		w.eachChosen(f, func(m *machine) { m.stalls = append(m.stalls, interval{from: w.now, to: until}) })
 	case Evacuate:
 		if w.setup.Evacuation == 0 {
 			return fmt.Errorf("%w: %q where no operator evacuates", ErrFault, f.Kind)
 		}
 		w.evacuate(f)
 	case Late:
-		w.late = lateOrders{until: until, share: f.Share, by: stretch(time.Second, f.Factor)}
+		w.lateOrders = lateOrders{until: until, share: f.Share, delayBy: scale(time.Second, f.Factor)}
 		if w.setup.TellStart {
-			w.late.by = min(w.late.by, latestOrder)
+			w.lateOrders.delayBy = min(w.lateOrders.delayBy, maxOrderDelay)
 		}
 	case StoreDown:
-		w.store.up = max(w.store.up, until)
+		w.store.upAt = max(w.store.upAt, until)
 	case StoreSlow:
-		w.store.slow = max(1, f.Factor)
-		w.Plan(f.Lasts, func() { w.store.slow = 1 })
+		w.store.slowdown = max(1, f.Factor)
+		w.Plan(f.Lasts, func() { w.store.slowdown = 1 })
 	case KillOwner:
 		if w.owner != nil {
 			w.owner.host.kill(f.Lasts)
@@ -172,21 +172,21 @@
 // Down ends a worker's life, Up begins another one. They do nothing for a worker that is so
 // already, or isn't there.
 func (w *World) Down(name id.Worker) {
-	if m := w.machineOf(name); m != nil {
-		m.die(0, ownName)
+	if m := w.machineByID(name); m != nil {
+		m.endIncarnation(0, newID)
 	}
 }
 
 // Up is described with Down.
 func (w *World) Up(name id.Worker) {
-	if m := w.machineOf(name); m != nil && !m.up {
-		m.begin(ownName)
+	if m := w.machineByID(name); m != nil && !m.up {
+		m.startIncarnation(newID)
 		w.list(m.listing())
 	}
 }
 
 // machineOf returns a worker of the setup, or nil.
-func (w *World) machineOf(name id.Worker) *machine {
+func (w *World) machineByID(name id.Worker) *machine {
 	for _, m := range w.machines {
 		if m.ID == name {
 			return m
@@ -196,7 +196,7 @@
 }
 
 // each does something to the workers that a fault concerns.
-func (w *World) each(f Fault, do func(*machine)) {
+func (w *World) eachChosen(f Fault, do func(*machine)) {
 	for _, i := range w.chosen(f, len(w.machines)) {
 		do(w.machines[i])
 	}
@@ -206,7 +206,7 @@
 // time alone.
 func (w *World) chosen(f Fault, n int) []int {
 	some := min(n, int(math.Round(f.Share*float64(n))))
-	stream := uint64(w.chance("fault", f.Kind, w.now) * math.MaxUint32)
+	stream := uint64(w.draw("fault", f.Kind, w.now) * math.MaxUint32)
 	out := rand.New(rand.NewPCG(w.setup.Seed, stream)).Perm(n)[:some]
 	slices.Sort(out)
 	return out
--- a/core/world/gang.go
+++ b/core/world/gang.go
@@ -20,38 +20,38 @@
 	number  job.Run
 	members []*run
 	// whole is set once all members are there; spoilt once one of them has gone.
-	whole, spoilt bool
+	complete, broken bool
 }
 
 // join takes a run into its gang, and lets the gang work once it is whole.
-func (w *World) join(r *run) {
+func (w *World) joinGang(r *run) {
 	key := gangKey{job: r.task.Job, round: r.task.Round, step: r.task.Step}
 	g := w.gangs[key]
 	if g == nil || g.number != r.number {
-		if g != nil && g.live() > 0 {
-			w.violated(fmt.Sprintf("%s: run %d begins while members of run %d are there", r.task, r.number, g.number))
+		if g != nil && g.liveMembers() > 0 {
+			w.recordViolation(fmt.Sprintf("%s: run %d begins while members of run %d are there", r.task, r.number, g.number))
 		}
 		g = &gang{number: r.number}
 		w.gangs[key] = g
 	}
 	r.gang = g
 	g.members = append(g.members, r)
-	if !g.spoilt && len(g.members) == r.step.Count {
-		g.open(w)
+	if !g.broken && len(g.members) == r.step.Count {
+		g.startWork(w)
 		return
 	}
 	w.Plan(w.setup.Times.Whole, func() { // also of a gang that has broken: its other members are gone
-		if !r.gone && r.began == 0 {
+		if !r.ended && r.workStart == 0 {
 			r.finish(fleet.EndAlone)
 		}
 	})
 }
 
 // live returns how many members are there.
-func (g *gang) live() int {
+func (g *gang) liveMembers() int {
 	n := 0
 	for _, r := range g.members {
-		if !r.gone {
+		if !r.ended {
 			n++
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 // spread reports whether the members are in several racks.
-func (g *gang) spread() bool {
+func (g *gang) spansRacks() bool {
 	for _, r := range g.members {
 		if r.machine.Rack != g.members[0].machine.Rack {
 			return true
@@ -69,25 +69,25 @@
 }
 
 // open lets all members work. The slowest decides when they end.
-func (g *gang) open(w *World) {
-	g.whole = true
+func (g *gang) startWork(w *World) {
+	g.complete = true
 	var longest time.Duration
 	for _, r := range g.members {
-		r.work(w.now)
-		longest = max(longest, r.left())
+		r.startWork(w.now)
+		longest = max(longest, r.remaining())
 	}
 	for _, r := range g.members {
 		if !r.step.LongRunning {
-			r.plan(longest)
+			r.scheduleEnd(longest)
 		}
 	}
 }
 
 // done ends all members with success. The first of them that comes to its end stands for all,
 // because they end at the same time unless one has failed before.
-func (g *gang) done() {
+func (g *gang) finishAll() {
 	for _, r := range g.members {
-		if !r.gone {
+		if !r.ended {
 			r.finish(fleet.EndDone)
 		}
 	}
@@ -95,16 +95,16 @@
 
 // breaks ends the other members of a gang of which one has gone. Before it was whole, they go
 // on to wait.
-func (g *gang) breaks() {
-	if g.spoilt {
+func (g *gang) breakUp() {
+	if g.broken {
 		return
 	}
-	g.spoilt = true
-	if !g.whole {
+	g.broken = true
+	if !g.complete {
 		return
 	}
 	for _, r := range g.members {
-		if !r.gone {
+		if !r.ended {
 			r.finish(fleet.EndBroken)
 		}
 	}
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -19,23 +19,23 @@
 	// ended is set once another host is the owner, or none.
 	ended bool
 	// duties wait for the processor, which is busy while one is under way.
-	duties []duty
-	busy   bool
+	queue []workItem
+	busy  bool
 	// next is when the next pass may begin, planned when one is planned for; 0 for none.
-	next, planned unit.Instant
-	writing       bool
+	nextPass, plannedPass unit.Instant
+	writing               bool
 	// connected holds the life of each worker to which a connection is open, by OnConnection.
 	connected map[*machine]int
 }
 
 // duty is something that the processor does.
-type duty struct {
+type workItem struct {
 	// begin does what is done with the state as it is then, and returns what it takes of a
 	// whole core; end does what follows. Either may be nil.
-	begin func() time.Duration
-	cost  time.Duration
-	end   func()
-	since unit.Instant
+	onBegin  func() time.Duration
+	cost     time.Duration
+	onEnd    func()
+	queuedAt unit.Instant
 }
 
 // takeOver makes a host the owner. It begins with what the store has.
@@ -43,32 +43,32 @@
 	if w.owner != nil {
 		w.owner.end()
 	}
-	o := &owner{world: w, host: h, epoch: epoch, core: w.setup.Make(epoch, w.table), next: w.now, connected: map[*machine]int{}}
+	o := &owner{world: w, host: h, epoch: epoch, core: w.setup.Make(epoch, w.table), nextPass: w.now, connected: map[*machine]int{}}
 	w.owner = o
 	h.election.Owned(w.now)
 	for _, g := range w.setup.Guarantees {
 		o.core.Guarantee(g.Customer, g.Accelerators)
 	}
-	for _, s := range w.order {
-		o.learn(s.Name)
+	for _, s := range w.submissions {
+		o.loadJob(s.Name)
 	}
 	for _, l := range w.listed {
 		o.core.List(w.now, l)
 	}
-	o.readOperator()
-	o.wake(0)
+	o.pollOperator()
+	o.schedulePass(0)
 }
 
 // end takes the ownership from the host: what its processor was to do isn't done.
 func (o *owner) end() {
-	o.ended, o.duties, o.host.lost = true, nil, o.epoch
+	o.ended, o.queue, o.host.lostEpoch = true, nil, o.epoch
 	if o.world.owner == o {
 		o.world.owner = nil
 	}
 }
 
 // learn takes in what the store says of a job.
-func (o *owner) learn(name id.Job) {
+func (o *owner) loadJob(name id.Job) {
 	e := o.world.table.Get(name)
 	if e == nil || e.Spec == nil {
 		return
@@ -81,95 +81,95 @@
 }
 
 // take takes in one event when the processor comes to it; a pass follows.
-func (o *owner) take(event func(*owner)) {
-	o.do(duty{cost: o.world.setup.Costs.Event, end: func() {
+func (o *owner) enqueueEvent(event func(*owner)) {
+	o.enqueue(workItem{cost: o.world.setup.Costs.Event, onEnd: func() {
 		event(o)
-		o.wake(0)
+		o.schedulePass(0)
 	}})
 }
 
 // do puts a duty into the queue of the processor.
-func (o *owner) do(d duty) {
+func (o *owner) enqueue(d workItem) {
 	if o.ended {
 		return
 	}
-	d.since = o.world.now
-	o.duties = append(o.duties, d)
+	d.queuedAt = o.world.now
+	o.queue = append(o.queue, d)
 	if !o.busy {
-		o.step()
+		o.runNext()
 	}
 }
 
 // step begins the next duty. Those that take no time are done at once, one after the other.
-func (o *owner) step() {
+func (o *owner) runNext() {
 	w := o.world
 	o.busy = true
-	for len(o.duties) > 0 && !o.ended {
-		d := o.duties[0]
-		o.duties = o.duties[1:]
-		w.tally.waited(w.now.Sub(d.since))
+	for len(o.queue) > 0 && !o.ended {
+		d := o.queue[0]
+		o.queue = o.queue[1:]
+		w.tally.recordWait(w.now.Sub(d.queuedAt))
 		cost := d.cost
-		if d.begin != nil {
-			cost += d.begin()
+		if d.onBegin != nil {
+			cost += d.onBegin()
 		}
 		w.tally.Owned += cost
-		if takes := stretch(cost, 1/o.host.Cores); takes > 0 {
+		if takes := scale(cost, 1/o.host.Cores); takes > 0 {
 			w.tally.OwnedTime += takes
-			w.Plan(takes, func() { o.finish(d) })
+			w.Plan(takes, func() { o.finishItem(d) })
 			return
 		}
-		if d.end != nil {
-			d.end()
+		if d.onEnd != nil {
+			d.onEnd()
 		}
 	}
 	o.busy = false
 }
 
 // finish ends a duty that has taken time.
-func (o *owner) finish(d duty) {
+func (o *owner) finishItem(d workItem) {
 	if o.ended {
 		return
 	}
-	if d.end != nil {
-		d.end()
+	if d.onEnd != nil {
+		d.onEnd()
 	}
-	o.step()
+	o.runNext()
 }
 
 // wake plans a pass after a time, but not before one is due.
-func (o *owner) wake(after time.Duration) {
+func (o *owner) schedulePass(after time.Duration) {
 	w := o.world
-	at := max(w.now.Add(after), o.next)
-	if o.planned != 0 && o.planned <= at {
+	at := max(w.now.Add(after), o.nextPass)
+	if o.plannedPass != 0 && o.plannedPass <= at {
 		return
 	}
-	o.planned = at
+	o.plannedPass = at
 	w.agenda.Plan(at, func() {
-		if o.planned != at || o.ended {
+		if o.plannedPass != at || o.ended {
 			return
 		}
-		o.planned = 0
-		o.pass()
+		o.plannedPass = 0
+		o.enqueuePass()
 	})
 }
 
 // pass lets the processor decide what is due.
-func (o *owner) pass() {
+func (o *owner) enqueuePass() {
 	w := o.world
 	var began unit.Instant
-	o.do(duty{
-		begin: func() time.Duration {
+	o.enqueue(workItem{
+		onBegin: func() time.Duration {
 			began = w.now
 			w.tally.Passes++
 			o.core.Pass(began, began)
 			return o.passCost()
 		},
-		end: func() {
-			o.next = max(began.Add(w.setup.Times.PassEvery), w.now.Add(stretch(w.now.Sub(began), w.setup.Times.PassShare)))
+		onEnd: func() {
+			o.nextPass = max(began.Add(w.setup.Times.PassEvery), w.now.Add(scale(w.now.Sub(began), w.setup.Times.PassShare)))
 			o.flush()
-			o.handOut()
-			o.notes()
-			o.wake(w.setup.Times.IdleEvery)
+			o.sendOrders()
+			o.countNotes()
+			o.schedulePass(w.setup.Times.IdleEvery)
 		},
 	})
 }
@@ -184,12 +184,12 @@
 }
 
 // notes counts what was decided. An owner that a worker has fenced gives up.
-func (o *owner) notes() {
+func (o *owner) countNotes() {
 	w := o.world
 	for _, n := range o.core.Notes() {
 		w.events[n.Event]++
 		if n.Event == dispatch.EventViolated {
-			w.violated("the owner found: " + n.Why)
+			w.recordViolation("the owner found: " + n.Why)
 		}
 	}
 	if o.core.Fenced() {
@@ -205,7 +205,7 @@
 	}
 	b, some, err := o.core.Flush()
 	if err != nil {
-		w.violated("no records: " + err.Error())
+		w.recordViolation("no records: " + err.Error())
 		return
 	}
 	if !some {
@@ -217,10 +217,10 @@
 	}
 	o.writing = true
 	o.write(b, func() {
-		o.take(func(*owner) {
+		o.enqueueEvent(func(*owner) {
 			o.writing = false
 			o.core.Committed(w.now, b)
-			o.handOut()
+			o.sendOrders()
 			o.flush()
 		})
 	})
@@ -253,35 +253,35 @@
 }
 
 // handOut sends what was decided.
-func (o *owner) handOut() {
+func (o *owner) sendOrders() {
 	orders := o.core.Take()
 	for _, x := range orders.Starts {
 		leaves := func() bool { return o.core.StartRules().Forbid(o.world.now, x.Domain) == "" }
-		o.order(x.Target, leaves, func(m *machine) fleet.Verdict { return m.start(x) }, func(v fleet.Verdict, c fleet.Clock) {
+		o.sendOrder(x.Target, leaves, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.Clock) {
 			o.core.Started(o.world.now, dispatch.StartResult{Start: x, Verdict: v, Clock: c})
 		})
 	}
 	for _, x := range orders.Stops {
-		o.order(x.Target, always, func(m *machine) fleet.Verdict { return m.stop(x) }, func(v fleet.Verdict, c fleet.Clock) {
+		o.sendOrder(x.Target, always, func(m *machine) fleet.Verdict { return m.stopRun(x) }, func(v fleet.Verdict, c fleet.Clock) {
 			o.core.Stopped(o.world.now, dispatch.StopResult{Stop: x, Verdict: v, Clock: c})
 		})
 	}
 	for _, x := range orders.Paces {
-		o.order(x.Target, always, func(*machine) fleet.Verdict { return fleet.Carried }, func(v fleet.Verdict, c fleet.Clock) {
+		o.sendOrder(x.Target, always, func(*machine) fleet.Verdict { return fleet.Carried }, func(v fleet.Verdict, c fleet.Clock) {
 			o.core.Paced(o.world.now, dispatch.PaceResult{Pace: x, Verdict: v, Clock: c})
 		})
 	}
 	for _, x := range orders.Renews {
-		o.send(func() { o.renew(x) })
+		o.enqueueSend(func() { o.sendRenew(x) })
 	}
 }
 
 // send lets an order leave when the processor and the link have come to it.
-func (o *owner) send(leave func()) {
+func (o *owner) enqueueSend(leave func()) {
 	w := o.world
-	o.do(duty{cost: w.setup.Costs.Order, end: func() {
-		w.link = max(w.link, w.now).Add(w.setup.Times.Gap)
-		w.agenda.Plan(w.link, leave)
+	o.enqueue(workItem{cost: w.setup.Costs.Order, onEnd: func() {
+		w.linkFreeAt = max(w.linkFreeAt, w.now).Add(w.setup.Times.Gap)
+		w.agenda.Plan(w.linkFreeAt, leave)
 	}})
 }
 
@@ -289,33 +289,33 @@
 func always() bool { return true }
 
 // order carries one order out, if it may leave when its turn has come, and takes its answer in. One that comes too late is lost.
-func (o *owner) order(t dispatch.Target, leaves func() bool, carry func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.Clock)) {
+func (o *owner) sendOrder(t dispatch.Target, leaves func() bool, carry func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.Clock)) {
 	w := o.world
 	decided := w.now
-	o.send(func() {
-		m := w.byLife[t.Worker]
+	o.enqueueSend(func() {
+		m := w.byIncarnation[t.Worker]
 		answer := func(v fleet.Verdict, after time.Duration) {
-			w.Plan(after, func() { o.take(func(*owner) { answered(v, m.clock()) }) })
+			w.Plan(after, func() { o.enqueueEvent(func(*owner) { answered(v, m.clock()) }) })
 		}
 		if !leaves() {
 			answer(fleet.Unreachable, 0)
 			return
 		}
 		refused := func(r refusal) { answer(r.verdict, r.after) }
-		o.connect(m, t, refused, func(c connection) { o.leave(c, t, decided, carry, answer) })
+		o.connect(m, t, refused, func(c connection) { o.deliver(c, t, decided, carry, answer) })
 	})
 }
 
 // leave lets an order that was decided at a time leave on a connection.
-func (o *owner) leave(c connection, t dispatch.Target, decided unit.Instant, carry func(*machine) fleet.Verdict, answer func(fleet.Verdict, time.Duration)) {
+func (o *owner) deliver(c connection, t dispatch.Target, decided unit.Instant, carry func(*machine) fleet.Verdict, answer func(fleet.Verdict, time.Duration)) {
 	w, m := o.world, c.machine
 	half := w.setup.Times.Trip / 2
 	give := func() {
-		if !c.open() {
+		if !c.isOpen() {
 			answer(fleet.Unknown, half)
 			return
 		}
-		v := m.meet(t)
+		v := m.receiveOrder(t)
 		if v == fleet.Carried {
 			v = carry(m)
 		}
@@ -330,7 +330,7 @@
 		}
 		answer(v, half)
 	}
-	switch by := w.late.delay(w, t); {
+	switch by := w.lateOrders.delay(w, t); {
 	case m.silent():
 		answer(fleet.Unknown, w.setup.Times.Timeout)
 	case by > 0:
@@ -345,28 +345,28 @@
 func (w *World) deliverLate(c connection, t dispatch.Target, by time.Duration, carry func(*machine) fleet.Verdict) {
 	m, way := c.machine, by
 	if w.setup.Delivery == AtWorker {
-		way = min(by, stretch(w.setup.Times.Timeout, w.chance("way", t.Worker, w.late.sent)))
+		way = min(by, scale(w.setup.Times.Timeout, w.draw("way", t.Worker, w.lateOrders.sent)))
 	}
 	w.Plan(way, func() {
-		if !m.listens() || !c.open() {
+		if !m.reachable() || !c.isOpen() {
 			return
 		}
-		life := m.life
+		life := m.incarnation
 		w.Plan(by-way, func() {
-			if !m.up || m.life != life || m.obey(t) != fleet.Carried {
+			if !m.up || m.incarnation != life || m.admitOrder(t) != fleet.Carried {
 				return
 			}
-			w.late.carrying = true
+			w.lateOrders.carrying = true
 			carry(m)
-			w.late.carrying = false
+			w.lateOrders.carrying = false
 		})
 	})
 }
 
 // renew carries one renewal out.
-func (o *owner) renew(x dispatch.Renew) {
+func (o *owner) sendRenew(x dispatch.Renew) {
 	w := o.world
-	m := w.byLife[x.Worker]
+	m := w.byIncarnation[x.Worker]
 	sent, half, answered := w.now, w.setup.Times.Trip/2, false
 	answer := func(v fleet.Verdict, rep fleet.Report, after time.Duration) {
 		w.Plan(after, func() {
@@ -374,14 +374,14 @@
 				return
 			}
 			answered = true
-			o.take(func(*owner) {
+			o.enqueueEvent(func(*owner) {
 				o.core.Renewed(w.now, dispatch.RenewResult{Renew: x, Sent: sent, Verdict: v, Report: rep})
 			})
 		})
 	}
 	refused := func(r refusal) {
-		if r.other != nil {
-			answer(fleet.Replaced, *r.other, r.after)
+		if r.otherReport != nil {
+			answer(fleet.Replaced, *r.otherReport, r.after)
 			return
 		}
 		answer(r.verdict, fleet.Report{Clock: m.clock()}, r.after)
@@ -394,11 +394,11 @@
 		// The answer never comes if the worker's life ends while the renewal waits there.
 		answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
 		w.Plan(half, func() {
-			if !c.open() {
+			if !c.isOpen() {
 				answer(fleet.Unknown, fleet.Report{}, half)
 				return
 			}
-			if v := m.meet(x.Target); v != fleet.Carried {
+			if v := m.receiveOrder(x.Target); v != fleet.Carried {
 				answer(v, fleet.Report{Clock: m.clock()}, half)
 				return
 			}
--- a/core/world/run.go
+++ b/core/world/run.go
@@ -10,12 +10,12 @@
 )
 
 // failsAtOnce is after which time a run fails on a worker that fails all it starts.
-const failsAtOnce = 50 * time.Millisecond
+const quickFailTime = 50 * time.Millisecond
 
 // run is one run on a worker.
 type run struct {
 	machine *machine
-	job     *submitted
+	job     *submittedJob
 	step    *job.Step
 	task    job.Task
 	number  job.Run
@@ -24,31 +24,31 @@
 	gang *gang
 	// saved is the work that an earlier run had saved, whole the work of the task, both as time
 	// on a worker of speed 1.
-	saved, whole time.Duration
+	savedWork, totalWork time.Duration
 	// speed is how much of that is done in a second, from when the run began to work.
 	speed float64
 	// began is when it began to work; 0 while its gang isn't whole.
-	began unit.Instant
+	workStart unit.Instant
 	// due is when it ends if it never stands still.
-	due unit.Instant
+	dueAt unit.Instant
 	// stopping is set once it was ordered to stop, gone once it takes no room any more.
-	stopping, gone bool
+	stopping, ended bool
 }
 
 // begins takes a run into the worker.
-func (m *machine) begins(s *submitted, o dispatch.Start, need job.Resources) {
+func (m *machine) addRun(s *submittedJob, o dispatch.Start, need job.Resources) {
 	w := m.world
 	at, _ := s.Spec.Index(o.Task)
-	r := &run{machine: m, job: s, step: &s.Spec.Steps[o.Task.Step], task: o.Task, number: o.Run, need: need, whole: s.Takes[at]}
+	r := &run{machine: m, job: s, step: &s.Spec.Steps[o.Task.Step], task: o.Task, number: o.Run, need: need, totalWork: s.Takes[at]}
 	if r.step.Checkpointing && o.Checkpoint != "" {
 		if d, err := time.ParseDuration(o.Checkpoint); err == nil {
-			r.saved = d
+			r.savedWork = d
 		}
 	}
 	m.runs = append(m.runs, r)
 	m.used = m.used.Add(need)
-	l := s.ledgerOf(o.Task)
-	l.live++
+	l := s.historyOf(o.Task)
+	l.liveRuns++
 	l.lastStart = w.now
 	s.noteStart(w.now)
 	w.tally.Starts++
@@ -56,65 +56,67 @@
 		w.Plan(s.CrashAfter, r.crash)
 	}
 	if r.step.Gang {
-		w.join(r)
+		w.joinGang(r)
 		return
 	}
-	r.work(w.now)
+	r.startWork(w.now)
 }
 
 // work lets the run begin to work.
-func (r *run) work(now unit.Instant) {
-	r.began, r.speed = now, r.machine.Speed
+func (r *run) startWork(now unit.Instant) {
+	r.workStart, r.speed = now, r.machine.Speed
 	if now < r.machine.slowUntil {
 		r.speed /= r.machine.slowBy
 	}
-	if far := r.machine.world.setup.Far; far > 0 && r.far() {
+	if far := r.machine.world.setup.Far; far > 0 && r.crossesRacks() {
 		r.speed /= far
 	}
 	if r.step.LongRunning {
 		return
 	}
 	if r.gang == nil {
-		r.plan(r.left())
+		r.scheduleEnd(r.remaining())
 	}
 }
 
 // far reports whether the run is where it is slow.
-func (r *run) far() bool {
-	if r.step.DataRack != "" && !r.machine.carries(r.step.DataRack) {
+func (r *run) crossesRacks() bool {
+	if r.step.DataRack != "" && !r.machine.hasLabel(r.step.DataRack) {
 		return true
 	}
-	return r.step.SameRack && r.gang != nil && r.gang.spread()
+	return r.step.SameRack && r.gang != nil && r.gang.spansRacks()
 }
 
 // left returns how long the rest of the task takes from its beginning on.
-func (r *run) left() time.Duration { return r.restore() + stretch(r.whole-r.saved, 1/r.speed) }
+func (r *run) remaining() time.Duration {
+	return r.restoreTime() + scale(r.totalWork-r.savedWork, 1/r.speed)
+}
 
 // restore returns how long the run takes to go on from its checkpoint.
-func (r *run) restore() time.Duration {
-	if r.saved == 0 {
+func (r *run) restoreTime() time.Duration {
+	if r.savedWork == 0 {
 		return 0
 	}
 	return r.machine.world.setup.Times.Restore
 }
 
 // plan lets the run end after a time, or fail before.
-func (r *run) plan(after time.Duration) {
+func (r *run) scheduleEnd(after time.Duration) {
 	w := r.machine.world
 	how := fleet.EndDone
-	if w.chance("fail", r.task, r.number) < r.job.FailShare {
-		how, after = fleet.EndFailed, stretch(after, w.chance("when", r.task, r.number))
+	if w.draw("fail", r.task, r.number) < r.job.FailShare {
+		how, after = fleet.EndFailed, scale(after, w.draw("when", r.task, r.number))
 	}
 	if w.now < r.machine.failsUntil {
-		how, after = fleet.EndFailed, min(after, failsAtOnce)
+		how, after = fleet.EndFailed, min(after, quickFailTime)
 	}
-	r.due = w.now.Add(after)
-	w.Plan(after, func() { r.end(how) })
+	r.dueAt = w.now.Add(after)
+	w.Plan(after, func() { r.endWhenDue(how) })
 }
 
 // end ends the run as planned, or puts that off by the time in which it stood still. A gang ends when all of it is done.
-func (r *run) end(how fleet.How) {
-	if r.gone {
+func (r *run) endWhenDue(how fleet.How) {
+	if r.ended {
 		return
 	}
 	all := []*run{r}
@@ -123,26 +125,26 @@
 	}
 	now, owed := r.machine.world.now, time.Duration(0)
 	for _, m := range all {
-		owed = max(owed, m.due.Add(m.machine.stoodStill(m.began, now)).Sub(now))
+		owed = max(owed, m.dueAt.Add(m.machine.stalledTime(m.workStart, now)).Sub(now))
 	}
 	switch {
 	case owed > 0:
-		r.machine.world.Plan(owed, func() { r.end(how) })
+		r.machine.world.Plan(owed, func() { r.endWhenDue(how) })
 	case how == fleet.EndDone && r.gang != nil:
-		r.gang.done()
+		r.gang.finishAll()
 	default:
 		r.finish(how)
 	}
 }
 
 // worked returns the work that the run has done, what an earlier one had saved included.
-func (r *run) worked() time.Duration {
-	if r.began == 0 {
-		return r.saved
+func (r *run) workDone() time.Duration {
+	if r.workStart == 0 {
+		return r.savedWork
 	}
-	still := r.machine.stoodStill(r.began, r.machine.world.now)
-	worked := max(0, r.machine.world.now.Sub(r.began)-still-r.restore())
-	return min(r.whole, r.saved+stretch(worked, r.speed))
+	still := r.machine.stalledTime(r.workStart, r.machine.world.now)
+	worked := max(0, r.machine.world.now.Sub(r.workStart)-still-r.restoreTime())
+	return min(r.totalWork, r.savedWork+scale(worked, r.speed))
 }
 
 // checkpoint returns the newest checkpoint; empty if there is none.
@@ -151,22 +153,22 @@
 	if !r.step.Checkpointing || every == 0 {
 		return ""
 	}
-	return r.worked().Truncate(every).String()
+	return r.workDone().Truncate(every).String()
 }
 
 // percent returns how much of the task is done.
 func (r *run) percent() int {
-	if r.whole == 0 {
+	if r.totalWork == 0 {
 		return 0
 	}
-	return int(100 * r.worked() / r.whole)
+	return int(100 * r.workDone() / r.totalWork)
 }
 
 // finish ends the run and lists its end.
 func (r *run) finish(how fleet.How) {
 	m, w := r.machine, r.machine.world
-	r.leave(how == fleet.EndDone)
-	l := r.job.ledgerOf(r.task)
+	r.release(how == fleet.EndDone)
+	l := r.job.historyOf(r.task)
 	switch {
 	case how == fleet.EndFailed:
 		l.failures++
@@ -181,12 +183,12 @@
 	}
 	m.seq++
 	e.Seq = m.seq
-	m.ends = append(m.ends, end{End: e, job: r.job, at: w.now})
-	if m.held != nil {
-		m.held()
+	m.ends = append(m.ends, listedEnd{End: e, job: r.job, at: w.now})
+	if m.answerHeld != nil {
+		m.answerHeld()
 	}
 	if r.gang != nil && how != fleet.EndDone {
-		r.gang.breaks()
+		r.gang.breakUp()
 	}
 }
 
@@ -200,7 +202,7 @@
 	default:
 		r.stopping = true
 		w.Plan(w.setup.Times.Stop, func() {
-			if !r.gone {
+			if !r.ended {
 				r.finish(fleet.EndStopped)
 			}
 		})
@@ -209,29 +211,29 @@
 
 // vanish ends the run without a word.
 func (r *run) vanish() {
-	r.leave(false)
+	r.release(false)
 	r.machine.world.tally.Vanished++
 	if r.gang != nil {
-		r.gang.breaks()
+		r.gang.breakUp()
 	}
 }
 
 // crash ends the life of the run's worker, if the run is still there.
 func (r *run) crash() {
-	if r.gone {
+	if r.ended {
 		return
 	}
-	r.job.ledgerOf(r.task).crashes++
+	r.job.historyOf(r.task).crashes++
 	r.machine.world.tally.Crashes++
-	next := ownName
+	next := newID
 	if r.job.Reborn {
-		next = sameName
+		next = sameID
 	}
-	r.machine.die(r.machine.world.setup.Times.Restart, next)
+	r.machine.endIncarnation(r.machine.world.setup.Times.Restart, next)
 }
 
 // leave frees the run's room and counts the work that is lost.
-func (r *run) leave(done bool) {
+func (r *run) release(done bool) {
 	m, w := r.machine, r.machine.world
 	for i, o := range m.runs {
 		if o == r {
@@ -239,27 +241,27 @@
 			break
 		}
 	}
-	r.gone = true
+	r.ended = true
 	m.used = m.used.Sub(r.need)
-	r.job.ledgerOf(r.task).live--
-	cores := coresOf(r.need)
+	r.job.historyOf(r.task).liveRuns--
+	cores := coreWeight(r.need)
 	if done {
-		w.tally.Useful += cores * stretch(r.whole-r.saved, 1/r.speed).Seconds()
+		w.tally.Useful += cores * scale(r.totalWork-r.savedWork, 1/r.speed).Seconds()
 		return
 	}
 	kept := time.Duration(0)
 	if every := w.setup.SaveEvery; r.step.Checkpointing && every > 0 {
-		kept = r.worked().Truncate(every)
+		kept = r.workDone().Truncate(every)
 	}
-	if r.began != 0 {
-		w.tally.Wasted += cores * stretch(r.worked()-max(kept, r.saved), 1/r.speed).Seconds()
+	if r.workStart != 0 {
+		w.tally.Wasted += cores * scale(r.workDone()-max(kept, r.savedWork), 1/r.speed).Seconds()
 	}
 }
 
 // acceleratorCores is how many cores an accelerator counts for, by the platform's prices.
-const acceleratorCores = 8
+const coresPerAccelerator = 8
 
 // coresOf returns the weight of resources in cores.
-func coresOf(r job.Resources) float64 {
-	return float64(r.CPU)/1000 + acceleratorCores*float64(r.Accelerators)
+func coreWeight(r job.Resources) float64 {
+	return float64(r.CPU)/1000 + coresPerAccelerator*float64(r.Accelerators)
 }
--- a/core/world/store.go
+++ b/core/world/store.go
@@ -11,9 +11,9 @@
 type store struct {
 	world *World
 	// free is when it can take the next append, up when it is there again.
-	free, up unit.Instant
+	freeAt, upAt unit.Instant
 	// slow times the usual time is how long an append takes.
-	slow float64
+	slowdown float64
 	// fences are the highest epochs that its logs have seen.
 	fences [logs]id.Epoch
 }
@@ -34,9 +34,9 @@
 func (s *store) append(l logName, e id.Epoch, recs []jobtable.Record, done func(bool)) {
 	w := s.world
 	t := w.setup.Times
-	begin := max(w.now, s.free, s.up)
-	s.free = begin.Add(stretch(t.AppendGap, s.slow))
-	w.agenda.Plan(begin.Add(stretch(t.Append, s.slow)), func() {
+	begin := max(w.now, s.freeAt, s.upAt)
+	s.freeAt = begin.Add(scale(t.AppendGap, s.slowdown))
+	w.agenda.Plan(begin.Add(scale(t.Append, s.slowdown)), func() {
 		if e != 0 && e < s.fences[l] {
 			done(false)
 			return
@@ -53,13 +53,13 @@
 func (w *World) apply(l logName, r jobtable.Record) {
 	if l == progressLog {
 		if err := w.table.ApplyProgress(r); err != nil {
-			w.violated("the progress log has a record that isn't one: " + err.Error())
+			w.recordViolation("the progress log has a record that isn't one: " + err.Error())
 		}
 		return
 	}
 	name, err := w.table.Apply(r)
 	if err != nil {
-		w.violated("the store refused a record: " + err.Error())
+		w.recordViolation("the store refused a record: " + err.Error())
 		return
 	}
 	e, s := w.table.Get(name), w.jobs[name]
@@ -71,11 +71,11 @@
 	}
 	switch e.Summary.Outcome {
 	case job.Completed:
-		w.finish(s, Completed)
+		w.recordOutcome(s, Completed)
 	case job.Failed:
-		w.finish(s, Failed)
+		w.recordOutcome(s, Failed)
 	case job.Cancelled:
-		w.finish(s, Cancelled)
+		w.recordOutcome(s, Cancelled)
 	case job.Open:
 	}
 }
--- a/core/world/tally.go
+++ b/core/world/tally.go
@@ -26,27 +26,27 @@
 )
 
 // submitted is a job that was handed in, and what became of it.
-type submitted struct {
+type submittedJob struct {
 	Job
-	at, ended unit.Instant
+	submittedAt, endedAt unit.Instant
 	// started is when its first run began; 0 before.
-	started unit.Instant
-	state   State
+	startedAt unit.Instant
+	state     State
 	// doneTasks counts the tasks that a run has ended with success.
 	doneTasks int
-	ledger    map[job.Task]*taskLedger
+	histories map[job.Task]*taskHistory
 }
 
 // noteStart notes that a run of the job has begun.
-func (s *submitted) noteStart(now unit.Instant) {
-	if s.started == 0 {
-		s.started = now
+func (s *submittedJob) noteStart(now unit.Instant) {
+	if s.startedAt == 0 {
+		s.startedAt = now
 	}
 }
 
 // finish notes that a job is shown with its outcome.
-func (w *World) finish(s *submitted, as State) {
-	s.state, s.ended = as, w.now
+func (w *World) recordOutcome(s *submittedJob, as State) {
+	s.state, s.endedAt = as, w.now
 	w.checkFinish(s, as)
 }
 
@@ -70,17 +70,17 @@
 
 // Outcomes returns what became of the jobs, in the order in which they were handed in.
 func (w *World) Outcomes() []Outcome {
-	out := make([]Outcome, 0, len(w.order))
-	for _, s := range w.order {
+	out := make([]Outcome, 0, len(w.submissions))
+	for _, s := range w.submissions {
 		o := Outcome{
-			Name: s.Name, Kind: s.Kind, State: s.state, At: s.at.Sub(Begin), Work: s.work(), Chain: s.chain(), Fails: s.FailShare,
+			Name: s.Name, Kind: s.Kind, State: s.state, At: s.submittedAt.Sub(Begin), Work: s.totalWork(), Chain: s.longestChain(), Fails: s.FailShare,
 			Crashes: s.CrashAfter > 0,
 		}
-		if s.started != 0 {
-			o.Started = s.started.Sub(s.at)
+		if s.startedAt != 0 {
+			o.Started = s.startedAt.Sub(s.submittedAt)
 		}
-		if s.ended != 0 {
-			o.Took = s.ended.Sub(s.at)
+		if s.endedAt != 0 {
+			o.Took = s.endedAt.Sub(s.submittedAt)
 		}
 		out = append(out, o)
 	}
@@ -88,13 +88,13 @@
 }
 
 // work returns the core-seconds of a job's tasks.
-func (s *submitted) work() float64 {
+func (s *submittedJob) totalWork() float64 {
 	sum, at := 0.0, 0
 	for range s.Spec.RoundCount() {
 		for i := range s.Spec.Steps {
 			step := &s.Spec.Steps[i]
 			for range step.Count {
-				sum += coresOf(step.Need) * s.Takes[at].Seconds()
+				sum += coreWeight(step.Need) * s.Takes[at].Seconds()
 				at++
 			}
 		}
@@ -103,7 +103,7 @@
 }
 
 // chain returns the longest chain of work of the first round: of each step its longest task.
-func (s *submitted) chain() time.Duration {
+func (s *submittedJob) longestChain() time.Duration {
 	ends := make([]time.Duration, len(s.Spec.Steps))
 	at := 0
 	for i := range s.Spec.Steps {
@@ -154,7 +154,7 @@
 }
 
 // waited notes how long something waited for the owner's processor.
-func (t *Tally) waited(d time.Duration) { t.LongestWait = max(t.LongestWait, d) }
+func (t *Tally) recordWait(d time.Duration) { t.LongestWait = max(t.LongestWait, d) }
 
 // Tally returns what has happened up to now.
 func (w *World) Tally() Tally { return w.tally }
@@ -210,15 +210,15 @@
 // openTasks counts the tasks of open jobs that are not done.
 func (w *World) openTasks() int {
 	n := 0
-	open := w.open[:0]
-	for _, s := range w.open {
+	open := w.openJobs[:0]
+	for _, s := range w.openJobs {
 		if s.state != Open {
 			continue
 		}
 		open = append(open, s)
 		n += len(s.Takes) - s.doneTasks
 	}
-	w.open = open
+	w.openJobs = open
 	return n
 }
 
@@ -232,4 +232,4 @@
 }
 
 // stretch returns by times d.
-func stretch(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
--- a/core/world/world.go
+++ b/core/world/world.go
@@ -36,29 +36,29 @@
 	table  *jobtable.Table
 	store  store
 	// link is when the owner's link is free.
-	link  unit.Instant
-	hosts []*host
+	linkFreeAt unit.Instant
+	hosts      []*host
 	// owner is nil while no host is the owner.
 	owner *owner
 	epoch id.Epoch
 
 	// machines holds the workers in the order of the setup; byLife finds the one of which an
 	// id is a life.
-	machines []*machine
-	byLife   map[id.Worker]*machine
-	listed   []fleet.Listing
-	gangs    map[gangKey]*gang
-	late     lateOrders
+	machines      []*machine
+	byIncarnation map[id.Worker]*machine
+	listed        []fleet.Listing
+	gangs         map[gangKey]*gang
+	lateOrders    lateOrders
 	// evacuations holds the evacuated failure domains.
 	evacuations map[id.Domain]evacuation
 
-	jobs  map[id.Job]*submitted
-	order []*submitted
+	jobs        map[id.Job]*submittedJob
+	submissions []*submittedJob
 	// open holds the jobs that had no outcome when they were last counted.
-	open  []*submitted
-	tally Tally
+	openJobs []*submittedJob
+	tally    Tally
 	// broken lists what did not hold.
-	broken []string
+	violations []string
 	// events counts what was decided, by the name of the event.
 	events map[dispatch.Event]int
 }
@@ -69,10 +69,10 @@
 		return nil, ErrSetup
 	}
 	w := &World{
-		setup: s, now: Begin, table: jobtable.New(), byLife: map[id.Worker]*machine{}, gangs: map[gangKey]*gang{}, evacuations: map[id.Domain]evacuation{},
-		jobs: map[id.Job]*submitted{}, events: map[dispatch.Event]int{}, link: Begin,
+		setup: s, now: Begin, table: jobtable.New(), byIncarnation: map[id.Worker]*machine{}, gangs: map[gangKey]*gang{}, evacuations: map[id.Domain]evacuation{},
+		jobs: map[id.Job]*submittedJob{}, events: map[dispatch.Event]int{}, linkFreeAt: Begin,
 	}
-	w.store = store{world: w, free: Begin, up: Begin, slow: 1}
+	w.store = store{world: w, freeAt: Begin, upAt: Begin, slowdown: 1}
 	for i, x := range s.Workers {
 		if x.Speed <= 0 {
 			return nil, fmt.Errorf("%w: worker %s", ErrSetup, x.ID)
@@ -85,11 +85,11 @@
 		}
 		w.addHost(i, h)
 	}
-	return w, w.first()
+	return w, w.installFirstOwner()
 }
 
 // first makes the first host the owner, by a claim that is in the store.
-func (w *World) first() error {
+func (w *World) installFirstOwner() error {
 	w.epoch = 1
 	r, err := w.table.OwnerRecord(jobtable.Owner{Host: w.hosts[0].ID, Epoch: w.epoch})
 	if err != nil {
@@ -135,9 +135,9 @@
 	if len(j.Takes) != j.Spec.RoundCount()*j.Spec.Width() || len(j.Takes) == 0 || w.jobs[j.Name] != nil {
 		return fmt.Errorf("%w: %s", ErrJob, j.Name)
 	}
-	s := &submitted{Job: j, at: w.now, state: Open, ledger: map[job.Task]*taskLedger{}}
+	s := &submittedJob{Job: j, submittedAt: w.now, state: Open, histories: map[job.Task]*taskHistory{}}
 	w.jobs[j.Name] = s
-	w.order = append(w.order, s)
+	w.submissions = append(w.submissions, s)
 	if !w.fits(&j.Spec) {
 		s.state = Refused
 		return fmt.Errorf("%w: %s", ErrNeverFits, j.Name)
@@ -146,12 +146,12 @@
 		s.Spec.First = w.now
 	}
 	s.Spec.Accepted = w.now
-	w.open = append(w.open, s)
+	w.openJobs = append(w.openJobs, s)
 	r, err := w.table.SpecRecord(j.Name, s.Spec)
 	if err != nil {
 		return err
 	}
-	w.store.append(jobsLog, 0, []jobtable.Record{r}, func(bool) { w.announce(j.Name) })
+	w.store.append(jobsLog, 0, []jobtable.Record{r}, func(bool) { w.notifyOwner(j.Name) })
 	if j.CancelAfter > 0 {
 		w.Plan(j.CancelAfter, func() { w.cancel(s) })
 	}
@@ -166,18 +166,18 @@
 }
 
 // cancel hands in the cancellation of a job that has not ended.
-func (w *World) cancel(s *submitted) {
+func (w *World) cancel(s *submittedJob) {
 	if s.state != Open {
 		return
 	}
-	w.store.append(jobsLog, 0, []jobtable.Record{w.table.CancelRecord(s.Name)}, func(bool) { w.announce(s.Name) })
+	w.store.append(jobsLog, 0, []jobtable.Record{w.table.CancelRecord(s.Name)}, func(bool) { w.notifyOwner(s.Name) })
 }
 
 // announce lets the owner read what the store says of a job. An owner that takes over later reads it then.
-func (w *World) announce(name id.Job) {
+func (w *World) notifyOwner(name id.Job) {
 	w.Plan(w.setup.Times.Read, func() {
 		if w.owner != nil {
-			w.owner.take(func(o *owner) { o.learn(name) })
+			w.owner.enqueueEvent(func(o *owner) { o.loadJob(name) })
 		}
 	})
 }
@@ -189,8 +189,8 @@
 		step := &s.Steps[i]
 		room := 0
 		for _, m := range w.machines {
-			if m.Service == s.Service && m.carries(step.Label) {
-				room += howMany(step, m.whole)
+			if m.Service == s.Service && m.hasLabel(step.Label) {
+				room += countFitting(step, m.fullCapacity)
 			}
 		}
 		if room == 0 || step.Gang && room < step.Count {
@@ -201,7 +201,7 @@
 }
 
 // howMany returns how many tasks of a step a worker holds, as far as it counts: at most all.
-func howMany(s *job.Step, free job.Resources) int {
+func countFitting(s *job.Step, free job.Resources) int {
 	n := 0
 	most := s.Count
 	if s.MaxPerWorker > 0 {
@@ -216,7 +216,7 @@
 }
 
 // chance returns a number from 0 to 1 that depends on the seed and on names alone.
-func (w *World) chance(what string, parts ...any) float64 {
+func (w *World) draw(what string, parts ...any) float64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, what, parts)
 	return rand.New(rand.NewPCG(w.setup.Seed, h.Sum64())).Float64()
