--- a/core/world/check_internal_test.go
+++ b/core/world/check_internal_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.owner.end() // it would stop what it hasn't ordered
+	w.owner.end() // it would stop runs that it has not ordered
 	return &harness{t: t, w: w}
 }
 
@@ -84,7 +84,7 @@
 		c.w.byIncarnation[id.Worker(f[1])].endIncarnation(100*time.Millisecond, sameID)
 	case "told":
 		m := c.w.byIncarnation[id.Worker(f[1])]
-		m.renew(dispatch.Renew{Told: m.seq, Until: fleet.Clock(time.Hour)}, func(fleet.Report) {})
+		m.renew(dispatch.Renew{Told: m.lastSeq, Until: fleet.Clock(time.Hour)}, func(fleet.Report) {})
 	case "run":
 		c.w.Run(c.duration(f[1]))
 	case "shown":
@@ -144,7 +144,10 @@
 		}
 		spec.Steps = append(spec.Steps, step)
 	}
-	c.s = &submittedJob{Job: Job{Name: "j", Spec: spec, FailShare: fails, CrashAfter: crash}, submittedAt: c.w.now, state: Open, histories: map[job.Task]*taskHistory{}}
+	c.s = &submittedJob{
+		Job: Job{Name: "j", Spec: spec, FailShare: fails, CrashAfter: crash}, submittedAt: c.w.now,
+		state: Open, histories: map[job.Task]*taskHistory{},
+	}
 	for range spec.Width() {
 		c.s.Takes = append(c.s.Takes, time.Second)
 	}
--- a/core/world/connection.go
+++ b/core/world/connection.go
@@ -7,28 +7,32 @@
 	"curlewsill.org/curlewsill/core/fleet"
 )
 
-// connection is what an order to a worker leaves on.
+// connection is a connection to a worker on which orders are sent.
 type connection struct {
 	machine *machine
-	// life is the one that has accepted the connection; 0 where any life gets what is sent.
+	// incarnation is the one that accepted the connection; 0 where an order
+	// reaches any incarnation.
 	incarnation int
 }
 
-// open reports whether what was sent reaches somebody.
+// isOpen reports whether an order on the connection reaches the worker.
 func (c connection) isOpen() bool {
 	return c.incarnation == 0 || c.machine.up && c.machine.incarnation == c.incarnation
 }
 
-// refusal is why an order was not sent, and how long it takes until its sender knows.
+// refusal says why an order was not sent, and after which time the sender
+// learns of it.
 type refusal struct {
 	verdict fleet.Verdict
 	after   time.Duration
-	// other is what another life answered that has the name of the one that was meant; nil if none did.
+	// otherReport is the report of another incarnation with the target's name;
+	// nil if none answered.
 	otherReport *fleet.Report
 }
 
-// connect lets something be sent to a worker: at once on a connection to the life that is meant, else after a handshake on a new one. What
-// keeps it from being sent is told.
+// connect calls send with a connection to a worker: at once with an open one to
+// the target incarnation, else after a handshake on a new one. It calls refused
+// if the order can't be sent.
 func (o *owner) connect(m *machine, t dispatch.Target, refused func(refusal), send func(connection)) {
 	w := o.world
 	if w.setup.Delivery != OnConnection || !fleet.TellsStart(t.Worker) {
@@ -40,7 +44,7 @@
 		return
 	}
 	half := w.setup.Times.Trip / 2
-	if by := w.lateOrders.delay(w, t); by > 0 {
+	if delay := w.lateOrders.delay(w, t); delay > 0 {
 		refused(refusal{verdict: fleet.Unreachable, after: w.setup.Times.Timeout})
 		return
 	}
--- a/core/world/doc.go
+++ b/core/world/doc.go
@@ -1,18 +1,25 @@
-// Package world is a model in virtual time of a site under core/dispatch: workers, the store,
-// and the hosts of which one is the owner.
+// Package world simulates a site under core/dispatch in virtual time: its
+// workers, its metadata store, and the hosts, of which one is the owner.
 //
-// The decisions are the product's own: the owner of a World is a dispatch.Dispatcher, and who
-// becomes the owner is decided by election.Election. The model stands for what is around them:
+// The scheduling code is the production code: the owner of a World is a
+// dispatch.Dispatcher, and election.Election decides which host becomes the
+// owner. The simulation models their environment:
 //
-//   - Workers run tasks at a speed of their own under leases by their own clocks; they fail,
-//     leave, fall silent, carry orders out late and come back as another life.
-//   - The store takes appends in turn, each after a time; it may be slow or away.
-//   - The owner's processor does one thing after the other: a pass, an answer, an order. What it
-//     can't keep up with waits, and leases run out meanwhile.
-//   - Hosts look at the group of live hosts, claim and take over from the store's records.
+//   - Workers run tasks at their own speeds, under leases that are measured by
+//     their own clocks. They fail, leave, stop communicating, execute orders
+//     late and come back as a new incarnation.
+//   - The store serializes appends, and each takes time. It can be slow or
+//     unavailable.
+//   - The owner's processor does one item of work at a time: a scheduling pass,
+//     an answer or an order. When it is overloaded, work queues up and leases
+//     expire in the meantime.
+//   - Hosts poll the group of live hosts, claim the ownership, and take over
+//     from the records in the store.
 //
-// A World checks what must hold whatever is decided: no task runs twice, no worker holds more
-// than its capacity, a gang runs whole or not at all, no step before those it depends on, no
-// more failures than attempts. What was broken is listed by Violations. All chance follows from
-// the seed and from names, so that runs under different policies meet the same failures.
+// A World checks invariants that hold for every scheduling policy: no task runs
+// twice, no worker holds more than its capacity, a gang runs as a whole or not
+// at all, no step starts before those that it depends on, and no task fails
+// more often than it has attempts. Violations lists the invariants that did not
+// hold. All randomness derives from the seed and from names, so that runs under
+// different policies meet the same failures.
 package world
--- a/core/world/evacuation.go
+++ b/core/world/evacuation.go
@@ -10,13 +10,16 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// evacuation is a failure domain that the operator has evacuated, in which nothing may start.
+// evacuation is the state of an evacuated failure domain, in which nothing may
+// start.
 type evacuation struct {
-	// since is when it was evacuated, until when that is taken back.
+	// since is when the domain was evacuated, until when the evacuation is
+	// revoked.
 	since, until unit.Instant
 }
 
-// evacuate evacuates the failure domains that a fault concerns. One that is evacuated already stays so for longer.
+// evacuate evacuates the failure domains that a fault affects. The evacuation
+// of a domain that is evacuated already is extended.
 func (w *World) evacuate(f Fault) {
 	domains := w.domains()
 	chosen := w.chosen(f, len(domains))
@@ -25,8 +28,8 @@
 	}
 	for _, i := range chosen {
 		d := domains[i]
-		e, known := w.evacuations[d]
-		if !known {
+		e, evacuated := w.evacuations[d]
+		if !evacuated {
 			e.since = w.now
 		}
 		e.until = max(e.until, w.now.Add(f.Lasts))
@@ -39,7 +42,7 @@
 	}
 }
 
-// domains returns the failure domains of the site in order.
+// domains returns the sorted failure domains of the site.
 func (w *World) domains() []id.Domain {
 	all := map[id.Domain]bool{}
 	for _, m := range w.machines {
@@ -48,29 +51,31 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// checkDomain checks that a run may begin where its worker is. Late orders are left out: no owner can take them back.
+// checkDomain checks that a run may start in its worker's failure domain. Late
+// orders are exempt, because no owner can take them back.
 func (w *World) checkDomain(m *machine, o dispatch.Start) {
 	e, evacuated := w.evacuations[m.Domain]
-	if evacuated && !w.lateOrders.carrying && w.now > e.since.Add(w.setup.Evacuation) {
+	if evacuated && !w.lateOrders.executing && w.now > e.since.Add(w.setup.Evacuation) {
 		w.recordViolation(fmt.Sprintf("%s was started in %s, which was evacuated %s before", o.Task, m.Domain, w.now.Sub(e.since)))
 	}
 }
 
-// readOperator lets the owner read what the operator has written, again and again. While the store is away, it hears nothing.
+// pollOperator lets the owner read the operator's records periodically. While
+// the store is unavailable, the owner gets no update.
 func (o *owner) pollOperator() {
 	w := o.world
 	if o.ended || w.setup.Evacuation == 0 {
 		return
 	}
-	left, up := w.now, w.now >= w.store.upAt
+	readAt, storeUp := w.now, w.now >= w.store.upAt
 	domains := slices.Sorted(maps.Keys(w.evacuations))
 	w.Plan(w.setup.Times.Read, func() {
-		if !up {
+		if !storeUp {
 			return
 		}
 		o.enqueueEvent(func(o *owner) {
-			o.core.Evacuate(domains)
-			o.core.Inform(left)
+			o.dispatcher.Evacuate(domains)
+			o.dispatcher.Inform(readAt)
 		})
 	})
 	w.Plan(w.setup.Times.Poll, o.pollOperator)
--- a/core/world/fault.go
+++ b/core/world/fault.go
@@ -13,51 +13,63 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// ErrFault reports a fault of an unknown kind.
-var ErrFault = errors.New("world: no such fault")
+// ErrFault reports a fault of an unknown kind, or one that the setup doesn't
+// support.
+var ErrFault = errors.New("world: unknown or unsupported fault")
 
-// FaultKind says what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 // The kinds of faults.
 const (
-	// Kill ends workers at once; they are back as another life after Lasts.
+	// Kill ends workers at once. They come back as new incarnations after
+	// Lasts.
 	Kill FaultKind = "kill"
-	// Reborn is Kill with workers that are back under the names that they had; for a Setup with TellStart.
+	// Reborn is Kill with workers that come back under the names that they had.
+	// It requires Setup.TellStart.
 	Reborn FaultKind = "reborn"
-	// Silence cuts workers off; what runs there goes on until its lease ends.
+	// Silence lets workers neither receive nor answer orders, while the list
+	// still shows them. What runs there continues until its lease ends.
 	Silence FaultKind = "silence"
-	// Drain announces that workers leave after Lasts; they are back as long after that again.
+	// Drain announces that workers leave after Lasts. They come back after
+	// Lasts once more.
 	Drain FaultKind = "drain"
-	// Apart cuts workers off from the hosts, which can't connect, and from the list, which drops them after a
-	// while; what runs there goes on until its lease ends.
+	// Apart partitions workers from the hosts, which can't connect, and from
+	// the list of workers, which drops them after a while. What runs there
+	// continues until its lease ends.
 	Apart FaultKind = "apart"
-	// StaleEntry lets the list show the life before the present one of workers again, for as long as an
-	// entry stands.
+	// StaleEntry lets the list of workers show the previous incarnation of
+	// workers again, until that entry expires.
 	StaleEntry FaultKind = "stale-entry"
-	// ReadList lets the owner read the whole list again, in the order of names backwards.
+	// ReadList lets the owner read the whole list again, in reverse order of
+	// names.
 	ReadList FaultKind = "read-list"
-	// Fail lets all fail that workers start.
+	// Fail lets all runs fail that workers start.
 	Fail FaultKind = "fail"
-	// Busy lets workers refuse all orders to start.
+	// Busy lets workers refuse all start orders.
 	Busy FaultKind = "busy"
-	// Mute lets workers neither take nor answer orders to start, while they answer all others.
+	// Mute lets workers neither execute nor answer start orders, while they
+	// answer all other orders.
 	Mute FaultKind = "mute"
-	// Shrink makes workers smaller by Factor, and tells it in the list; they are as large as before after Lasts.
+	// Shrink divides the capacity of workers by Factor, which the list shows.
+	// They have their full capacity again after Lasts.
 	Shrink FaultKind = "shrink"
-	// Slow makes what workers begin slower by Factor.
+	// Slow makes the runs that workers start slower by Factor.
 	Slow FaultKind = "slow"
-	// Still lets what runs on workers make no progress, while they answer all orders.
+	// Still stalls the runs on workers, while the workers answer all orders.
 	Still FaultKind = "still"
-	// Evacuate evacuates failure domains, at least one, until Lasts is over or they are evacuated anew; for a Setup with Evacuation.
+	// Evacuate evacuates failure domains, at least one, until Lasts has passed;
+	// a later fault extends it. It requires Setup.Evacuation.
 	Evacuate FaultKind = "evacuate"
-	// Late lets a part of the orders get no answer; each is carried out Factor seconds later.
+	// Late lets a share of the orders get no answer. Each is executed Factor
+	// seconds later.
 	Late FaultKind = "late"
-	// StoreDown takes the store away.
+	// StoreDown makes the store unavailable.
 	StoreDown FaultKind = "store-down"
 	// StoreSlow makes appends slower by Factor.
 	StoreSlow FaultKind = "store-slow"
-	// KillOwner ends the owner's host, KillHosts a part of all; they are back after Lasts.
+	// KillOwner ends the owner's host, KillHosts a share of all hosts. They
+	// come back after Lasts.
 	KillOwner FaultKind = "kill-owner"
 	KillHosts FaultKind = "kill-hosts"
 )
@@ -70,32 +82,34 @@
 	}
 }
 
-// latestOrder is how late an order is at most that was meant for the life before, by the platform's pages. Nothing but time keeps the next life
-// under a name from taking it.
+// maxOrderDelay is the longest delay, by the platform's specification, of an
+// order for the previous incarnation. Only this bound keeps the next
+// incarnation of the same name from executing such an order later.
 const maxOrderDelay = 12 * time.Second
 
-// Fault is something that goes wrong.
+// Fault is a fault to inject.
 type Fault struct {
 	Kind FaultKind
-	// Share is the part of the workers, hosts or orders that it concerns, from 0 to 1.
+	// Share is the share of the workers, hosts, domains or orders that the
+	// fault affects, from 0 to 1.
 	Share float64
 	Lasts time.Duration
-	// Factor is for Slow, Late and StoreSlow.
+	// Factor is for Shrink, Slow, Late and StoreSlow.
 	Factor float64
 }
 
-// lateOrders says which orders are late.
+// lateOrders determines which orders are late.
 type lateOrders struct {
 	until   unit.Instant
 	share   float64
 	delayBy time.Duration
-	// sent numbers the orders.
+	// sent counts the orders while orders may be late.
 	sent int
-	// carrying is set while a late order is carried out.
-	carrying bool
+	// executing is set while a late order is executed.
+	executing bool
 }
 
-// delay returns by how much an order is late; 0 if it isn't.
+// delay returns the delay of an order, or 0 for one that isn't late.
 func (l *lateOrders) delay(w *World, t dispatch.Target) time.Duration {
 	if w.now >= l.until {
 		return 0
@@ -107,7 +121,7 @@
 	return l.delayBy
 }
 
-// Strike lets a fault begin now.
+// Strike injects a fault now.
 func (w *World) Strike(f Fault) error {
 	until := w.now.Add(f.Lasts)
 	switch f.Kind {
@@ -115,7 +129,7 @@
 		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Lasts, newID) })
 	case Reborn:
 		if !w.setup.TellStart {
-			return fmt.Errorf("%w: %q of workers that don't tell their starts", ErrFault, f.Kind)
+			return fmt.Errorf("%w: %q requires workers that report their start (Setup.TellStart)", ErrFault, f.Kind)
 		}
 		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Lasts, sameID) })
 	case Silence:
@@ -142,7 +156,7 @@
 		w.eachChosen(f, func(m *machine) { m.stalls = append(m.stalls, interval{from: w.now, to: until}) })
 	case Evacuate:
 		if w.setup.Evacuation == 0 {
-			return fmt.Errorf("%w: %q where no operator evacuates", ErrFault, f.Kind)
+			return fmt.Errorf("%w: %q requires a bound for evacuations (Setup.Evacuation)", ErrFault, f.Kind)
 		}
 		w.evacuate(f)
 	case Late:
@@ -169,15 +183,16 @@
 	return nil
 }
 
-// Down ends a worker's life, Up begins another one. They do nothing for a worker that is so
-// already, or isn't there.
+// Down ends a worker's incarnation for good. It does nothing for a worker that
+// is down or unknown.
 func (w *World) Down(name id.Worker) {
 	if m := w.machineByID(name); m != nil {
 		m.endIncarnation(0, newID)
 	}
 }
 
-// Up is described with Down.
+// Up starts a new incarnation of a worker. It does nothing for a worker that is
+// up or unknown.
 func (w *World) Up(name id.Worker) {
 	if m := w.machineByID(name); m != nil && !m.up {
 		m.startIncarnation(newID)
@@ -185,7 +200,7 @@
 	}
 }
 
-// machineOf returns a worker of the setup, or nil.
+// machineByID returns a worker of the setup, or nil.
 func (w *World) machineByID(name id.Worker) *machine {
 	for _, m := range w.machines {
 		if m.ID == name {
@@ -195,19 +210,19 @@
 	return nil
 }
 
-// each does something to the workers that a fault concerns.
-func (w *World) eachChosen(f Fault, do func(*machine)) {
+// eachChosen applies a function to the workers that a fault affects.
+func (w *World) eachChosen(f Fault, apply func(*machine)) {
 	for _, i := range w.chosen(f, len(w.machines)) {
-		do(w.machines[i])
+		apply(w.machines[i])
 	}
 }
 
-// chosen returns which of n a fault concerns, in order; they depend on the seed, the kind and the
-// time alone.
+// chosen returns the indexes, in order, of those among n that a fault affects.
+// They depend only on the seed, the kind and the time.
 func (w *World) chosen(f Fault, n int) []int {
-	some := min(n, int(math.Round(f.Share*float64(n))))
+	count := min(n, int(math.Round(f.Share*float64(n))))
 	stream := uint64(w.draw("fault", f.Kind, w.now) * math.MaxUint32)
-	out := rand.New(rand.NewPCG(w.setup.Seed, stream)).Perm(n)[:some]
+	out := rand.New(rand.NewPCG(w.setup.Seed, stream)).Perm(n)[:count]
 	slices.Sort(out)
 	return out
 }
--- a/core/world/gang.go
+++ b/core/world/gang.go
@@ -9,7 +9,7 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// gangKey names one step of a round of a job.
+// gangKey identifies one step of a round of a job.
 type gangKey struct {
 	job         id.Job
 	round, step int
@@ -19,17 +19,19 @@
 type gang struct {
 	number  job.Run
 	members []*run
-	// whole is set once all members are there; spoilt once one of them has gone.
+	// complete is set once all members have started, broken once one of them
+	// has ended without success.
 	complete, broken bool
 }
 
-// join takes a run into its gang, and lets the gang work once it is whole.
+// joinGang adds a run to its gang, and starts the work of the gang once it is
+// complete.
 func (w *World) joinGang(r *run) {
 	key := gangKey{job: r.task.Job, round: r.task.Round, step: r.task.Step}
 	g := w.gangs[key]
 	if g == nil || g.number != r.number {
 		if g != nil && g.liveMembers() > 0 {
-			w.recordViolation(fmt.Sprintf("%s: run %d begins while members of run %d are there", r.task, r.number, g.number))
+			w.recordViolation(fmt.Sprintf("%s: run %d begins while members of run %d have not ended", r.task, r.number, g.number))
 		}
 		g = &gang{number: r.number}
 		w.gangs[key] = g
@@ -40,14 +42,14 @@
 		g.startWork(w)
 		return
 	}
-	w.Plan(w.setup.Times.Whole, func() { // also of a gang that has broken: its other members are gone
+	w.Plan(w.setup.Times.Whole, func() { // also in a broken gang, whose other members have ended
 		if !r.ended && r.workStart == 0 {
 			r.finish(fleet.EndAlone)
 		}
 	})
 }
 
-// live returns how many members are there.
+// liveMembers returns how many members have not ended.
 func (g *gang) liveMembers() int {
 	n := 0
 	for _, r := range g.members {
@@ -58,7 +60,7 @@
 	return n
 }
 
-// spread reports whether the members are in several racks.
+// spansRacks reports whether the members are in more than one rack.
 func (g *gang) spansRacks() bool {
 	for _, r := range g.members {
 		if r.machine.Rack != g.members[0].machine.Rack {
@@ -68,7 +70,8 @@
 	return false
 }
 
-// open lets all members work. The slowest decides when they end.
+// startWork starts the work of all members. The slowest member determines when
+// they end.
 func (g *gang) startWork(w *World) {
 	g.complete = true
 	var longest time.Duration
@@ -83,8 +86,9 @@
 	}
 }
 
-// done ends all members with success. The first of them that comes to its end stands for all,
-// because they end at the same time unless one has failed before.
+// finishAll ends all members with success. The first member whose end is due
+// ends them all, because they end at the same time unless one has failed
+// before.
 func (g *gang) finishAll() {
 	for _, r := range g.members {
 		if !r.ended {
@@ -93,8 +97,8 @@
 	}
 }
 
-// breaks ends the other members of a gang of which one has gone. Before it was whole, they go
-// on to wait.
+// breakUp ends the other members of a gang that has lost one. In a gang that
+// was not complete, they keep waiting until their time is over.
 func (g *gang) breakUp() {
 	if g.broken {
 		return
--- a/core/world/host.go
+++ b/core/world/host.go
@@ -10,27 +10,30 @@
 )
 
 const (
-	// abilityOfCore is how many tasks a second a host with a whole core counts for in the
-	// election: only the order of hosts matters.
+	// abilityPerCore is the ability, in tasks per second, that a host with one
+	// whole core has in the election. Only the order of the hosts matters.
 	abilityPerCore = 1000
-	// handOverPause is the time between a hand-over and the next look.
+	// handoverDelay is the time between a handover and the next check for a
+	// claim.
 	handoverDelay = 50 * time.Millisecond
 )
 
-// host is one entry host.
+// host is one simulated host.
 type host struct {
 	Host
 	world    *World
 	election *election.Election
-	// life counts its starts; what an earlier life has planned doesn't happen.
+	// incarnation counts the starts of the host. What an earlier incarnation
+	// has scheduled has no effect.
 	incarnation int
 	up          bool
-	// heard is until when the store lists it, though it is down.
+	// listedUntil is until when the store lists the host although it is down.
 	listedUntil unit.Instant
-	// claiming is set while a claim is under way.
+	// claiming is set while a claim is in flight.
 	claiming bool
-	// lost is the epoch under which the host was the owner and isn't any more; 0 for none. If
-	// the store still names it, nobody else claims, because the host lives.
+	// lostEpoch is the epoch under which the host was the owner but no longer
+	// is; 0 for none. While the store still names that epoch, the host claims
+	// again, because no other host does: the host is alive.
 	lostEpoch id.Epoch
 }
 
@@ -41,7 +44,7 @@
 	h.startIncarnation(time.Duration(i) * w.setup.Times.Look / time.Duration(len(w.setup.Hosts)))
 }
 
-// begin starts a life of the host.
+// startIncarnation starts an incarnation of the host.
 func (h *host) startIncarnation(after time.Duration) {
 	h.incarnation++
 	h.up, h.claiming = true, false
@@ -49,13 +52,13 @@
 	if o := h.world.table.Owner(); o.Host == h.ID {
 		h.lostEpoch = o.Epoch
 	}
-	life := h.incarnation
+	incarnation := h.incarnation
 	if len(h.world.setup.Hosts) > 1 {
-		h.world.Plan(after, func() { h.checkGroup(life) })
+		h.world.Plan(after, func() { h.checkGroup(incarnation) })
 	}
 }
 
-// member is the host as the group shows it.
+// member returns the host as a member of the group.
 func (h *host) member() election.Member {
 	return election.Member{Host: h.ID, Ability: int(abilityPerCore * h.Cores)}
 }
@@ -71,15 +74,16 @@
 	return out
 }
 
-// look looks at the group, claims or hands over if that is due, and plans the next look.
-func (h *host) checkGroup(life int) {
+// checkGroup reads the group, claims or hands over the ownership if that is
+// due, and schedules the next check.
+func (h *host) checkGroup(incarnation int) {
 	w := h.world
-	if h.incarnation != life || !h.up {
+	if h.incarnation != incarnation || !h.up {
 		return
 	}
-	w.Plan(w.setup.Times.Look, func() { h.checkGroup(life) })
+	w.Plan(w.setup.Times.Look, func() { h.checkGroup(incarnation) })
 	if w.now < w.store.upAt {
-		return // the store doesn't answer
+		return // the store is unavailable
 	}
 	h.election.Look(w.now, w.group(), w.table.Owner().Host)
 	if w.owner != nil && w.owner.host == h {
@@ -88,24 +92,25 @@
 		}
 		return
 	}
-	h.claimIfDue(life)
+	h.claimIfDue(incarnation)
 }
 
-// due reports whether the host is to claim.
+// claimDue reports whether the host has to claim the ownership.
 func (h *host) claimDue() bool {
 	vacant := h.lostEpoch != 0 && h.world.table.Owner().Epoch == h.lostEpoch
 	return vacant || h.election.Claim(h.world.now)
 }
 
-// mayClaim claims if it is the host's turn, and asks again shortly while the owner is missed.
-func (h *host) claimIfDue(life int) {
+// claimIfDue claims the ownership if it is the host's turn. While the owner is
+// missing, it schedules another check shortly after.
+func (h *host) claimIfDue(incarnation int) {
 	w := h.world
-	if h.incarnation != life || !h.up || h.claiming || w.owner != nil && w.owner.host == h {
+	if h.incarnation != incarnation || !h.up || h.claiming || w.owner != nil && w.owner.host == h {
 		return
 	}
 	if !h.claimDue() {
 		if h.election.Suspects() {
-			w.Plan(handoverDelay, func() { h.claimIfDue(life) })
+			w.Plan(handoverDelay, func() { h.claimIfDue(incarnation) })
 		}
 		return
 	}
@@ -114,25 +119,26 @@
 	w.epoch = epoch
 	r, err := w.table.OwnerRecord(jobtable.Owner{Host: h.ID, Epoch: epoch})
 	if err != nil {
-		w.recordViolation("a claim has no record: " + err.Error())
+		w.recordViolation("cannot encode the record of a claim: " + err.Error())
 		return
 	}
-	w.store.append(jobsLog, epoch, []jobtable.Record{r}, func(bool) { h.claimStored(life, epoch) })
+	w.store.append(jobsLog, epoch, []jobtable.Record{r}, func(bool) { h.claimStored(incarnation, epoch) })
 }
 
-// claimed takes in that a host's claim is in the store: all hosts read it, and it fences earlier owners in the progress log.
-func (h *host) claimStored(life int, epoch id.Epoch) {
+// claimStored handles a host's claim that is in the store: all hosts read it,
+// and it fences earlier owners in the progress log.
+func (h *host) claimStored(incarnation int, epoch id.Epoch) {
 	w := h.world
 	for _, o := range w.hosts {
 		o.election.Claimed(w.now)
 	}
-	if !h.hasNewestClaim(life, epoch) {
+	if !h.hasNewestClaim(incarnation, epoch) {
 		h.claiming = false
 		return
 	}
 	w.store.append(progressLog, epoch, nil, func(taken bool) {
 		h.claiming = false
-		if !taken || !h.hasNewestClaim(life, epoch) {
+		if !taken || !h.hasNewestClaim(incarnation, epoch) {
 			return
 		}
 		w.tally.Claims++
@@ -140,12 +146,13 @@
 	})
 }
 
-// claims reports whether a life of the host has made the newest claim.
-func (h *host) hasNewestClaim(life int, epoch id.Epoch) bool {
-	return h.incarnation == life && h.up && h.world.table.Owner().Epoch == epoch
+// hasNewestClaim reports whether an incarnation of the host is running and has
+// made the newest claim.
+func (h *host) hasNewestClaim(incarnation int, epoch id.Epoch) bool {
+	return h.incarnation == incarnation && h.up && h.world.table.Owner().Epoch == epoch
 }
 
-// yield gives the ownership back, so that an abler host claims.
+// handOver releases the ownership, so that a host with more ability claims it.
 func (h *host) handOver() {
 	w := h.world
 	w.owner.end()
@@ -154,19 +161,20 @@
 	w.epoch = epoch
 	r, err := w.table.OwnerRecord(jobtable.Owner{Epoch: epoch})
 	if err != nil {
-		w.recordViolation("a hand-over has no record: " + err.Error())
+		w.recordViolation("cannot encode the record of a handover: " + err.Error())
 		return
 	}
 	w.store.append(jobsLog, epoch, []jobtable.Record{r}, func(bool) {
 		for _, o := range w.hosts {
 			o.election.Released(w.now)
-			life := o.incarnation
-			w.Plan(handoverDelay, func() { o.claimIfDue(life) })
+			incarnation := o.incarnation
+			w.Plan(handoverDelay, func() { o.claimIfDue(incarnation) })
 		}
 	})
 }
 
-// kill ends a host's processes; they are back after some time, or never if that is 0.
+// kill ends a host's processes. They come back after a time, or never if that
+// is 0.
 func (h *host) kill(down time.Duration) {
 	w := h.world
 	if !h.up {
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -13,71 +13,83 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// knownAfter is how long after it has shrunk an owner must know a worker's room, by the platform's pages.
+// capacityGrace is how long after a worker's capacity has shrunk an owner may
+// not know the new capacity, by the platform's specification.
 const capacityGrace = 4500 * time.Millisecond
 
-// clockLead is what a worker's clock shows when the world begins: it must not be 0.
+// initialClock is the reading of a worker's clock when the simulation begins.
+// It must not be 0.
 const initialClock = 100 * time.Second
 
-// machine is one worker of the site through all its lives.
+// machine is one worker of the site through all its incarnations.
 type machine struct {
 	Worker
 	world *World
-	// life counts its starts; name is the id of the present life. Names counts the starts under a name of their own.
+	// incarnation counts the starts of the worker. currentID is the id of the
+	// present incarnation. idCount counts the starts under a new id.
 	incarnation, idCount int
 	currentID            id.Worker
 	up                   bool
-	// lead is what its clock was ahead of the world's when the present life began to count anew.
+	// clockOffset is how far the clock was ahead of virtual time when it last
+	// restarted.
 	clockOffset time.Duration
-	// runs holds what runs, in the order of its starts.
+	// runs holds the current runs in the order of their starts.
 	runs []*run
 	used job.Resources
-	// ends holds the ends that the owner has not taken note of.
-	ends    []listedEnd
-	seq     uint64
-	highest map[job.Task]job.Run
-	// rate is how fast its clock is, by ours.
+	// ends holds the ends that the owner has not acknowledged.
+	ends       []listedEnd
+	lastSeq    uint64
+	highestRun map[job.Task]job.Run
+	// clockRate is the rate of the worker's clock relative to virtual time.
 	clockRate  float64
 	leaseUntil fleet.Clock
 	fence      fleet.Fence
-	// held answers the renewal that waits for an end; nil if none does.
+	// answerHeld answers the renewal that waits for an end; nil if none waits.
 	answerHeld func()
-	// apartUntil is until when hosts can't connect to it and the list doesn't hear of it,
-	// silentUntil is until when it hears and says nothing, failsUntil until when all that it
-	// starts fails, busyUntil until when it refuses to start anything, muteUntil until when it leaves
-	// orders to start unanswered, slowUntil until when it works slowBy times slower.
+	// partitionedUntil is until when hosts can't connect to the worker and the
+	// list of workers gets no updates from it. silentUntil is until when it
+	// neither receives nor answers orders, failsUntil until when all runs that
+	// it starts fail, busyUntil until when it refuses start orders, muteUntil
+	// until when it neither executes nor answers start orders, and slowUntil
+	// until when runs start at a speed that is divided by slowBy.
 	partitionedUntil, silentUntil, failsUntil, busyUntil, muteUntil, slowUntil unit.Instant
 	slowBy                                                                     float64
-	// still holds when what ran there made no progress, in order of their beginnings.
+	// stalls holds the intervals in which the runs made no progress, in order
+	// of their beginnings.
 	stalls []interval
-	// whole is its room while it isn't smaller, formerUntil until when an owner may not know its present room.
+	// fullCapacity is the capacity when the worker isn't shrunk.
+	// capacityGraceUntil is until when an owner may not know the present
+	// capacity.
 	fullCapacity       job.Resources
 	capacityGraceUntil unit.Instant
-	// earlier is the entry of the life before the present one; without an id before the second.
+	// previousListing is the entry of the previous incarnation. Its id is empty
+	// before the second incarnation.
 	previousListing fleet.Listing
 }
 
-// span is a time.
+// interval is a period of time.
 type interval struct{ from, to unit.Instant }
 
-// stoodStill returns for how long what ran on the worker made no progress within a time.
+// stalledTime returns for how long the runs on the worker made no progress
+// within a period.
 func (m *machine) stalledTime(from, to unit.Instant) time.Duration {
-	sum := time.Duration(0)
+	total := time.Duration(0)
 	for _, s := range m.stalls {
 		begin, end := max(from, s.from), min(to, s.to)
-		sum += max(0, end.Sub(begin))
+		total += max(0, end.Sub(begin))
 		from = max(from, end) // spans may overlap
 	}
-	return sum
+	return total
 }
 
-// end is one end that a worker lists.
+// listedEnd is one end that a worker reports.
 type listedEnd struct {
 	fleet.End
 	job *submittedJob
 	at  unit.Instant
-	// lapsed is set once the worker's lease has run out since: the owner may have given the
-	// run up, and taking note of its end comes too late to bind it.
+	// leaseLapsed is set once the worker's lease has run out after the end: the
+	// owner may have given up the run, and its acknowledgement is too late to
+	// bind it.
 	leaseLapsed bool
 }
 
@@ -86,23 +98,24 @@
 	m := &machine{Worker: x, fullCapacity: x.Capacity, world: w, clockRate: 1 - w.setup.Times.Drift*w.draw("clock", i)}
 	w.machines = append(w.machines, m)
 	m.startIncarnation(newID)
-	w.listed = append(w.listed, m.listing())
+	w.listings = append(w.listings, m.listing())
 }
 
-// naming says under which id a worker begins a life.
+// idChoice says under which id a worker starts an incarnation.
 type idChoice int
 
 const (
-	// ownName is an id that no life before had.
+	// newID is an id that no earlier incarnation had.
 	newID idChoice = iota
-	// sameName is the id of the life before. Its clock begins anew, too.
+	// sameID is the id of the previous incarnation. The clock restarts, too.
 	sameID
 )
 
-// begin starts a life of the worker, which knows nothing of those before.
-func (m *machine) startIncarnation(n idChoice) {
+// startIncarnation starts an incarnation of the worker, which has no state of
+// earlier ones.
+func (m *machine) startIncarnation(choice idChoice) {
 	m.incarnation++
-	switch n {
+	switch choice {
 	case newID:
 		m.idCount++
 	case sameID:
@@ -116,17 +129,18 @@
 		m.currentID = fleet.Life(id.WorkerName(m.currentID), w.drawStart(m))
 	}
 	m.up, m.fence, m.leaseUntil = true, fleet.Fence{}, 0
-	m.ends, m.seq, m.highest = nil, 0, map[job.Task]job.Run{}
+	m.ends, m.lastSeq, m.highestRun = nil, 0, map[job.Task]job.Run{}
 	m.world.byIncarnation[m.currentID] = m
 }
 
-// start draws what a life tells of its start, by a time of day that may be set back by minutes between two lives.
+// drawStart draws the start time that an incarnation reports. Its wall clock
+// may be set back by minutes between two incarnations.
 func (w *World) drawStart(m *machine) fleet.Start {
-	ahead := scale(10*time.Minute, w.draw("start", m.ID, m.incarnation))
-	return fleet.Start(time.Duration(w.now.Add(ahead)).Milliseconds())
+	offset := scale(10*time.Minute, w.draw("start", m.ID, m.incarnation))
+	return fleet.Start(time.Duration(w.now.Add(offset)).Milliseconds())
 }
 
-// listing is the worker's entry in the platform's list.
+// listing returns the worker's entry in the platform's list of workers.
 func (m *machine) listing() fleet.Listing {
 	return fleet.Listing{
 		ID: m.currentID, Machine: id.Machine(m.ID), Address: string(m.ID), Service: m.Service, Domain: m.Domain, Rack: m.Rack,
@@ -134,60 +148,65 @@
 	}
 }
 
-// carries reports whether the worker has a label; every worker has the empty one.
+// hasLabel reports whether the worker has a label. Every worker has the empty
+// label.
 func (m *machine) hasLabel(label string) bool { return label == "" || label == string(m.Rack) }
 
-// list changes the platform's list, of which the owner hears later.
+// list adds or replaces an entry in the platform's list of workers. The owner
+// learns of it later.
 func (w *World) list(l fleet.Listing) {
-	at := slices.IndexFunc(w.listed, func(o fleet.Listing) bool { return fleet.NameOf(o.ID) == fleet.NameOf(l.ID) })
-	before := l.ID
-	if at >= 0 {
-		before = w.listed[at].ID
-		w.listed[at] = l
+	index := slices.IndexFunc(w.listings, func(o fleet.Listing) bool { return fleet.NameOf(o.ID) == fleet.NameOf(l.ID) })
+	previousID := l.ID
+	if index >= 0 {
+		previousID = w.listings[index].ID
+		w.listings[index] = l
 	} else {
-		w.listed = append(w.listed, l)
+		w.listings = append(w.listings, l)
 	}
 	w.Plan(w.setup.Times.Listing, func() {
 		if w.owner == nil {
 			return
 		}
 		w.owner.enqueueEvent(func(o *owner) {
-			if before != l.ID {
-				o.core.Unlist(w.now, before) // one entry stands under a name
+			if previousID != l.ID {
+				o.dispatcher.Unlist(w.now, previousID) // the list has one entry for each name
 			}
-			o.core.List(w.now, l)
+			o.dispatcher.List(w.now, l)
 		})
 	})
 }
 
-// unlist drops a life from the platform's list, of which the owner hears later.
+// unlist removes an incarnation from the platform's list of workers. The owner
+// learns of it later.
 func (w *World) unlist(name id.Worker) {
-	w.listed = slices.DeleteFunc(w.listed, func(l fleet.Listing) bool { return l.ID == name })
+	w.listings = slices.DeleteFunc(w.listings, func(l fleet.Listing) bool { return l.ID == name })
 	w.Plan(w.setup.Times.Listing, func() {
 		if w.owner != nil {
-			w.owner.enqueueEvent(func(o *owner) { o.core.Unlist(w.now, name) })
+			w.owner.enqueueEvent(func(o *owner) { o.dispatcher.Unlist(w.now, name) })
 		}
 	})
 }
 
-// clock is what the worker's clock shows.
+// clock returns the reading of the worker's clock.
 func (m *machine) clock() fleet.Clock {
 	return fleet.Clock(scale(m.world.now.Sub(Begin), m.clockRate) + initialClock + m.clockOffset)
 }
 
-// lead draws how far a life that counts anew is ahead of the world: its clock may show more or less than that of the life before.
+// drawClockOffset draws the offset of a clock that restarts. The new clock may
+// read more or less than the clock of the previous incarnation.
 func (w *World) drawClockOffset(m *machine) time.Duration {
-	shows := scale(2*initialClock, w.draw("lead", m.ID, m.incarnation)) + time.Millisecond
-	return shows - initialClock - scale(w.now.Sub(Begin), m.clockRate)
+	shown := scale(2*initialClock, w.draw("lead", m.ID, m.incarnation)) + time.Millisecond
+	return shown - initialClock - scale(w.now.Sub(Begin), m.clockRate)
 }
 
-// silent reports whether the worker hears and says nothing.
+// silent reports whether the worker neither receives nor answers orders.
 func (m *machine) silent() bool { return m.world.now < m.silentUntil }
 
-// listens reports whether orders reach the worker.
+// reachable reports whether hosts can connect to the worker.
 func (m *machine) reachable() bool { return m.up && m.world.now >= m.partitionedUntil }
 
-// meet says what becomes of an order as far as the worker itself goes: Carried if it listens and obeys.
+// receiveOrder checks an order on arrival. It returns Carried if the worker can
+// be reached and admits the order.
 func (m *machine) receiveOrder(t dispatch.Target) fleet.Verdict {
 	if !m.reachable() {
 		return fleet.Unreachable
@@ -195,7 +214,9 @@
 	return m.admitOrder(t)
 }
 
-// obey says whether the worker's present life carries out an order that it has got: Carried if so.
+// admitOrder checks the name and the fence of an order against the present
+// incarnation, and raises its fence. It returns Carried for an order to
+// execute.
 func (m *machine) admitOrder(t dispatch.Target) fleet.Verdict {
 	switch {
 	case fleet.NameOf(m.currentID) != fleet.NameOf(t.Worker):
@@ -207,7 +228,7 @@
 	return fleet.Carried
 }
 
-// start begins a run.
+// startRun executes a start order.
 func (m *machine) startRun(o dispatch.Start) fleet.Verdict {
 	r := m.findRun(o.Task)
 	switch {
@@ -217,7 +238,7 @@
 		return fleet.Expired
 	case r != nil && r.number == o.Run:
 		return fleet.Carried
-	case o.Run <= m.highest[o.Task]:
+	case o.Run <= m.highestRun[o.Task]:
 		return fleet.Stale
 	case m.world.now < m.busyUntil:
 		return fleet.Busy
@@ -225,7 +246,7 @@
 	w := m.world
 	s := w.jobs[o.Task.Job]
 	if s == nil {
-		w.recordViolation(fmt.Sprintf("%s was started, which nobody handed in", o.Task))
+		w.recordViolation(fmt.Sprintf("%s was started, but its job was never submitted", o.Task))
 		return fleet.Invalid
 	}
 	need := s.Spec.Steps[o.Task.Step].Reserved()
@@ -238,22 +259,23 @@
 	}
 	w.checkStart(s, o)
 	w.checkDomain(m, o)
-	m.highest[o.Task] = o.Run
+	m.highestRun[o.Task] = o.Run
 	m.extendLease(o.Until)
 	m.addRun(s, o, need)
 	return fleet.Carried
 }
 
-// stop ends a run, or keeps one from starting.
+// stopRun executes a stop order: it stops the run, or keeps it from starting
+// later.
 func (m *machine) stopRun(o dispatch.Stop) fleet.Verdict {
 	if r := m.findRun(o.Task); r != nil && r.number == o.Run {
 		r.stop()
 	}
-	m.highest[o.Task] = max(m.highest[o.Task], o.Run)
+	m.highestRun[o.Task] = max(m.highestRun[o.Task], o.Run)
 	return fleet.Carried
 }
 
-// find returns the run of a task, or nil.
+// findRun returns the run of a task, or nil.
 func (m *machine) findRun(t job.Task) *run {
 	for _, r := range m.runs {
 		if r.task == t {
@@ -263,18 +285,18 @@
 	return nil
 }
 
-// lease makes all that runs last until a time, and ends it then.
+// extendLease extends the lease of all runs, and ends the runs when it lapses.
 func (m *machine) extendLease(until fleet.Clock) {
-	if most := m.world.setup.Times.MaxLease; most > 0 {
-		until = min(until, m.clock()+fleet.Clock(most))
+	if maxLease := m.world.setup.Times.MaxLease; maxLease > 0 {
+		until = min(until, m.clock()+fleet.Clock(maxLease))
 	}
 	if until <= m.leaseUntil {
 		return
 	}
 	m.leaseUntil = until
-	life := m.incarnation
+	incarnation := m.incarnation
 	m.world.Plan(scale(time.Duration(until-m.clock()), 1/m.clockRate)+1, func() {
-		if m.leaseUntil != until || m.incarnation != life || !m.up {
+		if m.leaseUntil != until || m.incarnation != incarnation || !m.up {
 			return
 		}
 		for i := range m.ends {
@@ -284,24 +306,26 @@
 	})
 }
 
-// endAll ends all that runs.
+// endAll ends all runs.
 func (m *machine) endAll(how fleet.How) {
 	for len(m.runs) > 0 {
 		m.runs[0].finish(how)
 	}
 }
 
-// renew takes a renewal and answers it at an end, or after the time that it may wait.
+// renew processes a renewal. It answers when there is an end to report, or
+// after the time for which the renewal may wait.
 func (m *machine) renew(o dispatch.Renew, answer func(fleet.Report)) {
 	m.extendLease(o.Until)
-	// A number that this life has not given yet is none of its own: as on the users' workers, it drops nothing until it is.
-	for o.Told <= m.seq && len(m.ends) > 0 && m.ends[0].Seq <= o.Told {
+	// A sequence number that this incarnation has not issued yet comes from
+	// another one and acknowledges no ends here, as on the users' workers.
+	for o.Told <= m.lastSeq && len(m.ends) > 0 && m.ends[0].Seq <= o.Told {
 		m.world.checkAcknowledged(m.ends[0])
 		m.ends = m.ends[1:]
 	}
-	life, answered := m.incarnation, false
+	incarnation, answered := m.incarnation, false
 	report := func() {
-		if answered || m.incarnation != life || !m.up {
+		if answered || m.incarnation != incarnation || !m.up {
 			return
 		}
 		answered, m.answerHeld = true, nil
@@ -315,7 +339,7 @@
 	m.world.Plan(o.Wait, report)
 }
 
-// report is what the worker says of itself.
+// report returns the worker's report.
 func (m *machine) report() fleet.Report {
 	rep := fleet.Report{Life: m.currentID, Clock: m.clock()}
 	for _, r := range m.runs {
@@ -327,8 +351,8 @@
 	return rep
 }
 
-// die ends the worker's life: what ran there is gone, and nobody says how. It comes back after
-// some time, or never if that is 0.
+// endIncarnation ends the worker's incarnation. Its runs vanish without ends
+// that are reported. The worker comes back after a time, or never if that is 0.
 func (m *machine) endIncarnation(down time.Duration, next idChoice) {
 	if !m.up {
 		return
@@ -340,15 +364,15 @@
 	}
 	m.answerHeld = nil
 	m.previousListing = m.listing()
-	old, life := m.currentID, m.incarnation
+	oldID, incarnation := m.currentID, m.incarnation
 	w.Plan(w.setup.Times.MemberTTL, func() {
-		if next == newID || m.incarnation == life {
-			w.unlist(old)
+		if next == newID || m.incarnation == incarnation {
+			w.unlist(oldID)
 		}
 	})
 	if down > 0 {
 		w.Plan(down, func() {
-			if m.incarnation == life {
+			if m.incarnation == incarnation {
 				m.startIncarnation(next)
 				w.list(m.listing())
 			}
@@ -356,27 +380,28 @@
 	}
 }
 
-// part cuts the worker off from the hosts and from the list, which drops it after a while and shows it again
-// when it is back.
+// partition cuts the worker off from the hosts and from the list of workers.
+// The list drops the worker after a while and shows it again when the partition
+// ends.
 func (m *machine) partition(lasts time.Duration) {
 	if !m.up {
 		return
 	}
-	w, life := m.world, m.incarnation
+	w, incarnation := m.world, m.incarnation
 	m.partitionedUntil = max(m.partitionedUntil, w.now.Add(lasts))
 	w.Plan(w.setup.Times.MemberTTL, func() {
-		if m.incarnation == life && w.now < m.partitionedUntil {
+		if m.incarnation == incarnation && w.now < m.partitionedUntil {
 			w.unlist(m.currentID)
 		}
 	})
 	w.Plan(lasts, func() {
-		if m.incarnation == life && m.up && w.now >= m.partitionedUntil {
+		if m.incarnation == incarnation && m.up && w.now >= m.partitionedUntil {
 			w.list(m.listing())
 		}
 	})
 }
 
-// shrink makes the worker smaller for a while. What runs there goes on.
+// shrink reduces the worker's capacity for a while. Runs in progress continue.
 func (m *machine) shrink(lasts time.Duration, by float64) {
 	m.Capacity = job.Resources{
 		CPU: job.MilliCPU(float64(m.fullCapacity.CPU) / by), Memory: unit.Bytes(float64(m.fullCapacity.Memory) / by),
@@ -390,14 +415,16 @@
 	})
 }
 
-// tell writes the worker's entry anew, if it is up.
+// publishListing updates the worker's entry in the list, if it is up and not
+// partitioned.
 func (m *machine) publishListing() {
 	if m.up && m.world.now >= m.partitionedUntil {
 		m.world.list(m.listing())
 	}
 }
 
-// showEarlier lets the list show the life before the present one for as long as an entry stands.
+// showPreviousListing lets the list show the previous incarnation until that
+// entry expires.
 func (m *machine) showPreviousListing() {
 	if m.previousListing.ID == "" {
 		return
@@ -406,26 +433,26 @@
 	m.world.list(old)
 	m.world.Plan(m.world.setup.Times.MemberTTL, func() {
 		m.world.unlist(old.ID)
-		m.publishListing() // where both have one name, the present life writes its entry again
+		m.publishListing() // restores the present entry if both incarnations have one name
 	})
 }
 
-// readList lets the owner read the whole list, in the order of names backwards.
+// readList lets the owner read the whole list, in reverse order of names.
 func (w *World) readList() {
 	if w.owner == nil {
 		return
 	}
-	all := slices.Clone(w.listed)
+	all := slices.Clone(w.listings)
 	slices.SortFunc(all, func(a, b fleet.Listing) int { return cmp.Compare(b.ID, a.ID) })
 	w.owner.enqueueEvent(func(o *owner) {
 		for _, l := range all {
-			o.core.List(w.now, l)
+			o.dispatcher.List(w.now, l)
 		}
 	})
 }
 
-// drain announces that the worker leaves, lets it leave then, and brings it back after a while, or
-// never if that is 0.
+// drain announces that the worker leaves, ends its incarnation then, and brings
+// it back after another while, or never if that is 0.
 func (m *machine) drain(remaining, back time.Duration) {
 	if !m.up {
 		return
@@ -433,9 +460,9 @@
 	l := m.listing()
 	l.Draining, l.Remaining = true, remaining
 	m.world.list(l)
-	life := m.incarnation
+	incarnation := m.incarnation
 	m.world.Plan(remaining, func() {
-		if m.incarnation == life {
+		if m.incarnation == incarnation {
 			m.endIncarnation(back, newID)
 		}
 	})
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -10,56 +10,61 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// owner is the host that schedules. Its processor does one duty after the other.
+// owner is the host that schedules. Its processor does one work item after the
+// other.
 type owner struct {
-	world *World
-	host  *host
-	epoch id.Epoch
-	core  *dispatch.Dispatcher
-	// ended is set once another host is the owner, or none.
+	world      *World
+	host       *host
+	epoch      id.Epoch
+	dispatcher *dispatch.Dispatcher
+	// ended is set once the host isn't the owner any more.
 	ended bool
-	// duties wait for the processor, which is busy while one is under way.
+	// queue holds the work items that wait for the processor. busy is set while
+	// it works on one.
 	queue []workItem
 	busy  bool
-	// next is when the next pass may begin, planned when one is planned for; 0 for none.
+	// nextPass is the earliest time of the next scheduling pass, plannedPass
+	// the time for which one is scheduled; 0 for none.
 	nextPass, plannedPass unit.Instant
 	writing               bool
-	// connected holds the life of each worker to which a connection is open, by OnConnection.
+	// connected holds the incarnation of each worker to which a connection is
+	// open. It is only used with OnConnection.
 	connected map[*machine]int
 }
 
-// duty is something that the processor does.
+// workItem is a unit of work of the owner's processor.
 type workItem struct {
-	// begin does what is done with the state as it is then, and returns what it takes of a
-	// whole core; end does what follows. Either may be nil.
+	// onBegin acts on the state at the beginning and returns an additional
+	// cost, as processor time on a whole core. onEnd runs at the end. Either
+	// may be nil.
 	onBegin  func() time.Duration
 	cost     time.Duration
 	onEnd    func()
 	queuedAt unit.Instant
 }
 
-// takeOver makes a host the owner. It begins with what the store has.
+// takeOver makes a host the owner. It loads the state from the store.
 func (w *World) takeOver(h *host, epoch id.Epoch) {
 	if w.owner != nil {
 		w.owner.end()
 	}
-	o := &owner{world: w, host: h, epoch: epoch, core: w.setup.Make(epoch, w.table), nextPass: w.now, connected: map[*machine]int{}}
+	o := &owner{world: w, host: h, epoch: epoch, dispatcher: w.setup.Make(epoch, w.table), nextPass: w.now, connected: map[*machine]int{}}
 	w.owner = o
 	h.election.Owned(w.now)
 	for _, g := range w.setup.Guarantees {
-		o.core.Guarantee(g.Customer, g.Accelerators)
+		o.dispatcher.Guarantee(g.Customer, g.Accelerators)
 	}
 	for _, s := range w.submissions {
 		o.loadJob(s.Name)
 	}
-	for _, l := range w.listed {
-		o.core.List(w.now, l)
+	for _, l := range w.listings {
+		o.dispatcher.List(w.now, l)
 	}
 	o.pollOperator()
 	o.schedulePass(0)
 }
 
-// end takes the ownership from the host: what its processor was to do isn't done.
+// end takes the ownership from the host and discards the queued work.
 func (o *owner) end() {
 	o.ended, o.queue, o.host.lostEpoch = true, nil, o.epoch
 	if o.world.owner == o {
@@ -67,20 +72,20 @@
 	}
 }
 
-// learn takes in what the store says of a job.
+// loadJob passes the stored record of a job to the dispatcher.
 func (o *owner) loadJob(name id.Job) {
 	e := o.world.table.Get(name)
 	if e == nil || e.Spec == nil {
 		return
 	}
 	now := o.world.now
-	o.core.AddJob(now, name, e)
+	o.dispatcher.AddJob(now, name, e)
 	if e.Cancelled {
-		o.core.CancelJob(now, name)
+		o.dispatcher.CancelJob(now, name)
 	}
 }
 
-// take takes in one event when the processor comes to it; a pass follows.
+// enqueueEvent queues an event for the processor. A scheduling pass follows it.
 func (o *owner) enqueueEvent(event func(*owner)) {
 	o.enqueue(workItem{cost: o.world.setup.Costs.Event, onEnd: func() {
 		event(o)
@@ -88,55 +93,57 @@
 	}})
 }
 
-// do puts a duty into the queue of the processor.
-func (o *owner) enqueue(d workItem) {
+// enqueue adds a work item to the queue of the processor.
+func (o *owner) enqueue(item workItem) {
 	if o.ended {
 		return
 	}
-	d.queuedAt = o.world.now
-	o.queue = append(o.queue, d)
+	item.queuedAt = o.world.now
+	o.queue = append(o.queue, item)
 	if !o.busy {
 		o.runNext()
 	}
 }
 
-// step begins the next duty. Those that take no time are done at once, one after the other.
+// runNext begins the next work item. It completes items that take no time at
+// once, one after the other.
 func (o *owner) runNext() {
 	w := o.world
 	o.busy = true
 	for len(o.queue) > 0 && !o.ended {
-		d := o.queue[0]
+		item := o.queue[0]
 		o.queue = o.queue[1:]
-		w.tally.recordWait(w.now.Sub(d.queuedAt))
-		cost := d.cost
-		if d.onBegin != nil {
-			cost += d.onBegin()
+		w.tally.recordWait(w.now.Sub(item.queuedAt))
+		cost := item.cost
+		if item.onBegin != nil {
+			cost += item.onBegin()
 		}
 		w.tally.Owned += cost
-		if takes := scale(cost, 1/o.host.Cores); takes > 0 {
-			w.tally.OwnedTime += takes
-			w.Plan(takes, func() { o.finishItem(d) })
+		if busyFor := scale(cost, 1/o.host.Cores); busyFor > 0 {
+			w.tally.OwnedTime += busyFor
+			w.Plan(busyFor, func() { o.finishItem(item) })
 			return
 		}
-		if d.onEnd != nil {
-			d.onEnd()
+		if item.onEnd != nil {
+			item.onEnd()
 		}
 	}
 	o.busy = false
 }
 
-// finish ends a duty that has taken time.
-func (o *owner) finishItem(d workItem) {
+// finishItem ends a work item that has taken time.
+func (o *owner) finishItem(item workItem) {
 	if o.ended {
 		return
 	}
-	if d.onEnd != nil {
-		d.onEnd()
+	if item.onEnd != nil {
+		item.onEnd()
 	}
 	o.runNext()
 }
 
-// wake plans a pass after a time, but not before one is due.
+// schedulePass schedules a scheduling pass after a delay, but not before
+// nextPass.
 func (o *owner) schedulePass(after time.Duration) {
 	w := o.world
 	at := max(w.now.Add(after), o.nextPass)
@@ -153,19 +160,19 @@
 	})
 }
 
-// pass lets the processor decide what is due.
+// enqueuePass queues a scheduling pass for the processor.
 func (o *owner) enqueuePass() {
 	w := o.world
-	var began unit.Instant
+	var startedAt unit.Instant
 	o.enqueue(workItem{
 		onBegin: func() time.Duration {
-			began = w.now
+			startedAt = w.now
 			w.tally.Passes++
-			o.core.Pass(began, began)
+			o.dispatcher.Pass(startedAt, startedAt)
 			return o.passCost()
 		},
 		onEnd: func() {
-			o.nextPass = max(began.Add(w.setup.Times.PassEvery), w.now.Add(scale(w.now.Sub(began), w.setup.Times.PassShare)))
+			o.nextPass = max(startedAt.Add(w.setup.Times.PassEvery), w.now.Add(scale(w.now.Sub(startedAt), w.setup.Times.PassShare)))
 			o.flush()
 			o.sendOrders()
 			o.countNotes()
@@ -174,7 +181,7 @@
 	})
 }
 
-// passCost returns what a pass takes of a whole core.
+// passCost returns the processor time of a scheduling pass on a whole core.
 func (o *owner) passCost() time.Duration {
 	w, c := o.world, o.world.setup.Costs
 	if c.Pass == 0 && c.Worker == 0 && c.Task == 0 {
@@ -183,92 +190,94 @@
 	return c.Pass + c.Worker*time.Duration(len(w.machines)) + c.Task*time.Duration(w.openTasks())
 }
 
-// notes counts what was decided. An owner that a worker has fenced gives up.
+// countNotes counts the events that the dispatcher noted. An owner that a
+// worker has fenced ends.
 func (o *owner) countNotes() {
 	w := o.world
-	for _, n := range o.core.Notes() {
+	for _, n := range o.dispatcher.Notes() {
 		w.events[n.Event]++
 		if n.Event == dispatch.EventViolated {
-			w.recordViolation("the owner found: " + n.Why)
+			w.recordViolation("the dispatcher reported a violation: " + n.Why)
 		}
 	}
-	if o.core.Fenced() {
+	if o.dispatcher.Fenced() {
 		o.end()
 	}
 }
 
-// flush writes what has to be in the store.
+// flush writes the pending records to the store.
 func (o *owner) flush() {
 	w := o.world
 	if o.writing || o.ended {
 		return
 	}
-	b, some, err := o.core.Flush()
+	b, pending, err := o.dispatcher.Flush()
 	if err != nil {
-		w.recordViolation("no records: " + err.Error())
+		w.recordViolation("cannot encode the records of a batch: " + err.Error())
 		return
 	}
-	if !some {
+	if !pending {
 		return
 	}
 	if b.Empty() {
-		o.core.Committed(w.now, b)
+		o.dispatcher.Committed(w.now, b)
 		return
 	}
 	o.writing = true
 	o.write(b, func() {
 		o.enqueueEvent(func(*owner) {
 			o.writing = false
-			o.core.Committed(w.now, b)
+			o.dispatcher.Committed(w.now, b)
 			o.sendOrders()
 			o.flush()
 		})
 	})
 }
 
-// write puts a batch into both logs at the same time, and calls done once it is there. An owner that a log refuses has ended.
+// write appends a batch to both logs at the same time, and calls done once both
+// appends are complete. An owner whose append is refused by a log ends.
 func (o *owner) write(b dispatch.Batch, done func()) {
-	left := 0
-	taken := func(taken bool) {
-		if !taken {
+	pending := 0
+	onAppend := func(stored bool) {
+		if !stored {
 			o.end()
 			return
 		}
-		left--
-		if left == 0 && !o.ended {
+		pending--
+		if pending == 0 && !o.ended {
 			done()
 		}
 	}
 	parts := [logs][]jobtable.Record{jobsLog: b.Jobs, progressLog: b.Progress}
 	for _, recs := range parts {
 		if len(recs) > 0 {
-			left++
+			pending++
 		}
 	}
 	for l, recs := range parts {
 		if len(recs) > 0 {
-			o.world.store.append(logName(l), o.epoch, recs, taken)
+			o.world.store.append(logName(l), o.epoch, recs, onAppend)
 		}
 	}
 }
 
-// handOut sends what was decided.
+// sendOrders sends the orders that the dispatcher has released.
 func (o *owner) sendOrders() {
-	orders := o.core.Take()
+	orders := o.dispatcher.Take()
 	for _, x := range orders.Starts {
-		leaves := func() bool { return o.core.StartRules().Forbid(o.world.now, x.Domain) == "" }
-		o.sendOrder(x.Target, leaves, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.Clock) {
-			o.core.Started(o.world.now, dispatch.StartResult{Start: x, Verdict: v, Clock: c})
+		mayLeave := func() bool { return o.dispatcher.StartRules().Forbid(o.world.now, x.Domain) == "" }
+		o.sendOrder(x.Target, mayLeave, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.Clock) {
+			o.dispatcher.Started(o.world.now, dispatch.StartResult{Start: x, Verdict: v, Clock: c})
 		})
 	}
 	for _, x := range orders.Stops {
-		o.sendOrder(x.Target, always, func(m *machine) fleet.Verdict { return m.stopRun(x) }, func(v fleet.Verdict, c fleet.Clock) {
-			o.core.Stopped(o.world.now, dispatch.StopResult{Stop: x, Verdict: v, Clock: c})
+		o.sendOrder(x.Target, alwaysAllowed, func(m *machine) fleet.Verdict { return m.stopRun(x) }, func(v fleet.Verdict, c fleet.Clock) {
+			o.dispatcher.Stopped(o.world.now, dispatch.StopResult{Stop: x, Verdict: v, Clock: c})
 		})
 	}
 	for _, x := range orders.Paces {
-		o.sendOrder(x.Target, always, func(*machine) fleet.Verdict { return fleet.Carried }, func(v fleet.Verdict, c fleet.Clock) {
-			o.core.Paced(o.world.now, dispatch.PaceResult{Pace: x, Verdict: v, Clock: c})
+		o.sendOrder(x.Target, alwaysAllowed, func(*machine) fleet.Verdict { return fleet.Carried }, func(v fleet.Verdict, c fleet.Clock) {
+			o.dispatcher.Paced(o.world.now, dispatch.PaceResult{Pace: x, Verdict: v, Clock: c})
 		})
 	}
 	for _, x := range orders.Renews {
@@ -276,20 +285,22 @@
 	}
 }
 
-// send lets an order leave when the processor and the link have come to it.
-func (o *owner) enqueueSend(leave func()) {
+// enqueueSend sends an order once the processor and the network link are free.
+func (o *owner) enqueueSend(transmit func()) {
 	w := o.world
 	o.enqueue(workItem{cost: w.setup.Costs.Order, onEnd: func() {
 		w.linkFreeAt = max(w.linkFreeAt, w.now).Add(w.setup.Times.Gap)
-		w.agenda.Plan(w.linkFreeAt, leave)
+		w.agenda.Plan(w.linkFreeAt, transmit)
 	}})
 }
 
-// always lets an order leave.
-func always() bool { return true }
+// always permits an order to leave.
+func alwaysAllowed() bool { return true }
 
-// order carries one order out, if it may leave when its turn has come, and takes its answer in. One that comes too late is lost.
-func (o *owner) sendOrder(t dispatch.Target, leaves func() bool, carry func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.Clock)) {
+// sendOrder sends one order, unless mayLeave forbids that when its turn comes,
+// and passes the answer to the dispatcher. An order that waits past the timeout
+// is still executed, but its answer is lost.
+func (o *owner) sendOrder(t dispatch.Target, mayLeave func() bool, execute func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.Clock)) {
 	w := o.world
 	decided := w.now
 	o.enqueueSend(func() {
@@ -297,27 +308,29 @@
 		answer := func(v fleet.Verdict, after time.Duration) {
 			w.Plan(after, func() { o.enqueueEvent(func(*owner) { answered(v, m.clock()) }) })
 		}
-		if !leaves() {
+		if !mayLeave() {
 			answer(fleet.Unreachable, 0)
 			return
 		}
 		refused := func(r refusal) { answer(r.verdict, r.after) }
-		o.connect(m, t, refused, func(c connection) { o.deliver(c, t, decided, carry, answer) })
+		o.connect(m, t, refused, func(c connection) { o.deliver(c, t, decided, execute, answer) })
 	})
 }
 
-// leave lets an order that was decided at a time leave on a connection.
-func (o *owner) deliver(c connection, t dispatch.Target, decided unit.Instant, carry func(*machine) fleet.Verdict, answer func(fleet.Verdict, time.Duration)) {
+// deliver delivers on a connection an order that was decided at a given time.
+func (o *owner) deliver(c connection, t dispatch.Target, decided unit.Instant, execute func(*machine) fleet.Verdict,
+	answer func(fleet.Verdict, time.Duration),
+) {
 	w, m := o.world, c.machine
 	half := w.setup.Times.Trip / 2
-	give := func() {
+	arrive := func() {
 		if !c.isOpen() {
 			answer(fleet.Unknown, half)
 			return
 		}
 		v := m.receiveOrder(t)
 		if v == fleet.Carried {
-			v = carry(m)
+			v = execute(m)
 		}
 		if v == fleet.Unknown {
 			answer(v, w.setup.Times.Timeout)
@@ -330,40 +343,40 @@
 		}
 		answer(v, half)
 	}
-	switch by := w.lateOrders.delay(w, t); {
+	switch delay := w.lateOrders.delay(w, t); {
 	case m.silent():
 		answer(fleet.Unknown, w.setup.Times.Timeout)
-	case by > 0:
+	case delay > 0:
 		answer(fleet.Unknown, w.setup.Times.Timeout)
-		w.deliverLate(c, t, by, carry)
+		w.deliverLate(c, t, delay, execute)
 	default:
-		w.Plan(half, give)
+		w.Plan(half, arrive)
 	}
 }
 
-// deliverLate carries an order out late, by the setup's Delivery.
-func (w *World) deliverLate(c connection, t dispatch.Target, by time.Duration, carry func(*machine) fleet.Verdict) {
-	m, way := c.machine, by
+// deliverLate executes an order late, as the setup's Delivery says.
+func (w *World) deliverLate(c connection, t dispatch.Target, delay time.Duration, execute func(*machine) fleet.Verdict) {
+	m, transit := c.machine, delay
 	if w.setup.Delivery == AtWorker {
-		way = min(by, scale(w.setup.Times.Timeout, w.draw("way", t.Worker, w.lateOrders.sent)))
+		transit = min(delay, scale(w.setup.Times.Timeout, w.draw("way", t.Worker, w.lateOrders.sent)))
 	}
-	w.Plan(way, func() {
+	w.Plan(transit, func() {
 		if !m.reachable() || !c.isOpen() {
 			return
 		}
-		life := m.incarnation
-		w.Plan(by-way, func() {
-			if !m.up || m.incarnation != life || m.admitOrder(t) != fleet.Carried {
+		incarnation := m.incarnation
+		w.Plan(delay-transit, func() {
+			if !m.up || m.incarnation != incarnation || m.admitOrder(t) != fleet.Carried {
 				return
 			}
-			w.lateOrders.carrying = true
-			carry(m)
-			w.lateOrders.carrying = false
+			w.lateOrders.executing = true
+			execute(m)
+			w.lateOrders.executing = false
 		})
 	})
 }
 
-// renew carries one renewal out.
+// sendRenew sends one renewal.
 func (o *owner) sendRenew(x dispatch.Renew) {
 	w := o.world
 	m := w.byIncarnation[x.Worker]
@@ -375,7 +388,7 @@
 			}
 			answered = true
 			o.enqueueEvent(func(*owner) {
-				o.core.Renewed(w.now, dispatch.RenewResult{Renew: x, Sent: sent, Verdict: v, Report: rep})
+				o.dispatcher.Renewed(w.now, dispatch.RenewResult{Renew: x, Sent: sent, Verdict: v, Report: rep})
 			})
 		})
 	}
@@ -391,7 +404,8 @@
 			answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
 			return
 		}
-		// The answer never comes if the worker's life ends while the renewal waits there.
+		// This timeout answers if the incarnation ends while the renewal waits
+		// there, because no other answer comes then.
 		answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
 		w.Plan(half, func() {
 			if !c.isOpen() {
--- a/core/world/run.go
+++ b/core/world/run.go
@@ -9,7 +9,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// failsAtOnce is after which time a run fails on a worker that fails all it starts.
+// quickFailTime is the longest run time on a worker on which all runs fail.
 const quickFailTime = 50 * time.Millisecond
 
 // run is one run on a worker.
@@ -20,22 +20,24 @@
 	task    job.Task
 	number  job.Run
 	need    job.Resources
-	// gang is nil for a task that is no member of one.
+	// gang is nil for a task outside gangs.
 	gang *gang
-	// saved is the work that an earlier run had saved, whole the work of the task, both as time
-	// on a worker of speed 1.
+	// savedWork is the work in the checkpoint that the run resumes from,
+	// totalWork the work of the whole task. Both are run times on a worker of
+	// speed 1.
 	savedWork, totalWork time.Duration
-	// speed is how much of that is done in a second, from when the run began to work.
+	// speed is the work done per second from when the run began to work.
 	speed float64
-	// began is when it began to work; 0 while its gang isn't whole.
+	// workStart is when the run began to work; 0 while its gang is incomplete.
 	workStart unit.Instant
-	// due is when it ends if it never stands still.
+	// dueAt is when the run ends if it never stalls.
 	dueAt unit.Instant
-	// stopping is set once it was ordered to stop, gone once it takes no room any more.
+	// stopping is set once the run was ordered to stop. ended is set once it
+	// has released its resources.
 	stopping, ended bool
 }
 
-// begins takes a run into the worker.
+// addRun starts a run on the worker.
 func (m *machine) addRun(s *submittedJob, o dispatch.Start, need job.Resources) {
 	w := m.world
 	at, _ := s.Spec.Index(o.Task)
@@ -47,9 +49,9 @@
 	}
 	m.runs = append(m.runs, r)
 	m.used = m.used.Add(need)
-	l := s.historyOf(o.Task)
-	l.liveRuns++
-	l.lastStart = w.now
+	h := s.historyOf(o.Task)
+	h.liveRuns++
+	h.lastStart = w.now
 	s.noteStart(w.now)
 	w.tally.Starts++
 	if s.CrashAfter > 0 && at == 0 {
@@ -62,7 +64,8 @@
 	r.startWork(w.now)
 }
 
-// work lets the run begin to work.
+// startWork starts the work of the run, and schedules its end unless the task
+// is long-running or a member of a gang.
 func (r *run) startWork(now unit.Instant) {
 	r.workStart, r.speed = now, r.machine.Speed
 	if now < r.machine.slowUntil {
@@ -79,7 +82,8 @@
 	}
 }
 
-// far reports whether the run is where it is slow.
+// crossesRacks reports whether the run is slower because it is outside the rack
+// of its data, or its gang asks for one rack and spans several.
 func (r *run) crossesRacks() bool {
 	if r.step.DataRack != "" && !r.machine.hasLabel(r.step.DataRack) {
 		return true
@@ -87,12 +91,12 @@
 	return r.step.SameRack && r.gang != nil && r.gang.spansRacks()
 }
 
-// left returns how long the rest of the task takes from its beginning on.
+// remaining returns the run time from startWork to the end of the task.
 func (r *run) remaining() time.Duration {
 	return r.restoreTime() + scale(r.totalWork-r.savedWork, 1/r.speed)
 }
 
-// restore returns how long the run takes to go on from its checkpoint.
+// restoreTime returns how long the run takes to resume from its checkpoint.
 func (r *run) restoreTime() time.Duration {
 	if r.savedWork == 0 {
 		return 0
@@ -100,7 +104,7 @@
 	return r.machine.world.setup.Times.Restore
 }
 
-// plan lets the run end after a time, or fail before.
+// scheduleEnd schedules the end of the run after a time, or an earlier failure.
 func (r *run) scheduleEnd(after time.Duration) {
 	w := r.machine.world
 	how := fleet.EndDone
@@ -114,7 +118,9 @@
 	w.Plan(after, func() { r.endWhenDue(how) })
 }
 
-// end ends the run as planned, or puts that off by the time in which it stood still. A gang ends when all of it is done.
+// endWhenDue ends the run as scheduled, or defers the end by the time for which
+// the run stalled. The members of a gang end together when the work of all is
+// done.
 func (r *run) endWhenDue(how fleet.How) {
 	if r.ended {
 		return
@@ -123,13 +129,13 @@
 	if how == fleet.EndDone && r.gang != nil {
 		all = r.gang.members
 	}
-	now, owed := r.machine.world.now, time.Duration(0)
+	now, deferral := r.machine.world.now, time.Duration(0)
 	for _, m := range all {
-		owed = max(owed, m.dueAt.Add(m.machine.stalledTime(m.workStart, now)).Sub(now))
+		deferral = max(deferral, m.dueAt.Add(m.machine.stalledTime(m.workStart, now)).Sub(now))
 	}
 	switch {
-	case owed > 0:
-		r.machine.world.Plan(owed, func() { r.endWhenDue(how) })
+	case deferral > 0:
+		r.machine.world.Plan(deferral, func() { r.endWhenDue(how) })
 	case how == fleet.EndDone && r.gang != nil:
 		r.gang.finishAll()
 	default:
@@ -137,17 +143,18 @@
 	}
 }
 
-// worked returns the work that the run has done, what an earlier one had saved included.
+// workDone returns the work that the run has done, including what it resumed
+// from.
 func (r *run) workDone() time.Duration {
 	if r.workStart == 0 {
 		return r.savedWork
 	}
-	still := r.machine.stalledTime(r.workStart, r.machine.world.now)
-	worked := max(0, r.machine.world.now.Sub(r.workStart)-still-r.restoreTime())
+	stalled := r.machine.stalledTime(r.workStart, r.machine.world.now)
+	worked := max(0, r.machine.world.now.Sub(r.workStart)-stalled-r.restoreTime())
 	return min(r.totalWork, r.savedWork+scale(worked, r.speed))
 }
 
-// checkpoint returns the newest checkpoint; empty if there is none.
+// checkpoint returns the newest checkpoint, or "" if there is none.
 func (r *run) checkpoint() string {
 	every := r.machine.world.setup.SaveEvery
 	if !r.step.Checkpointing || every == 0 {
@@ -156,7 +163,7 @@
 	return r.workDone().Truncate(every).String()
 }
 
-// percent returns how much of the task is done.
+// percent returns the progress of the task.
 func (r *run) percent() int {
 	if r.totalWork == 0 {
 		return 0
@@ -164,16 +171,16 @@
 	return int(100 * r.workDone() / r.totalWork)
 }
 
-// finish ends the run and lists its end.
+// finish ends the run and adds its end to the ends that the worker reports.
 func (r *run) finish(how fleet.How) {
 	m, w := r.machine, r.machine.world
 	r.release(how == fleet.EndDone)
-	l := r.job.historyOf(r.task)
+	h := r.job.historyOf(r.task)
 	switch {
 	case how == fleet.EndFailed:
-		l.failures++
-	case how == fleet.EndDone && !l.done:
-		l.done = true
+		h.failures++
+	case how == fleet.EndDone && !h.done:
+		h.done = true
 		r.job.doneTasks++
 	}
 	w.tally.count(how)
@@ -181,8 +188,8 @@
 	if how != fleet.EndDone {
 		e.Checkpoint = r.checkpoint()
 	}
-	m.seq++
-	e.Seq = m.seq
+	m.lastSeq++
+	e.Seq = m.lastSeq
 	m.ends = append(m.ends, listedEnd{End: e, job: r.job, at: w.now})
 	if m.answerHeld != nil {
 		m.answerHeld()
@@ -192,7 +199,8 @@
 	}
 }
 
-// stop ends the run when the time that a stop takes is over. It works on until then.
+// stop ends the run after the time that a stop takes. The run works on until
+// then.
 func (r *run) stop() {
 	w := r.machine.world
 	switch {
@@ -209,7 +217,8 @@
 	}
 }
 
-// vanish ends the run without a word.
+// vanish ends the run without an end that the worker reports, as when the
+// worker crashes.
 func (r *run) vanish() {
 	r.release(false)
 	r.machine.world.tally.Vanished++
@@ -218,7 +227,7 @@
 	}
 }
 
-// crash ends the life of the run's worker, if the run is still there.
+// crash ends the incarnation of the run's worker unless the run has ended.
 func (r *run) crash() {
 	if r.ended {
 		return
@@ -232,11 +241,12 @@
 	r.machine.endIncarnation(r.machine.world.setup.Times.Restart, next)
 }
 
-// leave frees the run's room and counts the work that is lost.
+// release releases the run's resources and counts the work that is useful or
+// lost.
 func (r *run) release(done bool) {
 	m, w := r.machine, r.machine.world
-	for i, o := range m.runs {
-		if o == r {
+	for i, other := range m.runs {
+		if other == r {
 			m.runs = append(m.runs[:i:i], m.runs[i+1:]...)
 			break
 		}
@@ -249,19 +259,20 @@
 		w.tally.Useful += cores * scale(r.totalWork-r.savedWork, 1/r.speed).Seconds()
 		return
 	}
-	kept := time.Duration(0)
+	keptWork := time.Duration(0)
 	if every := w.setup.SaveEvery; r.step.Checkpointing && every > 0 {
-		kept = r.workDone().Truncate(every)
+		keptWork = r.workDone().Truncate(every)
 	}
 	if r.workStart != 0 {
-		w.tally.Wasted += cores * scale(r.workDone()-max(kept, r.savedWork), 1/r.speed).Seconds()
+		w.tally.Wasted += cores * scale(r.workDone()-max(keptWork, r.savedWork), 1/r.speed).Seconds()
 	}
 }
 
-// acceleratorCores is how many cores an accelerator counts for, by the platform's prices.
+// coresPerAccelerator is the number of cores that an accelerator counts for, by
+// the platform's prices.
 const coresPerAccelerator = 8
 
-// coresOf returns the weight of resources in cores.
+// coreWeight returns the weight of resources in cores.
 func coreWeight(r job.Resources) float64 {
 	return float64(r.CPU)/1000 + coresPerAccelerator*float64(r.Accelerators)
 }
--- a/core/world/setup.go
+++ b/core/world/setup.go
@@ -10,49 +10,62 @@
 	"curlewsill.org/curlewsill/core/jobtable"
 )
 
-// Maker returns the decisions of a new owner.
+// Maker returns the dispatcher of a new owner.
 type Maker func(id.Epoch, *jobtable.Table) *dispatch.Dispatcher
 
-// Setup is what a World begins with.
+// Setup is the initial configuration of a World.
 type Setup struct {
 	// Make is called for each new owner.
 	Make    Maker
 	Workers []Worker
-	// Hosts holds at least one host. The first is the owner at the beginning.
+	// Hosts holds at least one host. The first one is the owner at the
+	// beginning.
 	Hosts      []Host
 	Guarantees []Guarantee
 	Costs      Costs
 	Times      Times
-	// SaveEvery is how much work lies between two checkpoints of a task that saves.
+	// SaveEvery is the amount of work between two checkpoints of a task that
+	// saves checkpoints.
 	SaveEvery time.Duration
-	// Far times the usual time is what a task takes away from its data's rack, or in a gang that
-	// asks for one rack and has several; 0 stands for 1.
+	// Far is the factor by which a task is slower when it runs outside the rack
+	// of its data, or in a gang that asks for one rack and spans several. 0
+	// stands for 1.
 	Far float64
-	// Evacuation is how long after the operator has evacuated a failure domain a task may still start there, as Make's owners are told;
-	// 0 where no operator does that.
+	// Evacuation is how long after the operator has evacuated a failure domain
+	// a task may still start there. The dispatchers that Make returns are
+	// configured with the same bound. 0 disables evacuations.
 	Evacuation time.Duration
-	// TellStart lets workers tell when their lives began, so that one may begin again under the name that it had.
+	// TellStart lets workers report when their incarnations started, so that a
+	// worker may restart under the name that it had.
 	TellStart bool
-	// Delivery says where a late order is until it is carried out, which matters where a worker begins again under its name.
+	// Delivery says where a late order waits until it is executed. This matters
+	// when a worker restarts under its name.
 	Delivery Delivery
-	// Seed decides failures, clocks and which orders are late.
+	// Seed determines failures, clocks and which orders are late.
 	Seed uint64
 }
 
-// Delivery says where a late order is until it is carried out. The platform's pages leave it open.
+// Delivery says where a late order waits until it is executed. The platform's
+// specification leaves this open.
 type Delivery int
 
 const (
-	// AtWorker is an order that reaches a life of the worker within the time limit of a call, waits there, and is over with that life.
+	// AtWorker lets a late order reach an incarnation of the worker within the
+	// timeout of a call and wait there. The order is dropped when that
+	// incarnation ends.
 	AtWorker Delivery = iota
-	// OnTheWay is an order that is on its way all the while; whichever life the worker then has takes it.
+	// OnTheWay lets a late order spend the whole delay in the network.
+	// Whichever incarnation the worker has on arrival executes it.
 	OnTheWay
-	// OnConnection is an order that leaves on a connection to one life, which has answered a handshake there, and that reaches this life or
-	// nobody; workers that tell no start are as with OnTheWay. With the others no connection is played: any life gets what is sent.
+	// OnConnection sends an order on a connection to one incarnation, which has
+	// answered a handshake on it. The order reaches this incarnation or none.
+	// Workers that don't report their start are treated as with OnTheWay. The
+	// other deliveries simulate no connections: an order reaches any
+	// incarnation.
 	OnConnection
 )
 
-// Deliveries returns all of them.
+// Deliveries returns all deliveries.
 func Deliveries() []Delivery { return []Delivery{AtWorker, OnTheWay, OnConnection} }
 
 // String implements fmt.Stringer.
@@ -68,94 +81,107 @@
 	return fmt.Sprintf("delivery %d", int(d))
 }
 
-// Worker is one worker of the site.
+// Worker describes one worker of the site.
 type Worker struct {
 	ID       id.Worker
 	Service  id.Service
 	Domain   id.Domain
 	Rack     id.Rack
 	Capacity job.Resources
-	// Speed divides the run time of tasks; above 0, and 1 for a usual worker.
+	// Speed divides the run time of tasks. It is above 0, and 1 for an average
+	// worker.
 	Speed float64
 }
 
-// Host is one entry host.
+// Host describes one host.
 type Host struct {
 	ID id.Host
-	// Cores is the part of a core that it may use, above 0; 1 for a whole one.
+	// Cores is the number of cores that the host may use, above 0 and possibly
+	// a fraction.
 	Cores float64
 }
 
-// Guarantee is how many accelerators a customer can always have.
+// Guarantee is the number of accelerators that a customer can have at any time.
 type Guarantee struct {
 	Customer     id.Customer
 	Accelerators int
 }
 
-// Costs is what the owner's work takes of a whole core. Zero costs are those of an owner that
-// is never behind.
+// Costs holds the processor time, on a whole core, of the owner's work. With
+// zero costs the owner never falls behind.
 type Costs struct {
-	// Pass is for one pass over the state; Worker and Task are added for each worker, and for
-	// each task that waits or runs.
+	// Pass is the cost of one scheduling pass. Worker is added for each worker,
+	// and Task for each task that waits or runs.
 	Pass, Worker, Task time.Duration
-	// Event is for one answer or record that is taken in, Order for one order that is sent.
+	// Event is the cost of processing one answer or record, Order that of
+	// sending one order.
 	Event, Order time.Duration
 }
 
-// Times is how long things take that are no work of the owner's processor.
+// Times holds delays and periods other than the owner's processor time.
 type Times struct {
-	// Trip is the time of an order's way and its answer's together.
+	// Trip is the round-trip time of an order and its answer.
 	Trip time.Duration
-	// Gap is the time that each order takes of the owner's link; they leave in turn.
+	// Gap is the time for which each order occupies the owner's network link.
+	// Orders leave one after the other.
 	Gap time.Duration
-	// Append is how long an append takes, AppendGap the part of it in which the store takes no
-	// other one.
+	// Append is the duration of an append. During its first part, AppendGap,
+	// the store begins no other append.
 	Append, AppendGap time.Duration
-	// Read is how long it takes until hosts have read a new record, Poll the time between two reads of what the operator has
-	// written.
+	// Read is the delay until hosts have read a new record. Poll is the period
+	// at which the owner reads the operator's records.
 	Read, Poll time.Duration
 	// Timeout is how long the owner waits for an answer.
 	Timeout time.Duration
-	// PassEvery and IdleEvery are the least and the most time between two passes.
+	// PassEvery and IdleEvery are the minimum and the maximum time between two
+	// scheduling passes.
 	PassEvery, IdleEvery time.Duration
-	// PassShare times what a pass took is how long events are taken in before the next one.
+	// PassShare times the duration of a pass is how long events are processed
+	// before the next pass.
 	PassShare float64
-	// Listing is how long it takes until the owner learns of a change of the workers' list.
+	// Listing is the delay until the owner learns of a change of the list of
+	// workers.
 	Listing time.Duration
-	// Whole is how long the members of a gang wait for the others.
+	// Whole is how long the members of a gang wait for the other members.
 	Whole time.Duration
-	// Stop is how long a task holds its room after an order to stop, Restore how long one takes to
-	// go on from a checkpoint.
+	// Stop is how long a task holds its resources after a stop order. Restore
+	// is how long a task takes to resume from a checkpoint.
 	Stop, Restore time.Duration
-	// MaxLease is the longest lease that a worker takes; 0 for no bound, which only matters where an order is taken by another life than the one
-	// by whose clock its lease is.
+	// MaxLease is the longest lease that a worker accepts; 0 for no bound. The
+	// bound only matters when an incarnation executes an order whose lease was
+	// computed from the clock of another incarnation.
 	MaxLease time.Duration
-	// Restart is how long a worker that a task has crashed is away.
+	// Restart is how long a worker is down after a task has crashed it.
 	Restart time.Duration
-	// Look is the time between two looks at the group of hosts, MemberTTL how long the store
-	// still lists a host that is silent.
+	// Look is the period at which a host polls the group of hosts. MemberTTL is
+	// how long the store still lists a host, and the list of workers a worker,
+	// that is down or can't be reached.
 	Look, MemberTTL time.Duration
-	// Drift is the most by which a worker's clock is slow, as a part; from 0 to 0.02.
+	// Drift is the maximum part by which a worker's clock is slow, from 0 to
+	// 0.02.
 	Drift float64
 }
 
-// Job is a job as a customer hands it in.
+// Job is a job as a customer submits it.
 type Job struct {
 	Name id.Job
 	// Spec has no time of acceptance yet.
 	Spec job.Spec
-	// Takes is how long the tasks really run on a worker of speed 1, in the order of rounds,
-	// steps and indexes. It has one time for each task.
+	// Takes holds the real run time of each task on a worker of speed 1, in the
+	// order of rounds, steps and indexes.
 	Takes []time.Duration
-	// FailShare is the chance that a run fails; 1 for a job that can't be done.
+	// FailShare is the probability that a run fails; 1 for a job that can't
+	// complete.
 	FailShare float64
-	// CrashAfter is how long after its start each run of the job's first task ends its worker's life; 0 for a job that
-	// crashes no worker.
+	// CrashAfter is how long after its start each run of the job's first task
+	// crashes its worker; 0 for a job that crashes no worker.
 	CrashAfter time.Duration
-	// Reborn lets the workers that it crashes be back under the names that they had.
+	// Reborn lets the workers that the job crashes restart under the names that
+	// they had.
 	Reborn bool
-	// CancelAfter is when the customer cancels the job; 0 for never.
+	// CancelAfter is how long after the submission the customer cancels the
+	// job; 0 for never.
 	CancelAfter time.Duration
-	// Kind groups jobs in what is reported.
+	// Kind groups jobs in reports.
 	Kind string
 }
--- a/core/world/store.go
+++ b/core/world/store.go
@@ -7,14 +7,15 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// store is the platform's metadata store. It takes the appends in turn.
+// store is the platform's metadata store. It serializes appends.
 type store struct {
 	world *World
-	// free is when it can take the next append, up when it is there again.
+	// freeAt is when the store can begin the next append, upAt when it is
+	// available again.
 	freeAt, upAt unit.Instant
-	// slow times the usual time is how long an append takes.
+	// slowdown is the factor by which an append takes longer than usual.
 	slowdown float64
-	// fences are the highest epochs that its logs have seen.
+	// fences holds the highest epoch that each log has seen.
 	fences [logs]id.Epoch
 }
 
@@ -28,9 +29,9 @@
 	logs
 )
 
-// append puts records into a log of the store and calls done, with false if the epoch is below one that
-// the log has seen. Epoch 0 is for records of clients' calls. An append that meets a store
-// that is away is repeated until it is taken.
+// append appends records to a log of the store and calls done, with false if
+// the log has seen a higher epoch. Epoch 0 is for records of clients' calls. An
+// append to an unavailable store is retried until it succeeds.
 func (s *store) append(l logName, e id.Epoch, recs []jobtable.Record, done func(bool)) {
 	w := s.world
 	t := w.setup.Times
@@ -49,17 +50,17 @@
 	})
 }
 
-// apply takes one record in and notes the end of a job.
+// apply applies one record and records the outcome of a job that it ends.
 func (w *World) apply(l logName, r jobtable.Record) {
 	if l == progressLog {
 		if err := w.table.ApplyProgress(r); err != nil {
-			w.recordViolation("the progress log has a record that isn't one: " + err.Error())
+			w.recordViolation("the progress log has an invalid record: " + err.Error())
 		}
 		return
 	}
 	name, err := w.table.Apply(r)
 	if err != nil {
-		w.recordViolation("the store refused a record: " + err.Error())
+		w.recordViolation("the jobs log has an invalid record: " + err.Error())
 		return
 	}
 	e, s := w.table.Get(name), w.jobs[name]
--- a/core/world/tally.go
+++ b/core/world/tally.go
@@ -11,7 +11,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// State is what has become of a job.
+// State is the state of a job.
 type State string
 
 // The states of a job.
@@ -25,50 +25,53 @@
 	Cancelled State = "cancelled"
 )
 
-// submitted is a job that was handed in, and what became of it.
+// submittedJob is a submitted job with its state.
 type submittedJob struct {
 	Job
 	submittedAt, endedAt unit.Instant
-	// started is when its first run began; 0 before.
+	// startedAt is when its first run began; 0 before.
 	startedAt unit.Instant
 	state     State
-	// doneTasks counts the tasks that a run has ended with success.
+	// doneTasks counts the tasks that have ended with success.
 	doneTasks int
 	histories map[job.Task]*taskHistory
 }
 
-// noteStart notes that a run of the job has begun.
+// noteStart records that a run of the job has begun.
 func (s *submittedJob) noteStart(now unit.Instant) {
 	if s.startedAt == 0 {
 		s.startedAt = now
 	}
 }
 
-// finish notes that a job is shown with its outcome.
+// recordOutcome records the outcome of a job and checks it.
 func (w *World) recordOutcome(s *submittedJob, as State) {
 	s.state, s.endedAt = as, w.now
 	w.checkFinish(s, as)
 }
 
-// Outcome is what became of one job.
+// Outcome describes one job and its result.
 type Outcome struct {
 	Name  id.Job
 	Kind  string
 	State State
-	// At is when it was handed in, since the beginning. Started is how long its first run
-	// took to begin, Took how long its outcome took; 0 while there is none.
+	// At is the time of the submission since the beginning. Started is the time
+	// from the submission to the start of the first run, and Took that to the
+	// outcome; 0 while there is none.
 	At, Started, Took time.Duration
-	// Chain is the work of its longest chain of steps, on workers of speed 1.
+	// Chain is the work of the longest chain of dependent steps, on workers of
+	// speed 1.
 	Chain time.Duration
-	// Work is what its tasks take in all, in core-seconds.
+	// Work is the total work of the tasks in core-seconds.
 	Work float64
-	// Fails is the chance that a run fails.
+	// Fails is the probability that a run fails.
 	Fails float64
-	// Crashes is set if the job's first task ends the life of each worker that starts it.
+	// Crashes is set if the job's first task crashes each worker that starts
+	// it.
 	Crashes bool
 }
 
-// Outcomes returns what became of the jobs, in the order in which they were handed in.
+// Outcomes returns the outcomes of the jobs in the order of their submission.
 func (w *World) Outcomes() []Outcome {
 	out := make([]Outcome, 0, len(w.submissions))
 	for _, s := range w.submissions {
@@ -87,55 +90,59 @@
 	return out
 }
 
-// work returns the core-seconds of a job's tasks.
+// totalWork returns the core-seconds of a job's tasks.
 func (s *submittedJob) totalWork() float64 {
-	sum, at := 0.0, 0
+	total, at := 0.0, 0
 	for range s.Spec.RoundCount() {
 		for i := range s.Spec.Steps {
 			step := &s.Spec.Steps[i]
 			for range step.Count {
-				sum += coreWeight(step.Need) * s.Takes[at].Seconds()
+				total += coreWeight(step.Need) * s.Takes[at].Seconds()
 				at++
 			}
 		}
 	}
-	return sum
+	return total
 }
 
-// chain returns the longest chain of work of the first round: of each step its longest task.
+// longestChain returns the work of the longest chain of dependent steps in the
+// first round. Each step counts with its longest task.
 func (s *submittedJob) longestChain() time.Duration {
 	ends := make([]time.Duration, len(s.Spec.Steps))
 	at := 0
 	for i := range s.Spec.Steps {
 		step := &s.Spec.Steps[i]
-		var before time.Duration
+		var depsEnd time.Duration
 		for _, dep := range step.DependsOn {
-			before = max(before, ends[dep])
+			depsEnd = max(depsEnd, ends[dep])
 		}
-		ends[i] = before + slices.Max(s.Takes[at:at+step.Count])
+		ends[i] = depsEnd + slices.Max(s.Takes[at:at+step.Count])
 		at += step.Count
 	}
 	return slices.Max(ends)
 }
 
-// Tally counts what has happened in a world.
+// Tally holds the counters of a World.
 type Tally struct {
-	// Starts counts the runs that workers began; the others how they ended.
+	// Starts counts the runs that workers started. The other fields count how
+	// runs ended.
 	Starts, Done, Failed, Stopped, Lapsed, Broken, Alone, Vanished int
-	// Crashes counts the lives of workers that tasks have ended.
+	// Crashes counts the incarnations of workers that tasks have crashed.
 	Crashes int
-	// Useful and Wasted are the core-seconds of runs that ended with success, and of work that
-	// was neither done nor saved.
+	// Useful is the core-seconds of runs that ended with success, Wasted the
+	// core-seconds of work that was neither completed nor saved in a
+	// checkpoint.
 	Useful, Wasted float64
-	// Passes counts the owners' passes, Claims the changes of owner.
+	// Passes counts the owners' scheduling passes, Claims the changes of owner.
 	Passes, Claims int
-	// Owned is the work of the owners' processors on whole cores, OwnedTime how long they were
-	// busy, LongestWait how long something waited for them at most.
+	// Owned is the processor time of the owners' work on whole cores, OwnedTime
+	// how long the owners' processors were busy, and LongestWait the longest
+	// time for which a work item waited for the processor.
 	Owned, OwnedTime, LongestWait time.Duration
 	Violations                    int
 }
 
-// count notes how a run has ended.
+// count counts the end of a run.
 func (t *Tally) count(how fleet.How) {
 	switch how {
 	case fleet.EndDone:
@@ -153,10 +160,10 @@
 	}
 }
 
-// waited notes how long something waited for the owner's processor.
+// recordWait records how long a work item waited for the owner's processor.
 func (t *Tally) recordWait(d time.Duration) { t.LongestWait = max(t.LongestWait, d) }
 
-// Tally returns what has happened up to now.
+// Tally returns the counters.
 func (w *World) Tally() Tally { return w.tally }
 
 // DoneOf returns how many tasks of a job have ended with success.
@@ -170,39 +177,40 @@
 // Decided returns how often the owners noted an event.
 func (w *World) Decided(e dispatch.Event) int { return w.events[e] }
 
-// Sample is the site at one moment.
+// Sample is a snapshot of the site.
 type Sample struct {
 	// At is the time since the beginning.
 	At time.Duration
-	// Use is the part of the accelerators of workers that are up which runs hold.
+	// Use is the share of the accelerators of running workers that runs hold.
 	Use float64
-	// Fragmentation is the part of the free accelerators that are on workers in use, where no
-	// task finds them that needs a whole worker; 0 if none is free.
+	// Fragmentation is the share of the free accelerators that are on partly
+	// used workers, where no task can use them that needs a whole worker. It is
+	// 0 if none is free.
 	Fragmentation float64
 	// Waiting counts the tasks of open jobs that neither run nor are done.
 	Waiting int
 }
 
-// Sample returns the site as it is now.
+// Sample returns a snapshot of the site now.
 func (w *World) Sample() Sample {
-	all, free, split := 0, 0, 0
+	total, free, stranded := 0, 0, 0
 	for _, m := range w.machines {
 		if !m.up {
 			continue
 		}
 		left := m.Capacity.Accelerators - m.used.Accelerators
-		all += m.Capacity.Accelerators
+		total += m.Capacity.Accelerators
 		free += left
 		if len(m.runs) > 0 {
-			split += left
+			stranded += left
 		}
 	}
 	s := Sample{At: w.now.Sub(Begin), Waiting: w.openTasks() - w.running()}
-	if all > 0 {
-		s.Use = 1 - float64(free)/float64(all)
+	if total > 0 {
+		s.Use = 1 - float64(free)/float64(total)
 	}
 	if free > 0 {
-		s.Fragmentation = float64(split) / float64(free)
+		s.Fragmentation = float64(stranded) / float64(free)
 	}
 	return s
 }
@@ -222,7 +230,7 @@
 	return n
 }
 
-// running counts the runs.
+// running counts the current runs.
 func (w *World) running() int {
 	n := 0
 	for _, m := range w.machines {
@@ -231,5 +239,5 @@
 	return n
 }
 
-// stretch returns by times d.
+// scale returns d multiplied by a factor.
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
--- a/core/world/world.go
+++ b/core/world/world.go
@@ -17,36 +17,38 @@
 )
 
 var (
-	// ErrSetup reports a setup that no world can begin with.
-	ErrSetup = errors.New("world: a worker and a host are needed, with speeds and cores above 0")
-	// ErrNeverFits reports a job that no moment of the site has room for.
-	ErrNeverFits = errors.New("world: the job can never run")
-	// ErrJob reports a job that isn't whole.
-	ErrJob = errors.New("world: the job is not whole")
+	// ErrSetup reports a setup without workers, hosts or Make, or with a speed
+	// or a number of cores that isn't above 0.
+	ErrSetup = errors.New("world: a setup needs Make, and workers and hosts with speeds and cores above 0")
+	// ErrNeverFits reports a job that doesn't fit even on the empty site.
+	ErrNeverFits = errors.New("world: the job does not fit even on the empty site")
+	// ErrJob reports an incomplete job, or one whose name is taken.
+	ErrJob = errors.New("world: the job is incomplete or its name is taken")
 )
 
-// Begin is the time at which every world begins.
+// Begin is the time at which every simulation begins.
 const Begin = unit.Instant(1000 * time.Second)
 
-// World is a site in virtual time. The zero value is not ready; call New.
+// World is a simulated site in virtual time. The zero value is not ready for
+// use; call New.
 type World struct {
 	setup  Setup
 	now    unit.Instant
 	agenda agenda.Agenda[func()]
 	table  *jobtable.Table
 	store  store
-	// link is when the owner's link is free.
+	// linkFreeAt is when the owner's network link is free for the next order.
 	linkFreeAt unit.Instant
 	hosts      []*host
 	// owner is nil while no host is the owner.
 	owner *owner
 	epoch id.Epoch
 
-	// machines holds the workers in the order of the setup; byLife finds the one of which an
-	// id is a life.
+	// machines holds the workers in the order of the setup. byIncarnation maps
+	// the id of each incarnation to its worker.
 	machines      []*machine
 	byIncarnation map[id.Worker]*machine
-	listed        []fleet.Listing
+	listings      []fleet.Listing
 	gangs         map[gangKey]*gang
 	lateOrders    lateOrders
 	// evacuations holds the evacuated failure domains.
@@ -54,22 +56,24 @@
 
 	jobs        map[id.Job]*submittedJob
 	submissions []*submittedJob
-	// open holds the jobs that had no outcome when they were last counted.
+	// openJobs holds the jobs that had no outcome when they were last counted.
 	openJobs []*submittedJob
 	tally    Tally
-	// broken lists what did not hold.
+	// violations describes the invariants that did not hold.
 	violations []string
-	// events counts what was decided, by the name of the event.
+	// events counts the events that the owners noted, by name.
 	events map[dispatch.Event]int
 }
 
-// New returns a world in which all workers are idle and the first host is the owner.
+// New returns a World in which all workers are idle and the first host is the
+// owner.
 func New(s Setup) (*World, error) {
 	if len(s.Workers) == 0 || len(s.Hosts) == 0 || s.Make == nil {
 		return nil, ErrSetup
 	}
 	w := &World{
-		setup: s, now: Begin, table: jobtable.New(), byIncarnation: map[id.Worker]*machine{}, gangs: map[gangKey]*gang{}, evacuations: map[id.Domain]evacuation{},
+		setup: s, now: Begin, table: jobtable.New(), byIncarnation: map[id.Worker]*machine{},
+		gangs: map[gangKey]*gang{}, evacuations: map[id.Domain]evacuation{},
 		jobs: map[id.Job]*submittedJob{}, events: map[dispatch.Event]int{}, linkFreeAt: Begin,
 	}
 	w.store = store{world: w, freeAt: Begin, upAt: Begin, slowdown: 1}
@@ -88,7 +92,8 @@
 	return w, w.installFirstOwner()
 }
 
-// first makes the first host the owner, by a claim that is in the store.
+// installFirstOwner makes the first host the owner. Its claim is applied
+// without the delay of an append.
 func (w *World) installFirstOwner() error {
 	w.epoch = 1
 	r, err := w.table.OwnerRecord(jobtable.Owner{Host: w.hosts[0].ID, Epoch: w.epoch})
@@ -100,18 +105,18 @@
 	return nil
 }
 
-// Now returns the time of the world.
+// Now returns the current virtual time.
 func (w *World) Now() unit.Instant { return w.now }
 
-// Plan makes something happen later.
+// Plan schedules a function after a delay.
 func (w *World) Plan(after time.Duration, do func()) { w.agenda.Plan(w.now.Add(after), do) }
 
-// Run lets time pass.
+// Run advances the virtual time by d and runs what is scheduled until then.
 func (w *World) Run(d time.Duration) {
 	end := w.now.Add(d)
 	for {
-		at, some := w.agenda.Next()
-		if !some || at > end {
+		at, found := w.agenda.Next()
+		if !found || at > end {
 			break
 		}
 		var do func()
@@ -121,16 +126,17 @@
 	w.now = end
 }
 
-// Dispatcher returns the decisions of the present owner, or nil while there is none.
+// Dispatcher returns the dispatcher of the current owner, or nil while there is
+// none.
 func (w *World) Dispatcher() *dispatch.Dispatcher {
 	if w.owner == nil {
 		return nil
 	}
-	return w.owner.core
+	return w.owner.dispatcher
 }
 
-// Submit hands in a job. It returns ErrNeverFits, and counts the job as refused, if the site
-// with nothing on it has no room for one of its steps.
+// Submit submits a job. It returns ErrNeverFits, and counts the job as refused,
+// if one of its steps doesn't fit even on the empty site.
 func (w *World) Submit(j Job) error {
 	if len(j.Takes) != j.Spec.RoundCount()*j.Spec.Width() || len(j.Takes) == 0 || w.jobs[j.Name] != nil {
 		return fmt.Errorf("%w: %s", ErrJob, j.Name)
@@ -158,14 +164,14 @@
 	return nil
 }
 
-// Cancel hands in the cancellation of a job; one that nobody handed in is left out.
+// Cancel submits the cancellation of a job. It does nothing for an unknown job.
 func (w *World) Cancel(name id.Job) {
 	if s := w.jobs[name]; s != nil {
 		w.cancel(s)
 	}
 }
 
-// cancel hands in the cancellation of a job that has not ended.
+// cancel submits the cancellation of a job unless the job has ended.
 func (w *World) cancel(s *submittedJob) {
 	if s.state != Open {
 		return
@@ -173,7 +179,8 @@
 	w.store.append(jobsLog, 0, []jobtable.Record{w.table.CancelRecord(s.Name)}, func(bool) { w.notifyOwner(s.Name) })
 }
 
-// announce lets the owner read what the store says of a job. An owner that takes over later reads it then.
+// notifyOwner lets the owner read the stored record of a job after the read
+// delay. An owner that takes over later reads it when it begins.
 func (w *World) notifyOwner(name id.Job) {
 	w.Plan(w.setup.Times.Read, func() {
 		if w.owner != nil {
@@ -182,42 +189,44 @@
 	})
 }
 
-// fits reports whether each step has room on workers with nothing on them: a gang as a whole, any
+// fits reports whether each step fits on empty workers: a gang as a whole, any
 // other step task by task.
 func (w *World) fits(s *job.Spec) bool {
 	for i := range s.Steps {
 		step := &s.Steps[i]
-		room := 0
+		fitting := 0
 		for _, m := range w.machines {
 			if m.Service == s.Service && m.hasLabel(step.Label) {
-				room += countFitting(step, m.fullCapacity)
+				fitting += countFitting(step, m.fullCapacity)
 			}
 		}
-		if room == 0 || step.Gang && room < step.Count {
+		if fitting == 0 || step.Gang && fitting < step.Count {
 			return false
 		}
 	}
 	return true
 }
 
-// howMany returns how many tasks of a step a worker holds, as far as it counts: at most all.
+// countFitting returns how many tasks of a step fit into the free resources of
+// one worker, at most all tasks of the step.
 func countFitting(s *job.Step, free job.Resources) int {
-	n := 0
-	most := s.Count
+	fitting := 0
+	limit := s.Count
 	if s.MaxPerWorker > 0 {
-		most = min(most, s.MaxPerWorker)
+		limit = min(limit, s.MaxPerWorker)
 	}
 	need := s.Reserved()
-	for n < most && need.Fits(free) {
+	for fitting < limit && need.Fits(free) {
 		free = free.Sub(need)
-		n++
+		fitting++
 	}
-	return n
+	return fitting
 }
 
-// chance returns a number from 0 to 1 that depends on the seed and on names alone.
-func (w *World) draw(what string, parts ...any) float64 {
+// draw returns a pseudo-random number from 0 to 1 that depends only on the seed
+// and on its arguments.
+func (w *World) draw(purpose string, parts ...any) float64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, what, parts)
+	_, _ = fmt.Fprint(h, purpose, parts)
 	return rand.New(rand.NewPCG(w.setup.Seed, h.Sum64())).Float64()
 }
