--- a/core/world/check_internal_test.go
+++ b/core/world/check_internal_test.go
@@ -15,17 +15,18 @@
 	"curlewsill.org/curlewsill/core/policy"
 )
 
-// TestChecks gives orders that no right owner gives, and each must be found. A case in
-// testdata/checks.txt begins with its name in brackets:
+// TestChecks gives workers orders that no correct owner gives. The checks must
+// find each violation. A case in testdata/checks.txt begins with its name in
+// brackets:
 //
 //	job [count=N] [attempts=N] [gang] [twosteps] [fails] [crashes=D]    the job, whose tasks take 1 s and a whole worker
-//	start WORKER STEP INDEX RUN       an order that leaves at once
-//	late WORKER STEP INDEX RUN AFTER  an order that leaves at once, gets no answer and is carried out after a time
-//	reborn WORKER                     the worker ends and begins again under its name, 100 ms later
-//	told WORKER                       the owner takes note of all ends of a worker
-//	run D
-//	shown STATE                       the job is shown with an outcome
-//	want TEXT                         a violation with that text was found, and no other; "nothing" for none
+//	start WORKER STEP INDEX RUN       a start order, executed at once
+//	late WORKER STEP INDEX RUN AFTER  a start order that is sent at once, gets no answer and is executed after a delay
+//	reborn WORKER                     the worker ends and restarts under its name 100 ms later
+//	told WORKER                       the owner acknowledges all ends of a worker
+//	run D                             virtual time passes
+//	shown STATE                       the job's outcome is recorded
+//	want TEXT                         one violation was found, whose message contains the text; "nothing" for none
 func TestChecks(t *testing.T) {
 	data, err := os.ReadFile("testdata/checks.txt")
 	if err != nil {
@@ -44,7 +45,7 @@
 	}
 }
 
-// checked is a world that is given orders by hand.
+// harness is a World whose workers get their orders from a test case.
 type harness struct {
 	t *testing.T
 	w *World
@@ -70,7 +71,7 @@
 	return &harness{t: t, w: w}
 }
 
-// do carries out one line.
+// do executes one line.
 func (c *harness) do(f []string) {
 	switch f[0] {
 	case "job":
@@ -96,7 +97,7 @@
 	}
 }
 
-// order reads an order to start: WORKER STEP INDEX RUN.
+// order parses a start order: WORKER STEP INDEX RUN.
 func (c *harness) order(f []string) dispatch.Start {
 	return dispatch.Start{
 		Target: dispatch.Target{Worker: id.Worker(f[1])}, Task: job.Task{Job: "j", Step: c.number(f[2]), Index: c.number(f[3])},
@@ -104,7 +105,7 @@
 	}
 }
 
-// want compares what was found.
+// want compares the violations found with the expected one.
 func (c *harness) want(text string) {
 	got := c.w.Violations()
 	if text == "nothing" && len(got) == 0 {
@@ -115,7 +116,7 @@
 	}
 }
 
-// addJob makes the job known to the workers, but not to the owner.
+// addJob adds the job to the World, but not to the owner.
 func (c *harness) addJob(f []string) {
 	step := job.Step{Count: 1, Need: job.Resources{Accelerators: 8}}
 	spec := job.Spec{MaxAttempts: 3}
--- a/core/world/crashes_test.go
+++ b/core/world/crashes_test.go
@@ -6,12 +6,15 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// TestCrashes plays the scripts of testdata/crashes, in which tasks crash the workers that start them.
+// TestCrashes runs the scripts of testdata/crashes, in which tasks crash the
+// workers that start them.
 //
-// A task that crashed each worker that started it was started again without end, for as long as its job was there: 35 runs in
-// 115 s, one every 3.3 s, each on another worker. A worker that crashes lists no end of what ran there, and only ends that are listed used
-// up attempts; the run was lost when the worker's next life answered ("task-lost", "another life at its address"), and the
-// next one was placed in the same millisecond. It was so under one owner and over several.
+// It guards against a task that crashes each worker and is started again
+// without end, as long as its job exists: 35 runs in 115 s, each on another
+// worker. A crashed worker reports no end for its runs, and only reported ends
+// used up attempts: a run was lost when the worker's next incarnation answered
+// ("task-lost", "another life at its address"), and the next run was placed at
+// once, under one owner and across several.
 func TestCrashes(t *testing.T) {
-	scripttest.EachIn(t, "crashes", func(t *testing.T, text string) { (&player{t: t}).run(text) })
+	scripttest.EachIn(t, "crashes", func(t *testing.T, text string) { (&scriptRunner{t: t}).run(text) })
 }
--- a/core/world/reborn_test.go
+++ b/core/world/reborn_test.go
@@ -9,71 +9,80 @@
 	"curlewsill.org/curlewsill/core/world"
 )
 
-// TestReborn plays the scripts of testdata/reborn, in which workers begin again under the names that they had.
+// TestReborn runs the scripts of testdata/reborn, in which workers restart
+// under the names that they had.
 //
-// A worker that begins again numbers its ends from 1. The owner kept the number of the last end that it had noted by the worker's name, and
-// passed over all ends of the next life up to there. The worker doesn't know that number and goes on to list them; for the owner their
-// runs were in place all the while. On one worker that began again at 5.7 s nothing was told of five runs in 21 s; elsewhere ten runs
-// vanished at once at 26.665 s ("task-vanished", "running"), when the numbers had caught up, the ends were dropped unread, and their tasks, of
-// which one was done at 25.368 s, were started again 11 ms later. On a larger site some 1,280 runs were in place for the owner when some 430 were.
+// It guards against acknowledgements that are kept by the worker's name. A
+// worker that restarts numbers its ends from 1. An owner that kept the number
+// of the last acknowledged end of the previous incarnation skipped all ends of
+// the next one up to that number, and took their runs for running: it saw some
+// 1,280 runs where some 430 were. Once the numbers had caught up, the worker
+// dropped the ends unread, the runs vanished for the owner ("task-vanished",
+// "running"), and completed tasks were started again.
 func TestReborn(t *testing.T) {
-	scripttest.EachIn(t, "reborn", func(t *testing.T, text string) { (&player{t: t, tellStart: true}).run(text) })
+	scripttest.EachIn(t, "reborn", func(t *testing.T, text string) { (&scriptRunner{t: t, tellStart: true}).run(text) })
 }
 
-// TestLongReborn is TestLong with workers that begin again under the names that they had, also while orders to the life before are late, owners
-// change, and the store is away.
+// TestLongReborn is TestLong with workers that restart under the names that
+// they had, also while orders to the previous incarnation are late, owners
+// change, and the store is unavailable.
 //
-// On the code that kept what it knew of a life by the worker's name, 12 of seeds 1 to 20 of 60 s failed, with jobs that stayed open and tasks that
-// were started again after their ends were noted.
+// It guards against state of an incarnation that is kept by the worker's name:
+// with such code, 12 of the seeds 1 to 20 failed within 60 s, with jobs that
+// stayed open and tasks that were started again after their ends were
+// acknowledged.
 func TestLongReborn(t *testing.T) {
-	eachDelivery(t, playReborn)
+	eachDelivery(t, simulateReborn)
 }
 
-// playReborn plays one seed of TestLongReborn.
-func playReborn(t *testing.T, seed uint64, length time.Duration, d world.Delivery) *world.World {
-	return playTold(t, seed, rebornKinds, length, d)
+// simulateReborn runs one seed of TestLongReborn.
+func simulateReborn(t *testing.T, seed uint64, length time.Duration, d world.Delivery) *world.World {
+	return simulateTellStart(t, seed, rebornKinds, length, d)
 }
 
-// deliveryPlay plays one seed of a long run by one delivery of late orders.
-type deliveryPlay func(*testing.T, uint64, time.Duration, world.Delivery) *world.World
+// simulation runs one seed of a long run with one Delivery of late orders.
+type simulation func(*testing.T, uint64, time.Duration, world.Delivery) *world.World
 
-// by returns the play of one delivery.
-func (p deliveryPlay) by(d world.Delivery) func(*testing.T, uint64, time.Duration) *world.World {
+// with returns the simulation with a fixed Delivery.
+func (p simulation) with(d world.Delivery) func(*testing.T, uint64, time.Duration) *world.World {
 	return func(t *testing.T, seed uint64, length time.Duration) *world.World { return p(t, seed, length, d) }
 }
 
-// eachDelivery is eachSeed by each delivery of late orders.
-func eachDelivery(t *testing.T, play deliveryPlay) {
+// eachDelivery is eachSeed with each Delivery of late orders.
+func eachDelivery(t *testing.T, simulate simulation) {
 	for _, d := range world.Deliveries() {
-		t.Run(d.String(), func(t *testing.T) { eachSeed(t, play.by(d)) })
+		t.Run(d.String(), func(t *testing.T) { eachSeed(t, simulate.with(d)) })
 	}
 }
 
-// rebornKinds are the kinds of faults of TestLongReborn. Their order belongs to what a seed plays.
+// rebornKinds are the kinds of faults of TestLongReborn. Their order is part of
+// what a seed determines.
 var rebornKinds = []world.FaultKind{
 	world.Reborn, world.Late, world.Reborn, world.Silence, world.Reborn, world.KillOwner, world.Reborn, world.StoreDown, world.Apart, world.Reborn,
 }
 
-// TestLongTold is TestLong and TestLongLives with workers that tell their starts, though all come back under other names.
+// TestLongTold is TestLong and TestLongLives with workers that report their
+// starts, although all come back under other names.
 func TestLongTold(t *testing.T) {
 	for seed := *longSeed; seed < *longSeed+*longSeeds; seed++ {
-		for name, kinds := range map[string][]world.FaultKind{"long": longKinds, "lives": livesKinds} {
+		for name, kinds := range map[string][]world.FaultKind{"long": longKinds, "lives": incarnationKinds} {
 			t.Run(fmt.Sprintf("%s/seed=%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				checkLong(t, playTold(t, seed, kinds, time.Duration(*longSeconds)*time.Second, world.AtWorker))
+				checkLong(t, simulateTellStart(t, seed, kinds, time.Duration(*longSeconds)*time.Second, world.AtWorker))
 			})
 		}
 	}
 }
 
-// TestLongCrashesReborn is TestLongCrashes with workers that begin again under their names, whatever has crashed them.
+// TestLongCrashesReborn is TestLongCrashes with workers that restart under
+// their names, whatever has crashed them.
 func TestLongCrashesReborn(t *testing.T) {
-	eachDelivery(t, playCrashesReborn)
+	eachDelivery(t, simulateCrashesReborn)
 }
 
-// playCrashesReborn plays one seed of TestLongCrashesReborn.
-func playCrashesReborn(t *testing.T, seed uint64, length time.Duration, d world.Delivery) *world.World {
+// simulateCrashesReborn runs one seed of TestLongCrashesReborn.
+func simulateCrashesReborn(t *testing.T, seed uint64, length time.Duration, d world.Delivery) *world.World {
 	kinds := []world.FaultKind{world.Reborn, world.KillOwner, world.Late, world.StoreSlow, world.Reborn, world.KillHosts, world.Drain}
-	tell := func(s *world.Setup) { s.TellStart, s.Delivery = true, d }
-	return playSite(t, seed, kinds, crashingJobs(seed, "reborn"), length, tell)
+	tellStart := func(s *world.Setup) { s.TellStart, s.Delivery = true, d }
+	return simulateSite(t, seed, kinds, crashingJobs(seed, "reborn"), length, tellStart)
 }
--- a/core/world/script_test.go
+++ b/core/world/script_test.go
@@ -19,50 +19,50 @@
 	"curlewsill.org/curlewsill/core/world"
 )
 
-// TestScripts plays the scripts in testdata/script. A line is a command:
+// TestScripts runs the scripts in testdata/script. A line is a command:
 //
-//	site [workers=N] [speed=X] [hosts=N] [cores=X] [drift=X] [stop=D] [order=D] [pass=D]    what the world begins with
+//	site [workers=N] [speed=X] [hosts=N] [cores=X] [drift=X] [stop=D] [order=D] [pass=D]    creates the World
 //	job NAME [count=N] [gpus=N] [takes=D] [estimate=D] [priority=N] [attempts=N] [gang] [saves] [twosteps] [fails=X] [cancel=D]
-//	    [crashes=D, after which its first task ends the life of its worker] [reborn, under its name] [lasts] [apart=N]
+//	    [crashes=D, the time after which its first task crashes its worker] [reborn, under its name] [lasts] [apart=N]
 //	strike KIND [share=X] [lasts=D] [factor=X]
-//	run D
+//	run D                              virtual time passes
 //	state NAME STATE [by=D]            the job has that outcome, within a time
-//	count FIELD [least=N] [most=N]     a field of the tally lies within bounds
-//	decided EVENT [least=N] [most=N]
+//	count FIELD [least=N] [most=N]     a field of the Tally is within bounds
+//	decided EVENT [least=N] [most=N]   the number of events that the owners noted is within bounds
 //	violations N
 func TestScripts(t *testing.T) {
 	scripttest.EachIn(t, "script", func(t *testing.T, text string) {
-		(&player{t: t}).run(text)
+		(&scriptRunner{t: t}).run(text)
 	})
 }
 
-// player plays one script.
-type player struct {
-	t  *testing.T
-	at string
-	w  *world.World
-	// tellStart is set for scripts in which workers begin again under their names.
+// scriptRunner runs one script.
+type scriptRunner struct {
+	t    *testing.T
+	line string
+	w    *world.World
+	// tellStart is set for scripts in which workers restart under their names.
 	tellStart bool
-	// change changes the site before it begins; nil for none.
-	change func(*world.Setup)
+	// changeSetup changes the setup before the World is created; nil for none.
+	changeSetup func(*world.Setup)
 }
 
-// run plays a script.
-func (p *player) run(text string) {
+// run runs a script.
+func (p *scriptRunner) run(text string) {
 	for i, l := range strings.Split(text, "\n") {
 		if l = strings.TrimSpace(l); l != "" && !strings.HasPrefix(l, "#") {
-			p.at = fmt.Sprintf("line %d: %s", i+1, l)
-			p.do(strings.Fields(l))
+			p.line = fmt.Sprintf("line %d: %s", i+1, l)
+			p.execute(strings.Fields(l))
 		}
 	}
 }
 
-// do carries out one command.
-func (p *player) do(f []string) {
-	o := words(f)
+// execute runs one command.
+func (p *scriptRunner) execute(f []string) {
+	o := args(f)
 	switch f[0] {
 	case "site":
-		p.site(o)
+		p.newWorld(o)
 	case "job":
 		p.must(p.w.Submit(newJob(f[1], o)))
 	case "strike":
@@ -74,49 +74,49 @@
 		p.must(err)
 		p.w.Run(d)
 	case "state":
-		p.state(f[1], world.State(f[2]), o.duration("by", time.Hour))
+		p.checkState(f[1], world.State(f[2]), o.duration("by", time.Hour))
 	case "count":
 		v := reflect.ValueOf(p.w.Tally()).FieldByName(f[1])
 		if !v.IsValid() {
-			p.t.Fatalf("%s: no such field", p.at)
+			p.t.Fatalf("%s: no such field", p.line)
 		}
-		p.within(int(v.Int()), o)
+		p.checkBounds(int(v.Int()), o)
 	case "decided":
-		p.within(p.w.Decided(dispatch.Event(f[1])), o)
+		p.checkBounds(p.w.Decided(dispatch.Event(f[1])), o)
 	case "violations":
 		if got := p.w.Violations(); strconv.Itoa(len(got)) != f[1] {
-			p.t.Errorf("%s: %q", p.at, got)
+			p.t.Errorf("%s: %q", p.line, got)
 		}
 	default:
-		p.t.Fatalf("%s: unknown command", p.at)
+		p.t.Fatalf("%s: unknown command", p.line)
 	}
 }
 
-// must fails on an error.
-func (p *player) must(err error) {
+// must fails the test on an error.
+func (p *scriptRunner) must(err error) {
 	if err != nil {
-		p.t.Fatalf("%s: %v", p.at, err)
+		p.t.Fatalf("%s: %v", p.line, err)
 	}
 }
 
-// within compares a count with its bounds.
-func (p *player) within(got int, o words) {
+// checkBounds compares a count with its bounds.
+func (p *scriptRunner) checkBounds(got int, o args) {
 	if got < int(o.number("least", 0)) || got > int(o.number("most", 1e18)) {
-		p.t.Errorf("%s: got %d", p.at, got)
+		p.t.Errorf("%s: got %d", p.line, got)
 	}
 }
 
-// state compares a job's outcome.
-func (p *player) state(name string, want world.State, by time.Duration) {
+// checkState compares a job's outcome.
+func (p *scriptRunner) checkState(name string, want world.State, by time.Duration) {
 	for _, o := range p.w.Outcomes() {
 		if o.Name == id.Job(name) && (o.State != want || o.Took > by) {
-			p.t.Errorf("%s: %s after %s", p.at, o.State, o.Took)
+			p.t.Errorf("%s: %s after %s", p.line, o.State, o.Took)
 		}
 	}
 }
 
-// site begins the world.
-func (p *player) site(o words) {
+// newWorld creates the World.
+func (p *scriptRunner) newWorld(o args) {
 	s := setup(int(o.number("workers", 8)), int(o.number("hosts", 1)), o.number("cores", 1))
 	s.Times.Drift, s.Times.Stop = o.number("drift", 0), o.duration("stop", 0)
 	s.TellStart = p.tellStart
@@ -124,21 +124,21 @@
 	for i := range s.Workers {
 		s.Workers[i].Speed = o.number("speed", 1)
 	}
-	if p.change != nil {
-		p.change(&s)
+	if p.changeSetup != nil {
+		p.changeSetup(&s)
 	}
 	w, err := world.New(s)
 	p.must(err)
 	p.w = w
 }
 
-// config holds the bounds of the dispatcher under test.
+// config is the configuration of the dispatcher under test.
 var config = dispatch.Config{
 	MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, SaveEvery: time.Second, KeepEnded: 2 * time.Minute,
 	Handover: 3 * time.Second, Away: 2 * time.Second,
 }
 
-// setup returns a site of workers with 8 accelerators, 4 to a rack.
+// setup returns a site of workers with 8 accelerators each, 4 to a rack.
 func setup(workers, hosts int, cores float64) world.Setup {
 	s := world.Setup{
 		Make: func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
@@ -164,8 +164,8 @@
 	return s
 }
 
-// newJob returns a job by the words of its line.
-func newJob(name string, o words) world.Job {
+// newJob returns the job that the arguments of its line describe.
+func newJob(name string, o args) world.Job {
 	takes := o.duration("takes", time.Second)
 	step := job.Step{
 		Count: int(o.number("count", 1)), Estimate: o.duration("estimate", takes), Gang: o.has("gang"), Checkpointing: o.has("saves"),
@@ -191,13 +191,13 @@
 	return j
 }
 
-// words are the words of a line: NAME or NAME=VALUE.
-type words []string
+// args holds the arguments of a line: NAME or NAME=VALUE.
+type args []string
 
-func (o words) has(name string) bool { return slices.Contains(o, name) }
+func (o args) has(name string) bool { return slices.Contains(o, name) }
 
-// text returns the value of a name.
-func (o words) text(name string) (string, bool) {
+// text returns the value of a named argument.
+func (o args) text(name string) (string, bool) {
 	for _, w := range o {
 		if v, ok := strings.CutPrefix(w, name+"="); ok {
 			return v, true
@@ -206,7 +206,7 @@
 	return "", false
 }
 
-func (o words) number(name string, def float64) float64 {
+func (o args) number(name string, def float64) float64 {
 	v, ok := o.text(name)
 	if !ok {
 		return def
@@ -218,7 +218,7 @@
 	return x
 }
 
-func (o words) duration(name string, def time.Duration) time.Duration {
+func (o args) duration(name string, def time.Duration) time.Duration {
 	v, ok := o.text(name)
 	if !ok {
 		return def
--- a/core/world/seeds_test.go
+++ b/core/world/seeds_test.go
@@ -10,27 +10,29 @@
 	"curlewsill.org/curlewsill/core/world"
 )
 
-// seedLength is how long each seed of testdata/seeds.txt is played with faults, the length of the long runs that found them.
-const seedLength = 60 * time.Second
+// seedDuration is how long each seed of testdata/seeds.txt runs with faults. It
+// is the duration of the long runs that found the seeds.
+const seedDuration = 60 * time.Second
 
-// seedPlays are the long runs whose seeds testdata/seeds.txt names.
-var seedPlays = map[string]func(*testing.T, uint64, time.Duration) *world.World{
-	"reborn":                       deliveryPlay(playReborn).by(world.AtWorker),
-	"reborn-on-the-way":            deliveryPlay(playReborn).by(world.OnTheWay),
-	"crashes-reborn":               deliveryPlay(playCrashesReborn).by(world.AtWorker),
-	"crashes-reborn-on-the-way":    deliveryPlay(playCrashesReborn).by(world.OnTheWay),
-	"reborn-on-connection":         deliveryPlay(playReborn).by(world.OnConnection),
-	"crashes-reborn-on-connection": deliveryPlay(playCrashesReborn).by(world.OnConnection),
-	"crashes":                      playCrashes,
+// seedSimulations are the long runs by their names in testdata/seeds.txt.
+var seedSimulations = map[string]func(*testing.T, uint64, time.Duration) *world.World{
+	"reborn":                       simulation(simulateReborn).with(world.AtWorker),
+	"reborn-on-the-way":            simulation(simulateReborn).with(world.OnTheWay),
+	"crashes-reborn":               simulation(simulateCrashesReborn).with(world.AtWorker),
+	"crashes-reborn-on-the-way":    simulation(simulateCrashesReborn).with(world.OnTheWay),
+	"reborn-on-connection":         simulation(simulateReborn).with(world.OnConnection),
+	"crashes-reborn-on-connection": simulation(simulateCrashesReborn).with(world.OnConnection),
+	"crashes":                      simulateCrashes,
 	"long": func(t *testing.T, seed uint64, length time.Duration) *world.World {
-		return playLong(t, seed, longKinds, length)
+		return simulateLong(t, seed, longKinds, length)
 	},
-	"evacuations":               deliveryPlay(playEvacuations).by(world.AtWorker),
-	"evacuations-on-the-way":    deliveryPlay(playEvacuations).by(world.OnTheWay),
-	"evacuations-on-connection": deliveryPlay(playEvacuations).by(world.OnConnection),
+	"evacuations":               simulation(simulateEvacuations).with(world.AtWorker),
+	"evacuations-on-the-way":    simulation(simulateEvacuations).with(world.OnTheWay),
+	"evacuations-on-connection": simulation(simulateEvacuations).with(world.OnConnection),
 }
 
-// TestSeeds plays the seeds of long runs that have failed. Each line of the file names a run, a seed and what was seen.
+// TestSeeds runs the seeds of long runs that have failed. Each line of the file
+// names a run, a seed and the failure.
 func TestSeeds(t *testing.T) {
 	b, err := os.ReadFile("testdata/seeds.txt")
 	if err != nil {
@@ -41,8 +43,8 @@
 		if len(f) == 0 || strings.HasPrefix(line, "#") {
 			continue
 		}
-		play := seedPlays[f[0]]
-		if play == nil || len(f) < 2 {
+		simulate := seedSimulations[f[0]]
+		if simulate == nil || len(f) < 2 {
 			t.Fatalf("testdata/seeds.txt:%d: %q names no run and seed", i+1, line)
 		}
 		seed, err := strconv.ParseUint(f[1], 10, 64)
@@ -51,7 +53,7 @@
 		}
 		t.Run(f[0]+"-"+f[1], func(t *testing.T) {
 			t.Parallel()
-			checkLong(t, play(t, seed, seedLength))
+			checkLong(t, simulate(t, seed, seedDuration))
 		})
 	}
 }
--- a/core/world/storm_test.go
+++ b/core/world/storm_test.go
@@ -11,94 +11,103 @@
 	"curlewsill.org/curlewsill/core/world"
 )
 
-var stormSeeds = flag.Uint64("stormseeds", 1, "seeds of each case of the storms")
+var stormSeeds = flag.Uint64("stormseeds", 1, "number of seeds of each case of TestStorms")
 
-// stormCase is a site on which a share of the workers crashes again and again, for reasons of their own, while gangs of one width are handed in.
+// stormCase is a site on which a share of the workers crashes periodically for
+// reasons other than tasks, while gangs of one width are submitted.
 type stormCase struct {
-	width int
-	share float64
-	every time.Duration
-	// oneIn is how many jobs there are to one that crashes its workers, soon after its start; 0 for none.
-	oneIn int
-	soon  time.Duration
+	width  int
+	share  float64
+	period time.Duration
+	// crashOneIn is the number of jobs to one that crashes its workers
+	// crashAfter its start; 0 for none.
+	crashOneIn int
+	crashAfter time.Duration
 }
 
-// stormTally is what has become of the jobs of a case.
+// stormTally counts the results of the jobs of a case.
 type stormTally struct {
-	// jobs counts those that crash no worker, wrong those of them that were given up, done those that were completed.
-	jobs, wrong, done int
-	// bad counts those that crash workers, crashes the workers that they crashed, violations what did not hold: starts beyond what is allowed,
-	// and jobs given up wrongly.
-	bad, crashes, violations int
+	// jobs counts the jobs that crash no worker, wronglyFailed those of them
+	// that were given up, completed those that completed.
+	jobs, wronglyFailed, completed int
+	// crashing counts the jobs that crash workers, crashes the crashes that
+	// they caused. violations counts the invariants that did not hold, such as
+	// more starts than allowed, and jobs that were wrongly given up.
+	crashing, crashes, violations int
 }
 
-// stormLength is how long jobs are handed in.
-const stormLength = time.Minute
+// stormDuration is how long jobs are submitted.
+const stormDuration = time.Minute
 
-// TestStorms plays storms of crashes over gangs of several widths. No job that can be done is given up, and those that crash workers are, in time. By
-// hand, with a table, where not all cases pass:
+// TestStorms simulates storms of crashes over gangs of several widths. No job
+// that can complete may be given up, and tasks that crash workers must not be
+// started more often than allowed. For all cases with a table of results, where
+// not all cases pass:
 //
 //	go test ./core/world -run Storms -v -args -stormseeds 20
 //
-// A gang had one count of crashes, which grew with each worker of any member, so that wide gangs were given up that crash nothing: on a site of 350
-// workers, a gang of 38 at "3 of 3 at once", by the workers of its members 2, 3 and 1; and crashes counted against orders that the worker's next
-// life had refused.
+// It guards against two faults in counting crashes. A gang had one counter of
+// crashes, which each worker of any member raised, so that wide gangs were
+// given up that crash nothing: on a site of 350 workers, a gang of 38 members
+// at "3 of 3 at once", because of the workers of its members 2, 3 and 1. And
+// crashes counted against orders that the worker's next incarnation had
+// refused.
 func TestStorms(t *testing.T) {
 	cases := []stormCase{
-		{width: 16, share: 0.33, every: 2 * time.Second},
-		{width: 4, share: 0.05, every: 20 * time.Second, oneIn: 4, soon: 10 * time.Millisecond},
+		{width: 16, share: 0.33, period: 2 * time.Second},
+		{width: 4, share: 0.05, period: 20 * time.Second, crashOneIn: 4, crashAfter: 10 * time.Millisecond},
 	}
 	if *stormSeeds > 1 {
 		cases = stormCases()
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
-			sum := playStorms(t, c)
+			sum := simulateStorms(t, c)
 			t.Logf("%d jobs, %d done, %d given up wrongly; %d that crash workers, %d crashes, %d violations",
-				sum.jobs, sum.done, sum.wrong, sum.bad, sum.crashes, sum.violations)
-			if sum.wrong > 0 || sum.violations > 0 {
-				t.Errorf("%d of %d jobs were given up wrongly, %d checks did not hold", sum.wrong, sum.jobs, sum.violations)
+				sum.jobs, sum.completed, sum.wronglyFailed, sum.crashing, sum.crashes, sum.violations)
+			if sum.wronglyFailed > 0 || sum.violations > 0 {
+				t.Errorf("%d of %d jobs were given up wrongly, %d checks did not hold", sum.wronglyFailed, sum.jobs, sum.violations)
 			}
 		})
 	}
 }
 
-// stormCases returns the cases of a run by hand.
+// stormCases returns the cases of a full run.
 func stormCases() []stormCase {
 	var out []stormCase
 	for _, width := range []int{1, 4, 16, 64} {
 		for _, share := range []float64{0.05, 0.2, 0.33} {
 			for _, every := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second} {
-				out = append(out, stormCase{width: width, share: share, every: every})
+				out = append(out, stormCase{width: width, share: share, period: every})
 			}
 		}
 		for _, soon := range []time.Duration{10 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
-			out = append(out, stormCase{width: width, share: 0.2, every: 20 * time.Second, oneIn: 33, soon: soon})
+			out = append(out, stormCase{width: width, share: 0.2, period: 20 * time.Second, crashOneIn: 33, crashAfter: soon})
 		}
 	}
 	return out
 }
 
-// playStorms plays the seeds of a case.
-func playStorms(t *testing.T, c stormCase) stormTally {
+// simulateStorms runs the seeds of a case.
+func simulateStorms(t *testing.T, c stormCase) stormTally {
 	var sum stormTally
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for seed := uint64(1); seed <= *stormSeeds; seed++ {
 		all.Go(func() {
-			one := playStorm(t, c, seed)
+			one := simulateStorm(t, c, seed)
 			mu.Lock()
 			defer mu.Unlock()
-			sum.jobs, sum.wrong, sum.done = sum.jobs+one.jobs, sum.wrong+one.wrong, sum.done+one.done
-			sum.bad, sum.crashes, sum.violations = sum.bad+one.bad, sum.crashes+one.crashes, sum.violations+one.violations
+			sum.jobs, sum.wronglyFailed, sum.completed = sum.jobs+one.jobs, sum.wronglyFailed+one.wronglyFailed, sum.completed+one.completed
+			sum.crashing, sum.crashes, sum.violations = sum.crashing+one.crashing, sum.crashes+one.crashes, sum.violations+one.violations
 		})
 	}
 	all.Wait()
 	return sum
 }
 
-// playStorm plays one seed on 48 workers.
-func playStorm(t *testing.T, c stormCase, seed uint64) stormTally {
+// simulateStorm runs one seed on 48 workers.
+func simulateStorm(t *testing.T, c stormCase, seed uint64) stormTally {
 	random := rand.New(rand.NewPCG(seed, uint64(c.width)))
 	s := setup(48, 1, 1)
 	s.Seed = seed
@@ -107,18 +116,18 @@
 		t.Error(err)
 		return stormTally{}
 	}
-	for n, end, storm := 0, w.Now().Add(stormLength), w.Now().Add(c.every); w.Now() < end; n++ {
+	for n, end, storm := 0, w.Now().Add(stormDuration), w.Now().Add(c.period); w.Now() < end; n++ {
 		takes := time.Duration(500+random.IntN(2000)) * time.Millisecond
-		o := words{fmt.Sprintf("count=%d", c.width), "gang", "takes=" + takes.String(), "attempts=100"}
-		if c.oneIn > 0 && random.IntN(c.oneIn) == 0 {
-			o = append(o, "crashes="+c.soon.String())
+		o := args{fmt.Sprintf("count=%d", c.width), "gang", "takes=" + takes.String(), "attempts=100"}
+		if c.crashOneIn > 0 && random.IntN(c.crashOneIn) == 0 {
+			o = append(o, "crashes="+c.crashAfter.String())
 		}
 		if err := w.Submit(newJob(fmt.Sprintf("j%06d", n), o)); err != nil {
 			t.Error(err)
 		}
 		w.Run(time.Duration(100+random.IntN(200)) * time.Millisecond)
 		if w.Now() >= storm {
-			storm = storm.Add(c.every)
+			storm = storm.Add(c.period)
 			if err := w.Strike(world.Fault{Kind: world.Kill, Share: c.share, Lasts: 3 * time.Second}); err != nil {
 				t.Error(err)
 			}
@@ -128,21 +137,21 @@
 	return tallyStorm(w)
 }
 
-// tallyStorm counts what has become of the jobs of a world.
+// tallyStorm counts the results of the jobs of a World.
 func tallyStorm(w *world.World) stormTally {
 	out := stormTally{crashes: w.Tally().Crashes, violations: w.Tally().Violations}
 	for _, o := range w.Outcomes() {
 		switch {
 		case o.Crashes:
-			out.bad++
+			out.crashing++
 		default:
 			out.jobs++
 		}
 		if !o.Crashes && o.State == world.Failed {
-			out.wrong++
+			out.wronglyFailed++
 		}
 		if !o.Crashes && o.State == world.Completed {
-			out.done++
+			out.completed++
 		}
 	}
 	return out
