--- a/core/world/check.go
+++ b/core/world/check.go
@@ -117,7 +117,7 @@
 		h.ackedFailures++
 	case fleet.EndDone:
 		h.acknowledged = true
-		if h.lastStart > e.at && !e.job.Spec.Steps[e.Task.Step].LongRunning {
+		if h.lastStart > e.endedAt && !e.job.Spec.Steps[e.Task.Step].LongRunning {
 			w.recordViolation(fmt.Sprintf("%s was started again after an end that was noted later", e.Task))
 		}
 	case fleet.EndStopped, fleet.EndLapsed, fleet.EndBroken, fleet.EndAlone:
@@ -126,11 +126,11 @@
 
 // checkFinish checks that the recorded outcome of a job is justified if it is
 // completed or failed.
-func (w *World) checkFinish(s *submittedJob, as State) {
-	if as == Failed && !s.outOfAttempts() && !s.crashesWorkers() {
+func (w *World) checkFinish(s *submittedJob, outcome State) {
+	if outcome == Failed && !s.outOfAttempts() && !s.crashesWorkers() {
 		w.recordViolation(fmt.Sprintf("%s is shown as failed, but has attempts left", s.Name))
 	}
-	if as != Completed {
+	if outcome != Completed {
 		return
 	}
 	for round := range s.Spec.RoundCount() {
--- a/core/world/fault.go
+++ b/core/world/fault.go
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// Down ends a worker's incarnation for good. It does nothing for a worker that
-// is down or unknown.
+// Down ends a worker's incarnation. The worker is down until Up. Down does
+// nothing for a worker that is down or unknown.
 func (w *World) Down(name id.Worker) {
 	if m := w.machineByID(name); m != nil {
 		m.endIncarnation(0, newID)
--- a/core/world/host.go
+++ b/core/world/host.go
@@ -136,9 +136,9 @@
 		h.claiming = false
 		return
 	}
-	w.store.append(progressLog, epoch, nil, func(taken bool) {
+	w.store.append(progressLog, epoch, nil, func(stored bool) {
 		h.claiming = false
-		if !taken || !h.hasNewestClaim(incarnation, epoch) {
+		if !stored || !h.hasNewestClaim(incarnation, epoch) {
 			return
 		}
 		w.tally.Claims++
--- a/core/world/long_test.go
+++ b/core/world/long_test.go
@@ -201,18 +201,18 @@
 func randomJob(random *rand.Rand) args {
 	takes := time.Duration(50+random.IntN(6000)) * time.Millisecond
 	if random.IntN(15) == 0 {
-		takes *= 4 // longer than a lease
+		takes *= 4 // some tasks run longer than a lease lasts
 	}
 	out := args{
 		fmt.Sprintf("count=%d", 1+random.IntN(12)), fmt.Sprintf("gpus=%d", 1<<random.IntN(4)), "takes=" + takes.String(),
 		"estimate=" + (takes / time.Duration(1+random.IntN(3))).String(), fmt.Sprintf("priority=%d", random.IntN(3)), "attempts=4",
 	}
 	for _, x := range []struct {
-		word string
-		one  int
+		arg   string
+		oneIn int
 	}{{"gang", 3}, {"saves", 2}, {"twosteps", 5}, {"fails=0.05", 3}, {"cancel=1.5s", 15}} {
-		if random.IntN(x.one) == 0 {
-			out = append(out, x.word)
+		if random.IntN(x.oneIn) == 0 {
+			out = append(out, x.arg)
 		}
 	}
 	if random.IntN(30) == 0 {
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -77,7 +77,7 @@
 	for _, s := range m.stalls {
 		begin, end := max(from, s.from), min(to, s.to)
 		total += max(0, end.Sub(begin))
-		from = max(from, end) // spans may overlap
+		from = max(from, end) // intervals may overlap
 	}
 	return total
 }
@@ -86,7 +86,7 @@
 type listedEnd struct {
 	fleet.End
 	job *submittedJob
-	at  unit.Instant
+	endedAt  unit.Instant
 	// leaseLapsed is set once the worker's lease has run out after the end: the
 	// owner may have given up the run, and its acknowledgement is too late to
 	// bind it.
@@ -383,18 +383,18 @@
 // partition cuts the worker off from the hosts and from the list of workers.
 // The list drops the worker after a while and shows it again when the partition
 // ends.
-func (m *machine) partition(lasts time.Duration) {
+func (m *machine) partition(duration time.Duration) {
 	if !m.up {
 		return
 	}
 	w, incarnation := m.world, m.incarnation
-	m.partitionedUntil = max(m.partitionedUntil, w.now.Add(lasts))
+	m.partitionedUntil = max(m.partitionedUntil, w.now.Add(duration))
 	w.Plan(w.setup.Times.MemberTTL, func() {
 		if m.incarnation == incarnation && w.now < m.partitionedUntil {
 			w.unlist(m.currentID)
 		}
 	})
-	w.Plan(lasts, func() {
+	w.Plan(duration, func() {
 		if m.incarnation == incarnation && m.up && w.now >= m.partitionedUntil {
 			w.list(m.listing())
 		}
@@ -402,14 +402,14 @@
 }
 
 // shrink reduces the worker's capacity for a while. Runs in progress continue.
-func (m *machine) shrink(lasts time.Duration, by float64) {
+func (m *machine) shrink(duration time.Duration, factor float64) {
 	m.Capacity = job.Resources{
-		CPU: job.MilliCPU(float64(m.fullCapacity.CPU) / by), Memory: unit.Bytes(float64(m.fullCapacity.Memory) / by),
-		Accelerators: int(float64(m.fullCapacity.Accelerators) / by),
+		CPU: job.MilliCPU(float64(m.fullCapacity.CPU) / factor), Memory: unit.Bytes(float64(m.fullCapacity.Memory) / factor),
+		Accelerators: int(float64(m.fullCapacity.Accelerators) / factor),
 	}
 	m.capacityGraceUntil = m.world.now.Add(capacityGrace)
 	m.publishListing()
-	m.world.Plan(lasts, func() {
+	m.world.Plan(duration, func() {
 		m.Capacity = m.fullCapacity
 		m.publishListing()
 	})
--- a/core/world/run.go
+++ b/core/world/run.go
@@ -125,12 +125,12 @@
 	if r.ended {
 		return
 	}
-	all := []*run{r}
+	members := []*run{r}
 	if how == fleet.EndDone && r.gang != nil {
-		all = r.gang.members
+		members = r.gang.members
 	}
 	now, deferral := r.machine.world.now, time.Duration(0)
-	for _, m := range all {
+	for _, m := range members {
 		deferral = max(deferral, m.dueAt.Add(m.machine.stalledTime(m.workStart, now)).Sub(now))
 	}
 	switch {
@@ -190,7 +190,7 @@
 	}
 	m.lastSeq++
 	e.Seq = m.lastSeq
-	m.ends = append(m.ends, listedEnd{End: e, job: r.job, at: w.now})
+	m.ends = append(m.ends, listedEnd{End: e, job: r.job, endedAt: w.now})
 	if m.answerHeld != nil {
 		m.answerHeld()
 	}
--- a/core/world/storm_test.go
+++ b/core/world/storm_test.go
@@ -77,12 +77,12 @@
 	var out []stormCase
 	for _, width := range []int{1, 4, 16, 64} {
 		for _, share := range []float64{0.05, 0.2, 0.33} {
-			for _, every := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second} {
-				out = append(out, stormCase{width: width, share: share, period: every})
+			for _, period := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second} {
+				out = append(out, stormCase{width: width, share: share, period: period})
 			}
 		}
-		for _, soon := range []time.Duration{10 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
-			out = append(out, stormCase{width: width, share: 0.2, period: 20 * time.Second, crashOneIn: 33, crashAfter: soon})
+		for _, crashAfter := range []time.Duration{10 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
+			out = append(out, stormCase{width: width, share: 0.2, period: 20 * time.Second, crashOneIn: 33, crashAfter: crashAfter})
 		}
 	}
 	return out
--- a/core/world/tally.go
+++ b/core/world/tally.go
@@ -45,9 +45,9 @@
 }
 
 // recordOutcome records the outcome of a job and checks it.
-func (w *World) recordOutcome(s *submittedJob, as State) {
-	s.state, s.endedAt = as, w.now
-	w.checkFinish(s, as)
+func (w *World) recordOutcome(s *submittedJob, outcome State) {
+	s.state, s.endedAt = outcome, w.now
+	w.checkFinish(s, outcome)
 }
 
 // Outcome describes one job and its result.
@@ -240,4 +240,4 @@
 }
 
 // scale returns d multiplied by a factor.
-func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
