--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -85,8 +85,8 @@
 // listedEnd is one end that a worker reports.
 type listedEnd struct {
 	fleet.End
-	job *submittedJob
-	endedAt  unit.Instant
+	job     *submittedJob
+	endedAt unit.Instant
 	// leaseLapsed is set once the worker's lease has run out after the end: the
 	// owner may have given up the run, and its acknowledgement is too late to
 	// bind it.
