--- a/core/world/check_internal_test.go
+++ b/core/world/check_internal_test.go
@@ -19,14 +19,24 @@
 // find each violation. A case in testdata/checks.txt begins with its name in
 // brackets:
 //
-//	job [count=N] [attempts=N] [gang] [twosteps] [fails] [crashes=D]    the job, whose tasks take 1 s and a whole worker
-//	start WORKER STEP INDEX RUN       a start order, executed at once
-//	late WORKER STEP INDEX RUN AFTER  a start order that is sent at once, gets no answer and is executed after a delay
-//	reborn WORKER                     the worker ends and restarts under its name 100 ms later
-//	told WORKER                       the owner acknowledges all ends of a worker
-//	run D                             virtual time passes
-//	shown STATE                       the job's outcome is recorded
-//	want TEXT                         one violation was found, whose message contains the text; "nothing" for none
+//	job [count=N] [attempts=N] [gang] [twosteps] [fails] [crashes=D]
+//	    the job, whose tasks take 1 s and a whole worker each
+//	start WORKER STEP INDEX RUN
+//	    a start order that is executed at once
+//	late WORKER STEP INDEX RUN AFTER
+//	    a start order that is sent at once, gets no answer and is executed
+//	    after a delay
+//	reborn WORKER
+//	    the worker ends and restarts under its name 100 ms later
+//	told WORKER
+//	    the owner acknowledges all ends of a worker
+//	run D
+//	    virtual time passes
+//	shown STATE
+//	    the job's outcome is recorded
+//	want TEXT
+//	    exactly one violation was found, and its message contains the text;
+//	    "nothing" for none
 func TestChecks(t *testing.T) {
 	data, err := os.ReadFile("testdata/checks.txt")
 	if err != nil {
--- a/core/world/script_test.go
+++ b/core/world/script_test.go
@@ -21,15 +21,26 @@
 
 // TestScripts runs the scripts in testdata/script. A line is a command:
 //
-//	site [workers=N] [speed=X] [hosts=N] [cores=X] [drift=X] [stop=D] [order=D] [pass=D]    creates the World
-//	job NAME [count=N] [gpus=N] [takes=D] [estimate=D] [priority=N] [attempts=N] [gang] [saves] [twosteps] [fails=X] [cancel=D]
-//	    [crashes=D, the time after which its first task crashes its worker] [reborn, under its name] [lasts] [apart=N]
+//	site [workers=N] [speed=X] [hosts=N] [cores=X] [drift=X] [stop=D]
+//	        [order=D] [pass=D]
+//	    creates the World
+//	job NAME [count=N] [gpus=N] [takes=D] [estimate=D] [priority=N]
+//	        [attempts=N] [gang] [saves] [twosteps] [fails=X] [cancel=D]
+//	        [crashes=D] [reborn] [lasts] [apart=N]
+//	    submits a job; its first task crashes its worker after the time
+//	    "crashes", and the worker restarts under its name with "reborn"
 //	strike KIND [share=X] [lasts=D] [factor=X]
-//	run D                              virtual time passes
-//	state NAME STATE [by=D]            the job has that outcome, within a time
-//	count FIELD [least=N] [most=N]     a field of the Tally is within bounds
-//	decided EVENT [least=N] [most=N]   the number of events that the owners noted is within bounds
+//	    injects a fault
+//	run D
+//	    virtual time passes
+//	state NAME STATE [by=D]
+//	    the job has that outcome, within a time
+//	count FIELD [least=N] [most=N]
+//	    a field of the Tally is within bounds
+//	decided EVENT [least=N] [most=N]
+//	    the number of events that the owners noted is within bounds
 //	violations N
+//	    the number of violations
 func TestScripts(t *testing.T) {
 	scripttest.EachIn(t, "script", func(t *testing.T, text string) {
 		(&scriptRunner{t: t}).run(text)
