--- a/core/world/check_internal_test.go
+++ b/core/world/check_internal_test.go
@@ -15,17 +15,28 @@
 	"curlewsill.org/curlewsill/core/policy"
 )
 
-// TestChecks gives orders that no right owner gives, and each must be found. A case in
-// testdata/checks.txt begins with its name in brackets:
+// TestChecks gives workers orders that no correct owner gives. The checks must
+// find each violation. A case in testdata/checks.txt begins with its name in
+// brackets:
 //
-//	job [count=N] [attempts=N] [gang] [twosteps] [fails] [crashes=D]    the job, whose tasks take 1 s and a whole worker
-//	start WORKER STEP INDEX RUN       an order that leaves at once
-//	late WORKER STEP INDEX RUN AFTER  an order that leaves at once, gets no answer and is carried out after a time
-//	reborn WORKER                     the worker ends and begins again under its name, 100 ms later
-//	told WORKER                       the owner takes note of all ends of a worker
+//	job [count=N] [attempts=N] [gang] [twosteps] [fails] [crashes=D]
+//	    the job, whose tasks take 1 s and a whole worker each
+//	start WORKER STEP INDEX RUN
+//	    a start order that is executed at once
+//	late WORKER STEP INDEX RUN AFTER
+//	    a start order that is sent at once, gets no answer and is executed
+//	    after a delay
+//	reborn WORKER
+//	    the worker ends and restarts under its name 100 ms later
+//	told WORKER
+//	    the owner acknowledges all ends of a worker
 //	run D
-//	shown STATE                       the job is shown with an outcome
-//	want TEXT                         a violation with that text was found, and no other; "nothing" for none
+//	    virtual time passes
+//	shown STATE
+//	    the job's outcome is recorded
+//	want TEXT
+//	    exactly one violation was found, and its message contains the text;
+//	    "nothing" for none
 func TestChecks(t *testing.T) {
 	data, err := os.ReadFile("testdata/checks.txt")
 	if err != nil {
@@ -34,7 +45,7 @@
 	for _, c := range strings.Split("\n"+string(data), "\n[")[1:] {
 		name, text, _ := strings.Cut(c, "]\n")
 		t.Run(name, func(t *testing.T) {
-			p := newChecked(t)
+			p := newHarness(t)
 			for _, l := range strings.Split(text, "\n") {
 				if l = strings.TrimSpace(l); l != "" {
 					p.do(strings.Fields(l))
@@ -44,14 +55,14 @@
 	}
 }
 
-// checked is a world that is given orders by hand.
-type checked struct {
+// harness is a World whose workers get their orders from a test case.
+type harness struct {
 	t *testing.T
 	w *World
-	s *submitted
+	s *submittedJob
 }
 
-func newChecked(t *testing.T) *checked {
+func newHarness(t *testing.T) *harness {
 	s := Setup{
 		Make: func(e id.Epoch, table *jobtable.Table) *dispatch.Dispatcher {
 			return dispatch.New(dispatch.Config{MaxLease: time.Hour}, policy.New(), e, table)
@@ -66,29 +77,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.owner.end() // it would stop what it hasn't ordered
-	return &checked{t: t, w: w}
+	w.owner.end() // it would stop runs that it has not ordered
+	return &harness{t: t, w: w}
 }
 
-// do carries out one line.
-func (c *checked) do(f []string) {
+// do executes one line.
+func (c *harness) do(f []string) {
 	switch f[0] {
 	case "job":
 		c.addJob(f)
 	case "start":
-		c.w.byLife[id.Worker(f[1])].start(c.order(f))
+		c.w.byIncarnation[id.Worker(f[1])].startRun(c.order(f))
 	case "late":
-		m, o := c.w.byLife[id.Worker(f[1])], c.order(f)
-		c.w.deliverLate(connection{machine: m}, o.Target, c.duration(f[5]), func(m *machine) fleet.Verdict { return m.start(o) })
+		m, o := c.w.byIncarnation[id.Worker(f[1])], c.order(f)
+		c.w.deliverLate(connection{machine: m}, o.Target, c.duration(f[5]), func(m *machine) fleet.Verdict { return m.startRun(o) })
 	case "reborn":
-		c.w.byLife[id.Worker(f[1])].die(100*time.Millisecond, sameName)
+		c.w.byIncarnation[id.Worker(f[1])].endIncarnation(100*time.Millisecond, sameID)
 	case "told":
-		m := c.w.byLife[id.Worker(f[1])]
-		m.renew(dispatch.Renew{Told: m.seq, Until: fleet.Clock(time.Hour)}, func(fleet.Report) {})
+		m := c.w.byIncarnation[id.Worker(f[1])]
+		m.renew(dispatch.Renew{Told: m.lastSeq, Until: fleet.Clock(time.Hour)}, func(fleet.Report) {})
 	case "run":
 		c.w.Run(c.duration(f[1]))
 	case "shown":
-		c.w.finish(c.s, State(f[1]))
+		c.w.recordOutcome(c.s, State(f[1]))
 	case "want":
 		c.want(strings.Join(f[1:], " "))
 	default:
@@ -96,16 +107,16 @@
 	}
 }
 
-// order reads an order to start: WORKER STEP INDEX RUN.
-func (c *checked) order(f []string) dispatch.Start {
+// order parses a start order: WORKER STEP INDEX RUN.
+func (c *harness) order(f []string) dispatch.Start {
 	return dispatch.Start{
 		Target: dispatch.Target{Worker: id.Worker(f[1])}, Task: job.Task{Job: "j", Step: c.number(f[2]), Index: c.number(f[3])},
 		Run: job.Run(c.number(f[4])), Until: fleet.Clock(time.Hour),
 	}
 }
 
-// want compares what was found.
-func (c *checked) want(text string) {
+// want compares the violations found with the expected one.
+func (c *harness) want(text string) {
 	got := c.w.Violations()
 	if text == "nothing" && len(got) == 0 {
 		return
@@ -115,8 +126,8 @@
 	}
 }
 
-// addJob makes the job known to the workers, but not to the owner.
-func (c *checked) addJob(f []string) {
+// addJob adds the job to the World, but not to the owner.
+func (c *harness) addJob(f []string) {
 	step := job.Step{Count: 1, Need: job.Resources{Accelerators: 8}}
 	spec := job.Spec{MaxAttempts: 3}
 	fails, steps := 0.0, 1
@@ -144,14 +155,17 @@
 		}
 		spec.Steps = append(spec.Steps, step)
 	}
-	c.s = &submitted{Job: Job{Name: "j", Spec: spec, FailShare: fails, CrashAfter: crash}, at: c.w.now, state: Open, ledger: map[job.Task]*taskLedger{}}
+	c.s = &submittedJob{
+		Job: Job{Name: "j", Spec: spec, FailShare: fails, CrashAfter: crash}, submittedAt: c.w.now,
+		state: Open, histories: map[job.Task]*taskHistory{},
+	}
 	for range spec.Width() {
 		c.s.Takes = append(c.s.Takes, time.Second)
 	}
 	c.w.jobs["j"] = c.s
 }
 
-func (c *checked) number(s string) int {
+func (c *harness) number(s string) int {
 	n, err := strconv.Atoi(s)
 	if err != nil {
 		c.t.Fatal(err)
@@ -159,7 +173,7 @@
 	return n
 }
 
-func (c *checked) duration(s string) time.Duration {
+func (c *harness) duration(s string) time.Duration {
 	d, err := time.ParseDuration(s)
 	if err != nil {
 		c.t.Fatal(err)
--- a/core/world/host.go
+++ b/core/world/host.go
@@ -10,102 +10,107 @@
 )
 
 const (
-	// abilityOfCore is how many tasks a second a host with a whole core counts for in the
-	// election: only the order of hosts matters.
-	abilityOfCore = 1000
-	// handOverPause is the time between a hand-over and the next look.
-	handOverPause = 50 * time.Millisecond
+	// abilityPerCore is the ability, in tasks per second, that a host with one
+	// whole core has in the election. Only the order of the hosts matters.
+	abilityPerCore = 1000
+	// handoverDelay is the time between a handover and the next check for a
+	// claim.
+	handoverDelay = 50 * time.Millisecond
 )
 
-// host is one entry host.
+// host is one simulated host.
 type host struct {
 	Host
 	world    *World
 	election *election.Election
-	// life counts its starts; what an earlier life has planned doesn't happen.
-	life int
-	up   bool
-	// heard is until when the store lists it, though it is down.
-	heard unit.Instant
-	// claiming is set while a claim is under way.
+	// incarnation counts the starts of the host. What an earlier incarnation
+	// has scheduled has no effect.
+	incarnation int
+	up          bool
+	// listedUntil is until when the store lists the host although it is down.
+	listedUntil unit.Instant
+	// claiming is set while a claim is in flight.
 	claiming bool
-	// lost is the epoch under which the host was the owner and isn't any more; 0 for none. If
-	// the store still names it, nobody else claims, because the host lives.
-	lost id.Epoch
+	// lostEpoch is the epoch under which the host was the owner but no longer
+	// is; 0 for none. While the store still names that epoch, the host claims
+	// again, because no other host does: the host is alive.
+	lostEpoch id.Epoch
 }
 
 // addHost adds a host, which is up.
 func (w *World) addHost(i int, x Host) {
 	h := &host{Host: x, world: w}
 	w.hosts = append(w.hosts, h)
-	h.begin(time.Duration(i) * w.setup.Times.Look / time.Duration(len(w.setup.Hosts)))
+	h.startIncarnation(time.Duration(i) * w.setup.Times.Look / time.Duration(len(w.setup.Hosts)))
 }
 
-// begin starts a life of the host.
-func (h *host) begin(after time.Duration) {
-	h.life++
+// startIncarnation starts an incarnation of the host.
+func (h *host) startIncarnation(after time.Duration) {
+	h.incarnation++
 	h.up, h.claiming = true, false
 	h.election = election.New(h.member())
 	if o := h.world.table.Owner(); o.Host == h.ID {
-		h.lost = o.Epoch
+		h.lostEpoch = o.Epoch
 	}
-	life := h.life
+	incarnation := h.incarnation
 	if len(h.world.setup.Hosts) > 1 {
-		h.world.Plan(after, func() { h.look(life) })
+		h.world.Plan(after, func() { h.checkGroup(incarnation) })
 	}
 }
 
-// member is the host as the group shows it.
+// member returns the host as a member of the group.
 func (h *host) member() election.Member {
-	return election.Member{Host: h.ID, Ability: int(abilityOfCore * h.Cores)}
+	return election.Member{Host: h.ID, Ability: int(abilityPerCore * h.Cores)}
 }
 
 // group returns the members that the store lists.
 func (w *World) group() []election.Member {
 	var out []election.Member
 	for _, h := range w.hosts {
-		if h.up || w.now < h.heard {
+		if h.up || w.now < h.listedUntil {
 			out = append(out, h.member())
 		}
 	}
 	return out
 }
 
-// look looks at the group, claims or hands over if that is due, and plans the next look.
-func (h *host) look(life int) {
+// checkGroup reads the group, claims or hands over the ownership if that is
+// due, and schedules the next check.
+func (h *host) checkGroup(incarnation int) {
 	w := h.world
-	if h.life != life || !h.up {
+	if h.incarnation != incarnation || !h.up {
 		return
 	}
-	w.Plan(w.setup.Times.Look, func() { h.look(life) })
-	if w.now < w.store.up {
-		return // the store doesn't answer
+	w.Plan(w.setup.Times.Look, func() { h.checkGroup(incarnation) })
+	if w.now < w.store.upAt {
+		return // the store is unavailable
 	}
 	h.election.Look(w.now, w.group(), w.table.Owner().Host)
 	if w.owner != nil && w.owner.host == h {
 		if h.election.Yields(w.now) {
-			h.yield()
+			h.handOver()
 		}
 		return
 	}
-	h.mayClaim(life)
+	h.claimIfDue(incarnation)
 }
 
-// due reports whether the host is to claim.
-func (h *host) due() bool {
-	vacant := h.lost != 0 && h.world.table.Owner().Epoch == h.lost
+// claimDue reports whether the host has to claim the ownership.
+func (h *host) claimDue() bool {
+	vacant := h.lostEpoch != 0 && h.world.table.Owner().Epoch == h.lostEpoch
 	return vacant || h.election.Claim(h.world.now)
 }
 
-// mayClaim claims if it is the host's turn, and asks again shortly while the owner is missed.
-func (h *host) mayClaim(life int) {
+// claimIfDue claims the ownership if it is the host's turn. While the owner is
+// missing, it schedules another check shortly after.
+func (h *host) claimIfDue(incarnation int) {
 	w := h.world
-	if h.life != life || !h.up || h.claiming || w.owner != nil && w.owner.host == h {
+	if h.incarnation != incarnation || !h.up || h.claiming || w.owner != nil && w.owner.host == h {
 		return
 	}
-	if !h.due() {
+	if !h.claimDue() {
 		if h.election.Suspects() {
-			w.Plan(handOverPause, func() { h.mayClaim(life) })
+			w.Plan(handoverDelay, func() { h.claimIfDue(incarnation) })
 		}
 		return
 	}
@@ -114,25 +119,26 @@
 	w.epoch = epoch
 	r, err := w.table.OwnerRecord(jobtable.Owner{Host: h.ID, Epoch: epoch})
 	if err != nil {
-		w.violated("a claim has no record: " + err.Error())
+		w.recordViolation("cannot encode the record of a claim: " + err.Error())
 		return
 	}
-	w.store.append(jobsLog, epoch, []jobtable.Record{r}, func(bool) { h.claimed(life, epoch) })
+	w.store.append(jobsLog, epoch, []jobtable.Record{r}, func(bool) { h.claimStored(incarnation, epoch) })
 }
 
-// claimed takes in that a host's claim is in the store: all hosts read it, and it fences earlier owners in the progress log.
-func (h *host) claimed(life int, epoch id.Epoch) {
+// claimStored handles a host's claim that is in the store: all hosts read it,
+// and it fences earlier owners in the progress log.
+func (h *host) claimStored(incarnation int, epoch id.Epoch) {
 	w := h.world
 	for _, o := range w.hosts {
 		o.election.Claimed(w.now)
 	}
-	if !h.claims(life, epoch) {
+	if !h.hasNewestClaim(incarnation, epoch) {
 		h.claiming = false
 		return
 	}
-	w.store.append(progressLog, epoch, nil, func(taken bool) {
+	w.store.append(progressLog, epoch, nil, func(stored bool) {
 		h.claiming = false
-		if !taken || !h.claims(life, epoch) {
+		if !stored || !h.hasNewestClaim(incarnation, epoch) {
 			return
 		}
 		w.tally.Claims++
@@ -140,44 +146,46 @@
 	})
 }
 
-// claims reports whether a life of the host has made the newest claim.
-func (h *host) claims(life int, epoch id.Epoch) bool {
-	return h.life == life && h.up && h.world.table.Owner().Epoch == epoch
+// hasNewestClaim reports whether an incarnation of the host is running and has
+// made the newest claim.
+func (h *host) hasNewestClaim(incarnation int, epoch id.Epoch) bool {
+	return h.incarnation == incarnation && h.up && h.world.table.Owner().Epoch == epoch
 }
 
-// yield gives the ownership back, so that an abler host claims.
-func (h *host) yield() {
+// handOver releases the ownership, so that a host with more ability claims it.
+func (h *host) handOver() {
 	w := h.world
 	w.owner.end()
-	h.lost = 0
+	h.lostEpoch = 0
 	epoch := w.epoch + 1
 	w.epoch = epoch
 	r, err := w.table.OwnerRecord(jobtable.Owner{Epoch: epoch})
 	if err != nil {
-		w.violated("a hand-over has no record: " + err.Error())
+		w.recordViolation("cannot encode the record of a handover: " + err.Error())
 		return
 	}
 	w.store.append(jobsLog, epoch, []jobtable.Record{r}, func(bool) {
 		for _, o := range w.hosts {
 			o.election.Released(w.now)
-			life := o.life
-			w.Plan(handOverPause, func() { o.mayClaim(life) })
+			incarnation := o.incarnation
+			w.Plan(handoverDelay, func() { o.claimIfDue(incarnation) })
 		}
 	})
 }
 
-// kill ends a host's processes; they are back after some time, or never if that is 0.
+// kill ends a host's processes. They come back after a time, or never if that
+// is 0.
 func (h *host) kill(down time.Duration) {
 	w := h.world
 	if !h.up {
 		return
 	}
-	h.life++
-	h.up, h.heard = false, w.now.Add(w.setup.Times.MemberTTL)
+	h.incarnation++
+	h.up, h.listedUntil = false, w.now.Add(w.setup.Times.MemberTTL)
 	if w.owner != nil && w.owner.host == h {
 		w.owner.end()
 	}
 	if down > 0 {
-		w.Plan(down, func() { h.begin(0) })
+		w.Plan(down, func() { h.startIncarnation(0) })
 	}
 }
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -13,192 +13,213 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// knownAfter is how long after it has shrunk an owner must know a worker's room, by the platform's pages.
-const knownAfter = 4500 * time.Millisecond
+// capacityGrace is how long after a worker's capacity has shrunk an owner may
+// not know the new capacity, by the platform's specification.
+const capacityGrace = 4500 * time.Millisecond
 
-// clockLead is what a worker's clock shows when the world begins: it must not be 0.
-const clockLead = 100 * time.Second
+// initialClock is the reading of a worker's clock when the simulation begins.
+// It must not be 0.
+const initialClock = 100 * time.Second
 
-// machine is one worker of the site through all its lives.
+// machine is one worker of the site through all its incarnations.
 type machine struct {
 	Worker
 	world *World
-	// life counts its starts; name is the id of the present life. Names counts the starts under a name of their own.
-	life, names int
-	name        id.Worker
-	up          bool
-	// lead is what its clock was ahead of the world's when the present life began to count anew.
-	lead time.Duration
-	// runs holds what runs, in the order of its starts.
+	// incarnation counts the starts of the worker. currentID is the id of the
+	// present incarnation. idCount counts the starts under a new id.
+	incarnation, idCount int
+	currentID            id.Worker
+	up                   bool
+	// clockOffset is how far the clock was ahead of virtual time when it last
+	// restarted.
+	clockOffset time.Duration
+	// runs holds the current runs in the order of their starts.
 	runs []*run
 	used job.Resources
-	// ends holds the ends that the owner has not taken note of.
-	ends    []end
-	seq     uint64
-	highest map[job.Task]job.Run
-	// rate is how fast its clock is, by ours.
-	rate  float64
-	until fleet.Clock
-	fence fleet.Fence
-	// held answers the renewal that waits for an end; nil if none does.
-	held func()
-	// apartUntil is until when hosts can't connect to it and the list doesn't hear of it,
-	// silentUntil is until when it hears and says nothing, failsUntil until when all that it
-	// starts fails, busyUntil until when it refuses to start anything, muteUntil until when it leaves
-	// orders to start unanswered, slowUntil until when it works slowBy times slower.
-	apartUntil, silentUntil, failsUntil, busyUntil, muteUntil, slowUntil unit.Instant
-	slowBy                                                               float64
-	// still holds when what ran there made no progress, in order of their beginnings.
-	still []span
-	// whole is its room while it isn't smaller, formerUntil until when an owner may not know its present room.
-	whole       job.Resources
-	formerUntil unit.Instant
-	// earlier is the entry of the life before the present one; without an id before the second.
-	earlier fleet.Listing
+	// ends holds the ends that the owner has not acknowledged.
+	ends       []listedEnd
+	lastSeq    uint64
+	highestRun map[job.Task]job.Run
+	// clockRate is the rate of the worker's clock relative to virtual time.
+	clockRate  float64
+	leaseUntil fleet.Clock
+	fence      fleet.Fence
+	// answerHeld answers the renewal that waits for an end; nil if none waits.
+	answerHeld func()
+	// partitionedUntil is until when hosts can't connect to the worker and the
+	// list of workers gets no updates from it. silentUntil is until when it
+	// neither receives nor answers orders, failsUntil until when all runs that
+	// it starts fail, busyUntil until when it refuses start orders, muteUntil
+	// until when it neither executes nor answers start orders, and slowUntil
+	// until when runs start at a speed that is divided by slowBy.
+	partitionedUntil, silentUntil, failsUntil, busyUntil, muteUntil, slowUntil unit.Instant
+	slowBy                                                                     float64
+	// stalls holds the intervals in which the runs made no progress, in order
+	// of their beginnings.
+	stalls []interval
+	// fullCapacity is the capacity when the worker isn't shrunk.
+	// capacityGraceUntil is until when an owner may not know the present
+	// capacity.
+	fullCapacity       job.Resources
+	capacityGraceUntil unit.Instant
+	// previousListing is the entry of the previous incarnation. Its id is empty
+	// before the second incarnation.
+	previousListing fleet.Listing
 }
 
-// span is a time.
-type span struct{ from, to unit.Instant }
+// interval is a period of time.
+type interval struct{ from, to unit.Instant }
 
-// stoodStill returns for how long what ran on the worker made no progress within a time.
-func (m *machine) stoodStill(from, to unit.Instant) time.Duration {
-	sum := time.Duration(0)
-	for _, s := range m.still {
+// stalledTime returns for how long the runs on the worker made no progress
+// within a period.
+func (m *machine) stalledTime(from, to unit.Instant) time.Duration {
+	total := time.Duration(0)
+	for _, s := range m.stalls {
 		begin, end := max(from, s.from), min(to, s.to)
-		sum += max(0, end.Sub(begin))
-		from = max(from, end) // spans may overlap
+		total += max(0, end.Sub(begin))
+		from = max(from, end) // intervals may overlap
 	}
-	return sum
+	return total
 }
 
-// end is one end that a worker lists.
-type end struct {
+// listedEnd is one end that a worker reports.
+type listedEnd struct {
 	fleet.End
-	job *submitted
-	at  unit.Instant
-	// lapsed is set once the worker's lease has run out since: the owner may have given the
-	// run up, and taking note of its end comes too late to bind it.
-	lapsed bool
+	job     *submittedJob
+	endedAt unit.Instant
+	// leaseLapsed is set once the worker's lease has run out after the end: the
+	// owner may have given up the run, and its acknowledgement is too late to
+	// bind it.
+	leaseLapsed bool
 }
 
 // addMachine adds a worker, which is up and idle.
 func (w *World) addMachine(i int, x Worker) {
-	m := &machine{Worker: x, whole: x.Capacity, world: w, rate: 1 - w.setup.Times.Drift*w.chance("clock", i)}
+	m := &machine{Worker: x, fullCapacity: x.Capacity, world: w, clockRate: 1 - w.setup.Times.Drift*w.draw("clock", i)}
 	w.machines = append(w.machines, m)
-	m.begin(ownName)
-	w.listed = append(w.listed, m.listing())
+	m.startIncarnation(newID)
+	w.listings = append(w.listings, m.listing())
 }
 
-// naming says under which id a worker begins a life.
-type naming int
+// idChoice says under which id a worker starts an incarnation.
+type idChoice int
 
 const (
-	// ownName is an id that no life before had.
-	ownName naming = iota
-	// sameName is the id of the life before. Its clock begins anew, too.
-	sameName
+	// newID is an id that no earlier incarnation had.
+	newID idChoice = iota
+	// sameID is the id of the previous incarnation. The clock restarts, too.
+	sameID
 )
 
-// begin starts a life of the worker, which knows nothing of those before.
-func (m *machine) begin(n naming) {
-	m.life++
-	switch n {
-	case ownName:
-		m.names++
-	case sameName:
-		m.lead = m.world.lead(m)
+// startIncarnation starts an incarnation of the worker, which has no state of
+// earlier ones.
+func (m *machine) startIncarnation(choice idChoice) {
+	m.incarnation++
+	switch choice {
+	case newID:
+		m.idCount++
+	case sameID:
+		m.clockOffset = m.world.drawClockOffset(m)
 	}
-	m.name = m.ID
-	if m.names > 1 {
-		m.name = id.Worker(fmt.Sprintf("%s.%d", m.ID, m.names))
+	m.currentID = m.ID
+	if m.idCount > 1 {
+		m.currentID = id.Worker(fmt.Sprintf("%s.%d", m.ID, m.idCount))
 	}
 	if w := m.world; w.setup.TellStart {
-		m.name = fleet.Life(id.WorkerName(m.name), w.start(m))
+		m.currentID = fleet.Life(id.WorkerName(m.currentID), w.drawStart(m))
 	}
-	m.up, m.fence, m.until = true, fleet.Fence{}, 0
-	m.ends, m.seq, m.highest = nil, 0, map[job.Task]job.Run{}
-	m.world.byLife[m.name] = m
+	m.up, m.fence, m.leaseUntil = true, fleet.Fence{}, 0
+	m.ends, m.lastSeq, m.highestRun = nil, 0, map[job.Task]job.Run{}
+	m.world.byIncarnation[m.currentID] = m
 }
 
-// start draws what a life tells of its start, by a time of day that may be set back by minutes between two lives.
-func (w *World) start(m *machine) fleet.Start {
-	ahead := stretch(10*time.Minute, w.chance("start", m.ID, m.life))
-	return fleet.Start(time.Duration(w.now.Add(ahead)).Milliseconds())
+// drawStart draws the start time that an incarnation reports. Its wall clock
+// may be set back by minutes between two incarnations.
+func (w *World) drawStart(m *machine) fleet.Start {
+	offset := scale(10*time.Minute, w.draw("start", m.ID, m.incarnation))
+	return fleet.Start(time.Duration(w.now.Add(offset)).Milliseconds())
 }
 
-// listing is the worker's entry in the platform's list.
+// listing returns the worker's entry in the platform's list of workers.
 func (m *machine) listing() fleet.Listing {
 	return fleet.Listing{
-		ID: m.name, Machine: id.Machine(m.ID), Address: string(m.ID), Service: m.Service, Domain: m.Domain, Rack: m.Rack,
+		ID: m.currentID, Machine: id.Machine(m.ID), Address: string(m.ID), Service: m.Service, Domain: m.Domain, Rack: m.Rack,
 		Labels: []string{string(m.Rack)}, Capacity: m.Capacity, Clock: m.clock(),
 	}
 }
 
-// carries reports whether the worker has a label; every worker has the empty one.
-func (m *machine) carries(label string) bool { return label == "" || label == string(m.Rack) }
+// hasLabel reports whether the worker has a label. Every worker has the empty
+// label.
+func (m *machine) hasLabel(label string) bool { return label == "" || label == string(m.Rack) }
 
-// list changes the platform's list, of which the owner hears later.
+// list adds or replaces an entry in the platform's list of workers. The owner
+// learns of it later.
 func (w *World) list(l fleet.Listing) {
-	at := slices.IndexFunc(w.listed, func(o fleet.Listing) bool { return fleet.NameOf(o.ID) == fleet.NameOf(l.ID) })
-	before := l.ID
-	if at >= 0 {
-		before = w.listed[at].ID
-		w.listed[at] = l
+	index := slices.IndexFunc(w.listings, func(o fleet.Listing) bool { return fleet.NameOf(o.ID) == fleet.NameOf(l.ID) })
+	previousID := l.ID
+	if index >= 0 {
+		previousID = w.listings[index].ID
+		w.listings[index] = l
 	} else {
-		w.listed = append(w.listed, l)
+		w.listings = append(w.listings, l)
 	}
 	w.Plan(w.setup.Times.Listing, func() {
 		if w.owner == nil {
 			return
 		}
-		w.owner.take(func(o *owner) {
-			if before != l.ID {
-				o.core.Unlist(w.now, before) // one entry stands under a name
+		w.owner.enqueueEvent(func(o *owner) {
+			if previousID != l.ID {
+				o.dispatcher.Unlist(w.now, previousID) // the list has one entry for each name
 			}
-			o.core.List(w.now, l)
+			o.dispatcher.List(w.now, l)
 		})
 	})
 }
 
-// unlist drops a life from the platform's list, of which the owner hears later.
+// unlist removes an incarnation from the platform's list of workers. The owner
+// learns of it later.
 func (w *World) unlist(name id.Worker) {
-	w.listed = slices.DeleteFunc(w.listed, func(l fleet.Listing) bool { return l.ID == name })
+	w.listings = slices.DeleteFunc(w.listings, func(l fleet.Listing) bool { return l.ID == name })
 	w.Plan(w.setup.Times.Listing, func() {
 		if w.owner != nil {
-			w.owner.take(func(o *owner) { o.core.Unlist(w.now, name) })
+			w.owner.enqueueEvent(func(o *owner) { o.dispatcher.Unlist(w.now, name) })
 		}
 	})
 }
 
-// clock is what the worker's clock shows.
+// clock returns the reading of the worker's clock.
 func (m *machine) clock() fleet.Clock {
-	return fleet.Clock(stretch(m.world.now.Sub(Begin), m.rate) + clockLead + m.lead)
+	return fleet.Clock(scale(m.world.now.Sub(Begin), m.clockRate) + initialClock + m.clockOffset)
 }
 
-// lead draws how far a life that counts anew is ahead of the world: its clock may show more or less than that of the life before.
-func (w *World) lead(m *machine) time.Duration {
-	shows := stretch(2*clockLead, w.chance("lead", m.ID, m.life)) + time.Millisecond
-	return shows - clockLead - stretch(w.now.Sub(Begin), m.rate)
+// drawClockOffset draws the offset of a clock that restarts. The new clock may
+// read more or less than the clock of the previous incarnation.
+func (w *World) drawClockOffset(m *machine) time.Duration {
+	shown := scale(2*initialClock, w.draw("lead", m.ID, m.incarnation)) + time.Millisecond
+	return shown - initialClock - scale(w.now.Sub(Begin), m.clockRate)
 }
 
-// silent reports whether the worker hears and says nothing.
+// silent reports whether the worker neither receives nor answers orders.
 func (m *machine) silent() bool { return m.world.now < m.silentUntil }
 
-// listens reports whether orders reach the worker.
-func (m *machine) listens() bool { return m.up && m.world.now >= m.apartUntil }
+// reachable reports whether hosts can connect to the worker.
+func (m *machine) reachable() bool { return m.up && m.world.now >= m.partitionedUntil }
 
-// meet says what becomes of an order as far as the worker itself goes: Carried if it listens and obeys.
-func (m *machine) meet(t dispatch.Target) fleet.Verdict {
-	if !m.listens() {
+// receiveOrder checks an order on arrival. It returns Carried if the worker can
+// be reached and admits the order.
+func (m *machine) receiveOrder(t dispatch.Target) fleet.Verdict {
+	if !m.reachable() {
 		return fleet.Unreachable
 	}
-	return m.obey(t)
+	return m.admitOrder(t)
 }
 
-// obey says whether the worker's present life carries out an order that it has got: Carried if so.
-func (m *machine) obey(t dispatch.Target) fleet.Verdict {
+// admitOrder checks the name and the fence of an order against the present
+// incarnation, and raises its fence. It returns Carried for an order to
+// execute.
+func (m *machine) admitOrder(t dispatch.Target) fleet.Verdict {
 	switch {
-	case fleet.NameOf(m.name) != fleet.NameOf(t.Worker):
+	case fleet.NameOf(m.currentID) != fleet.NameOf(t.Worker):
 		return fleet.Replaced
 	case t.Fence.Below(m.fence):
 		return fleet.Fenced
@@ -207,9 +228,9 @@
 	return fleet.Carried
 }
 
-// start begins a run.
-func (m *machine) start(o dispatch.Start) fleet.Verdict {
-	r := m.find(o.Task)
+// startRun executes a start order.
+func (m *machine) startRun(o dispatch.Start) fleet.Verdict {
+	r := m.findRun(o.Task)
 	switch {
 	case m.world.now < m.muteUntil:
 		return fleet.Unknown
@@ -217,7 +238,7 @@
 		return fleet.Expired
 	case r != nil && r.number == o.Run:
 		return fleet.Carried
-	case o.Run <= m.highest[o.Task]:
+	case o.Run <= m.highestRun[o.Task]:
 		return fleet.Stale
 	case m.world.now < m.busyUntil:
 		return fleet.Busy
@@ -225,36 +246,37 @@
 	w := m.world
 	s := w.jobs[o.Task.Job]
 	if s == nil {
-		w.violated(fmt.Sprintf("%s was started, which nobody handed in", o.Task))
+		w.recordViolation(fmt.Sprintf("%s was started, but its job was never submitted", o.Task))
 		return fleet.Invalid
 	}
 	need := s.Spec.Steps[o.Task.Step].Reserved()
-	if !need.Fits(m.Capacity.Sub(m.used)) && w.now < m.formerUntil {
+	if !need.Fits(m.Capacity.Sub(m.used)) && w.now < m.capacityGraceUntil {
 		return fleet.NoRoom
 	}
 	if !need.Fits(m.Capacity.Sub(m.used)) {
-		w.violated(fmt.Sprintf("%s takes %s past its capacity", o.Task, m.name))
+		w.recordViolation(fmt.Sprintf("%s takes %s past its capacity", o.Task, m.currentID))
 		return fleet.NoRoom
 	}
 	w.checkStart(s, o)
 	w.checkDomain(m, o)
-	m.highest[o.Task] = o.Run
-	m.lease(o.Until)
-	m.begins(s, o, need)
+	m.highestRun[o.Task] = o.Run
+	m.extendLease(o.Until)
+	m.addRun(s, o, need)
 	return fleet.Carried
 }
 
-// stop ends a run, or keeps one from starting.
-func (m *machine) stop(o dispatch.Stop) fleet.Verdict {
-	if r := m.find(o.Task); r != nil && r.number == o.Run {
+// stopRun executes a stop order: it stops the run, or keeps it from starting
+// later.
+func (m *machine) stopRun(o dispatch.Stop) fleet.Verdict {
+	if r := m.findRun(o.Task); r != nil && r.number == o.Run {
 		r.stop()
 	}
-	m.highest[o.Task] = max(m.highest[o.Task], o.Run)
+	m.highestRun[o.Task] = max(m.highestRun[o.Task], o.Run)
 	return fleet.Carried
 }
 
-// find returns the run of a task, or nil.
-func (m *machine) find(t job.Task) *run {
+// findRun returns the run of a task, or nil.
+func (m *machine) findRun(t job.Task) *run {
 	for _, r := range m.runs {
 		if r.task == t {
 			return r
@@ -263,61 +285,63 @@
 	return nil
 }
 
-// lease makes all that runs last until a time, and ends it then.
-func (m *machine) lease(until fleet.Clock) {
-	if most := m.world.setup.Times.MaxLease; most > 0 {
-		until = min(until, m.clock()+fleet.Clock(most))
+// extendLease extends the lease of all runs, and ends the runs when it lapses.
+func (m *machine) extendLease(until fleet.Clock) {
+	if maxLease := m.world.setup.Times.MaxLease; maxLease > 0 {
+		until = min(until, m.clock()+fleet.Clock(maxLease))
 	}
-	if until <= m.until {
+	if until <= m.leaseUntil {
 		return
 	}
-	m.until = until
-	life := m.life
-	m.world.Plan(stretch(time.Duration(until-m.clock()), 1/m.rate)+1, func() {
-		if m.until != until || m.life != life || !m.up {
+	m.leaseUntil = until
+	incarnation := m.incarnation
+	m.world.Plan(scale(time.Duration(until-m.clock()), 1/m.clockRate)+1, func() {
+		if m.leaseUntil != until || m.incarnation != incarnation || !m.up {
 			return
 		}
 		for i := range m.ends {
-			m.ends[i].lapsed = true
+			m.ends[i].leaseLapsed = true
 		}
 		m.endAll(fleet.EndLapsed)
 	})
 }
 
-// endAll ends all that runs.
+// endAll ends all runs.
 func (m *machine) endAll(how fleet.How) {
 	for len(m.runs) > 0 {
 		m.runs[0].finish(how)
 	}
 }
 
-// renew takes a renewal and answers it at an end, or after the time that it may wait.
+// renew processes a renewal. It answers when there is an end to report, or
+// after the time for which the renewal may wait.
 func (m *machine) renew(o dispatch.Renew, answer func(fleet.Report)) {
-	m.lease(o.Until)
-	// A number that this life has not given yet is none of its own: as on the users' workers, it drops nothing until it is.
-	for o.Told <= m.seq && len(m.ends) > 0 && m.ends[0].Seq <= o.Told {
-		m.world.noted(m.ends[0])
+	m.extendLease(o.Until)
+	// A sequence number that this incarnation has not issued yet comes from
+	// another one and acknowledges no ends here, as on the users' workers.
+	for o.Told <= m.lastSeq && len(m.ends) > 0 && m.ends[0].Seq <= o.Told {
+		m.world.checkAcknowledged(m.ends[0])
 		m.ends = m.ends[1:]
 	}
-	life, answered := m.life, false
+	incarnation, answered := m.incarnation, false
 	report := func() {
-		if answered || m.life != life || !m.up {
+		if answered || m.incarnation != incarnation || !m.up {
 			return
 		}
-		answered, m.held = true, nil
+		answered, m.answerHeld = true, nil
 		answer(m.report())
 	}
 	if o.Wait == 0 || len(m.ends) > 0 {
 		report()
 		return
 	}
-	m.held = report
+	m.answerHeld = report
 	m.world.Plan(o.Wait, report)
 }
 
-// report is what the worker says of itself.
+// report returns the worker's report.
 func (m *machine) report() fleet.Report {
-	rep := fleet.Report{Life: m.name, Clock: m.clock()}
+	rep := fleet.Report{Life: m.currentID, Clock: m.clock()}
 	for _, r := range m.runs {
 		rep.Running = append(rep.Running, fleet.Running{Task: r.task, Run: r.number, Percent: r.percent(), Checkpoint: r.checkpoint()})
 	}
@@ -327,9 +351,9 @@
 	return rep
 }
 
-// die ends the worker's life: what ran there is gone, and nobody says how. It comes back after
-// some time, or never if that is 0.
-func (m *machine) die(down time.Duration, next naming) {
+// endIncarnation ends the worker's incarnation. Its runs vanish without ends
+// that are reported. The worker comes back after a time, or never if that is 0.
+func (m *machine) endIncarnation(down time.Duration, next idChoice) {
 	if !m.up {
 		return
 	}
@@ -338,94 +362,97 @@
 	for len(m.runs) > 0 {
 		m.runs[0].vanish()
 	}
-	m.held = nil
-	m.earlier = m.listing()
-	old, life := m.name, m.life
+	m.answerHeld = nil
+	m.previousListing = m.listing()
+	oldID, incarnation := m.currentID, m.incarnation
 	w.Plan(w.setup.Times.MemberTTL, func() {
-		if next == ownName || m.life == life {
-			w.unlist(old)
+		if next == newID || m.incarnation == incarnation {
+			w.unlist(oldID)
 		}
 	})
 	if down > 0 {
 		w.Plan(down, func() {
-			if m.life == life {
-				m.begin(next)
+			if m.incarnation == incarnation {
+				m.startIncarnation(next)
 				w.list(m.listing())
 			}
 		})
 	}
 }
 
-// part cuts the worker off from the hosts and from the list, which drops it after a while and shows it again
-// when it is back.
-func (m *machine) part(lasts time.Duration) {
+// partition cuts the worker off from the hosts and from the list of workers.
+// The list drops the worker after a while and shows it again when the partition
+// ends.
+func (m *machine) partition(duration time.Duration) {
 	if !m.up {
 		return
 	}
-	w, life := m.world, m.life
-	m.apartUntil = max(m.apartUntil, w.now.Add(lasts))
+	w, incarnation := m.world, m.incarnation
+	m.partitionedUntil = max(m.partitionedUntil, w.now.Add(duration))
 	w.Plan(w.setup.Times.MemberTTL, func() {
-		if m.life == life && w.now < m.apartUntil {
-			w.unlist(m.name)
+		if m.incarnation == incarnation && w.now < m.partitionedUntil {
+			w.unlist(m.currentID)
 		}
 	})
-	w.Plan(lasts, func() {
-		if m.life == life && m.up && w.now >= m.apartUntil {
+	w.Plan(duration, func() {
+		if m.incarnation == incarnation && m.up && w.now >= m.partitionedUntil {
 			w.list(m.listing())
 		}
 	})
 }
 
-// shrink makes the worker smaller for a while. What runs there goes on.
-func (m *machine) shrink(lasts time.Duration, by float64) {
+// shrink reduces the worker's capacity for a while. Runs in progress continue.
+func (m *machine) shrink(duration time.Duration, factor float64) {
 	m.Capacity = job.Resources{
-		CPU: job.MilliCPU(float64(m.whole.CPU) / by), Memory: unit.Bytes(float64(m.whole.Memory) / by),
-		Accelerators: int(float64(m.whole.Accelerators) / by),
+		CPU: job.MilliCPU(float64(m.fullCapacity.CPU) / factor), Memory: unit.Bytes(float64(m.fullCapacity.Memory) / factor),
+		Accelerators: int(float64(m.fullCapacity.Accelerators) / factor),
 	}
-	m.formerUntil = m.world.now.Add(knownAfter)
-	m.tell()
-	m.world.Plan(lasts, func() {
-		m.Capacity = m.whole
-		m.tell()
+	m.capacityGraceUntil = m.world.now.Add(capacityGrace)
+	m.publishListing()
+	m.world.Plan(duration, func() {
+		m.Capacity = m.fullCapacity
+		m.publishListing()
 	})
 }
 
-// tell writes the worker's entry anew, if it is up.
-func (m *machine) tell() {
-	if m.up && m.world.now >= m.apartUntil {
+// publishListing updates the worker's entry in the list, if it is up and not
+// partitioned.
+func (m *machine) publishListing() {
+	if m.up && m.world.now >= m.partitionedUntil {
 		m.world.list(m.listing())
 	}
 }
 
-// showEarlier lets the list show the life before the present one for as long as an entry stands.
-func (m *machine) showEarlier() {
-	if m.earlier.ID == "" {
+// showPreviousListing lets the list show the previous incarnation until that
+// entry expires.
+func (m *machine) showPreviousListing() {
+	if m.previousListing.ID == "" {
 		return
 	}
-	old := m.earlier
+	old := m.previousListing
 	m.world.list(old)
 	m.world.Plan(m.world.setup.Times.MemberTTL, func() {
 		m.world.unlist(old.ID)
-		m.tell() // where both have one name, the present life writes its entry again
+		m.publishListing() // restores the present entry if both incarnations have one name
 	})
 }
 
-// readList lets the owner read the whole list, in the order of names backwards.
+// readList lets the owner read the whole list, in reverse order of names.
 func (w *World) readList() {
 	if w.owner == nil {
 		return
 	}
-	all := slices.Clone(w.listed)
+	all := slices.Clone(w.listings)
 	slices.SortFunc(all, func(a, b fleet.Listing) int { return cmp.Compare(b.ID, a.ID) })
-	w.owner.take(func(o *owner) {
+	w.owner.enqueueEvent(func(o *owner) {
 		for _, l := range all {
-			o.core.List(w.now, l)
+			o.dispatcher.List(w.now, l)
 		}
 	})
 }
 
-// drain announces that the worker leaves, lets it leave then, and brings it back after a while, or
-// never if that is 0.
+// drain announces that the worker leaves, ends its incarnation then, and brings
+// it back after another while, or never if that is 0.
 func (m *machine) drain(remaining, back time.Duration) {
 	if !m.up {
 		return
@@ -433,10 +460,10 @@
 	l := m.listing()
 	l.Draining, l.Remaining = true, remaining
 	m.world.list(l)
-	life := m.life
+	incarnation := m.incarnation
 	m.world.Plan(remaining, func() {
-		if m.life == life {
-			m.die(back, ownName)
+		if m.incarnation == incarnation {
+			m.endIncarnation(back, newID)
 		}
 	})
 }
--- a/core/world/run.go
+++ b/core/world/run.go
@@ -9,169 +9,178 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// failsAtOnce is after which time a run fails on a worker that fails all it starts.
-const failsAtOnce = 50 * time.Millisecond
+// quickFailTime is the longest run time on a worker on which all runs fail.
+const quickFailTime = 50 * time.Millisecond
 
 // run is one run on a worker.
 type run struct {
 	machine *machine
-	job     *submitted
+	job     *submittedJob
 	step    *job.Step
 	task    job.Task
 	number  job.Run
 	need    job.Resources
-	// gang is nil for a task that is no member of one.
+	// gang is nil for a task outside gangs.
 	gang *gang
-	// saved is the work that an earlier run had saved, whole the work of the task, both as time
-	// on a worker of speed 1.
-	saved, whole time.Duration
-	// speed is how much of that is done in a second, from when the run began to work.
+	// savedWork is the work in the checkpoint that the run resumes from,
+	// totalWork the work of the whole task. Both are run times on a worker of
+	// speed 1.
+	savedWork, totalWork time.Duration
+	// speed is the work done per second from when the run began to work.
 	speed float64
-	// began is when it began to work; 0 while its gang isn't whole.
-	began unit.Instant
-	// due is when it ends if it never stands still.
-	due unit.Instant
-	// stopping is set once it was ordered to stop, gone once it takes no room any more.
-	stopping, gone bool
+	// workStart is when the run began to work; 0 while its gang is incomplete.
+	workStart unit.Instant
+	// dueAt is when the run ends if it never stalls.
+	dueAt unit.Instant
+	// stopping is set once the run was ordered to stop. ended is set once it
+	// has released its resources.
+	stopping, ended bool
 }
 
-// begins takes a run into the worker.
-func (m *machine) begins(s *submitted, o dispatch.Start, need job.Resources) {
+// addRun starts a run on the worker.
+func (m *machine) addRun(s *submittedJob, o dispatch.Start, need job.Resources) {
 	w := m.world
 	at, _ := s.Spec.Index(o.Task)
-	r := &run{machine: m, job: s, step: &s.Spec.Steps[o.Task.Step], task: o.Task, number: o.Run, need: need, whole: s.Takes[at]}
+	r := &run{machine: m, job: s, step: &s.Spec.Steps[o.Task.Step], task: o.Task, number: o.Run, need: need, totalWork: s.Takes[at]}
 	if r.step.Checkpointing && o.Checkpoint != "" {
 		if d, err := time.ParseDuration(o.Checkpoint); err == nil {
-			r.saved = d
+			r.savedWork = d
 		}
 	}
 	m.runs = append(m.runs, r)
 	m.used = m.used.Add(need)
-	l := s.ledgerOf(o.Task)
-	l.live++
-	l.lastStart = w.now
+	h := s.historyOf(o.Task)
+	h.liveRuns++
+	h.lastStart = w.now
 	s.noteStart(w.now)
 	w.tally.Starts++
 	if s.CrashAfter > 0 && at == 0 {
 		w.Plan(s.CrashAfter, r.crash)
 	}
 	if r.step.Gang {
-		w.join(r)
+		w.joinGang(r)
 		return
 	}
-	r.work(w.now)
+	r.startWork(w.now)
 }
 
-// work lets the run begin to work.
-func (r *run) work(now unit.Instant) {
-	r.began, r.speed = now, r.machine.Speed
+// startWork starts the work of the run, and schedules its end unless the task
+// is long-running or a member of a gang.
+func (r *run) startWork(now unit.Instant) {
+	r.workStart, r.speed = now, r.machine.Speed
 	if now < r.machine.slowUntil {
 		r.speed /= r.machine.slowBy
 	}
-	if far := r.machine.world.setup.Far; far > 0 && r.far() {
+	if far := r.machine.world.setup.Far; far > 0 && r.crossesRacks() {
 		r.speed /= far
 	}
 	if r.step.LongRunning {
 		return
 	}
 	if r.gang == nil {
-		r.plan(r.left())
+		r.scheduleEnd(r.remaining())
 	}
 }
 
-// far reports whether the run is where it is slow.
-func (r *run) far() bool {
-	if r.step.DataRack != "" && !r.machine.carries(r.step.DataRack) {
+// crossesRacks reports whether the run is slower because it is outside the rack
+// of its data, or its gang asks for one rack and spans several.
+func (r *run) crossesRacks() bool {
+	if r.step.DataRack != "" && !r.machine.hasLabel(r.step.DataRack) {
 		return true
 	}
-	return r.step.SameRack && r.gang != nil && r.gang.spread()
+	return r.step.SameRack && r.gang != nil && r.gang.spansRacks()
 }
 
-// left returns how long the rest of the task takes from its beginning on.
-func (r *run) left() time.Duration { return r.restore() + stretch(r.whole-r.saved, 1/r.speed) }
+// remaining returns the run time from startWork to the end of the task.
+func (r *run) remaining() time.Duration {
+	return r.restoreTime() + scale(r.totalWork-r.savedWork, 1/r.speed)
+}
 
-// restore returns how long the run takes to go on from its checkpoint.
-func (r *run) restore() time.Duration {
-	if r.saved == 0 {
+// restoreTime returns how long the run takes to resume from its checkpoint.
+func (r *run) restoreTime() time.Duration {
+	if r.savedWork == 0 {
 		return 0
 	}
 	return r.machine.world.setup.Times.Restore
 }
 
-// plan lets the run end after a time, or fail before.
-func (r *run) plan(after time.Duration) {
+// scheduleEnd schedules the end of the run after a time, or an earlier failure.
+func (r *run) scheduleEnd(after time.Duration) {
 	w := r.machine.world
 	how := fleet.EndDone
-	if w.chance("fail", r.task, r.number) < r.job.FailShare {
-		how, after = fleet.EndFailed, stretch(after, w.chance("when", r.task, r.number))
+	if w.draw("fail", r.task, r.number) < r.job.FailShare {
+		how, after = fleet.EndFailed, scale(after, w.draw("when", r.task, r.number))
 	}
 	if w.now < r.machine.failsUntil {
-		how, after = fleet.EndFailed, min(after, failsAtOnce)
+		how, after = fleet.EndFailed, min(after, quickFailTime)
 	}
-	r.due = w.now.Add(after)
-	w.Plan(after, func() { r.end(how) })
+	r.dueAt = w.now.Add(after)
+	w.Plan(after, func() { r.endWhenDue(how) })
 }
 
-// end ends the run as planned, or puts that off by the time in which it stood still. A gang ends when all of it is done.
-func (r *run) end(how fleet.How) {
-	if r.gone {
+// endWhenDue ends the run as scheduled, or defers the end by the time for which
+// the run stalled. The members of a gang end together when the work of all is
+// done.
+func (r *run) endWhenDue(how fleet.How) {
+	if r.ended {
 		return
 	}
-	all := []*run{r}
+	members := []*run{r}
 	if how == fleet.EndDone && r.gang != nil {
-		all = r.gang.members
+		members = r.gang.members
 	}
-	now, owed := r.machine.world.now, time.Duration(0)
-	for _, m := range all {
-		owed = max(owed, m.due.Add(m.machine.stoodStill(m.began, now)).Sub(now))
+	now, deferral := r.machine.world.now, time.Duration(0)
+	for _, m := range members {
+		deferral = max(deferral, m.dueAt.Add(m.machine.stalledTime(m.workStart, now)).Sub(now))
 	}
 	switch {
-	case owed > 0:
-		r.machine.world.Plan(owed, func() { r.end(how) })
+	case deferral > 0:
+		r.machine.world.Plan(deferral, func() { r.endWhenDue(how) })
 	case how == fleet.EndDone && r.gang != nil:
-		r.gang.done()
+		r.gang.finishAll()
 	default:
 		r.finish(how)
 	}
 }
 
-// worked returns the work that the run has done, what an earlier one had saved included.
-func (r *run) worked() time.Duration {
-	if r.began == 0 {
-		return r.saved
+// workDone returns the work that the run has done, including what it resumed
+// from.
+func (r *run) workDone() time.Duration {
+	if r.workStart == 0 {
+		return r.savedWork
 	}
-	still := r.machine.stoodStill(r.began, r.machine.world.now)
-	worked := max(0, r.machine.world.now.Sub(r.began)-still-r.restore())
-	return min(r.whole, r.saved+stretch(worked, r.speed))
+	stalled := r.machine.stalledTime(r.workStart, r.machine.world.now)
+	worked := max(0, r.machine.world.now.Sub(r.workStart)-stalled-r.restoreTime())
+	return min(r.totalWork, r.savedWork+scale(worked, r.speed))
 }
 
-// checkpoint returns the newest checkpoint; empty if there is none.
+// checkpoint returns the newest checkpoint, or "" if there is none.
 func (r *run) checkpoint() string {
 	every := r.machine.world.setup.SaveEvery
 	if !r.step.Checkpointing || every == 0 {
 		return ""
 	}
-	return r.worked().Truncate(every).String()
+	return r.workDone().Truncate(every).String()
 }
 
-// percent returns how much of the task is done.
+// percent returns the progress of the task.
 func (r *run) percent() int {
-	if r.whole == 0 {
+	if r.totalWork == 0 {
 		return 0
 	}
-	return int(100 * r.worked() / r.whole)
+	return int(100 * r.workDone() / r.totalWork)
 }
 
-// finish ends the run and lists its end.
+// finish ends the run and adds its end to the ends that the worker reports.
 func (r *run) finish(how fleet.How) {
 	m, w := r.machine, r.machine.world
-	r.leave(how == fleet.EndDone)
-	l := r.job.ledgerOf(r.task)
+	r.release(how == fleet.EndDone)
+	h := r.job.historyOf(r.task)
 	switch {
 	case how == fleet.EndFailed:
-		l.failures++
-	case how == fleet.EndDone && !l.done:
-		l.done = true
+		h.failures++
+	case how == fleet.EndDone && !h.done:
+		h.done = true
 		r.job.doneTasks++
 	}
 	w.tally.count(how)
@@ -179,18 +188,19 @@
 	if how != fleet.EndDone {
 		e.Checkpoint = r.checkpoint()
 	}
-	m.seq++
-	e.Seq = m.seq
-	m.ends = append(m.ends, end{End: e, job: r.job, at: w.now})
-	if m.held != nil {
-		m.held()
+	m.lastSeq++
+	e.Seq = m.lastSeq
+	m.ends = append(m.ends, listedEnd{End: e, job: r.job, endedAt: w.now})
+	if m.answerHeld != nil {
+		m.answerHeld()
 	}
 	if r.gang != nil && how != fleet.EndDone {
-		r.gang.breaks()
+		r.gang.breakUp()
 	}
 }
 
-// stop ends the run when the time that a stop takes is over. It works on until then.
+// stop ends the run after the time that a stop takes. The run works on until
+// then.
 func (r *run) stop() {
 	w := r.machine.world
 	switch {
@@ -200,66 +210,69 @@
 	default:
 		r.stopping = true
 		w.Plan(w.setup.Times.Stop, func() {
-			if !r.gone {
+			if !r.ended {
 				r.finish(fleet.EndStopped)
 			}
 		})
 	}
 }
 
-// vanish ends the run without a word.
+// vanish ends the run without an end that the worker reports, as when the
+// worker crashes.
 func (r *run) vanish() {
-	r.leave(false)
+	r.release(false)
 	r.machine.world.tally.Vanished++
 	if r.gang != nil {
-		r.gang.breaks()
+		r.gang.breakUp()
 	}
 }
 
-// crash ends the life of the run's worker, if the run is still there.
+// crash ends the incarnation of the run's worker unless the run has ended.
 func (r *run) crash() {
-	if r.gone {
+	if r.ended {
 		return
 	}
-	r.job.ledgerOf(r.task).crashes++
+	r.job.historyOf(r.task).crashes++
 	r.machine.world.tally.Crashes++
-	next := ownName
+	next := newID
 	if r.job.Reborn {
-		next = sameName
+		next = sameID
 	}
-	r.machine.die(r.machine.world.setup.Times.Restart, next)
+	r.machine.endIncarnation(r.machine.world.setup.Times.Restart, next)
 }
 
-// leave frees the run's room and counts the work that is lost.
-func (r *run) leave(done bool) {
+// release releases the run's resources and counts the work that is useful or
+// lost.
+func (r *run) release(done bool) {
 	m, w := r.machine, r.machine.world
-	for i, o := range m.runs {
-		if o == r {
+	for i, other := range m.runs {
+		if other == r {
 			m.runs = append(m.runs[:i:i], m.runs[i+1:]...)
 			break
 		}
 	}
-	r.gone = true
+	r.ended = true
 	m.used = m.used.Sub(r.need)
-	r.job.ledgerOf(r.task).live--
-	cores := coresOf(r.need)
+	r.job.historyOf(r.task).liveRuns--
+	cores := coreWeight(r.need)
 	if done {
-		w.tally.Useful += cores * stretch(r.whole-r.saved, 1/r.speed).Seconds()
+		w.tally.Useful += cores * scale(r.totalWork-r.savedWork, 1/r.speed).Seconds()
 		return
 	}
-	kept := time.Duration(0)
+	keptWork := time.Duration(0)
 	if every := w.setup.SaveEvery; r.step.Checkpointing && every > 0 {
-		kept = r.worked().Truncate(every)
+		keptWork = r.workDone().Truncate(every)
 	}
-	if r.began != 0 {
-		w.tally.Wasted += cores * stretch(r.worked()-max(kept, r.saved), 1/r.speed).Seconds()
+	if r.workStart != 0 {
+		w.tally.Wasted += cores * scale(r.workDone()-max(keptWork, r.savedWork), 1/r.speed).Seconds()
 	}
 }
 
-// acceleratorCores is how many cores an accelerator counts for, by the platform's prices.
-const acceleratorCores = 8
+// coresPerAccelerator is the number of cores that an accelerator counts for, by
+// the platform's prices.
+const coresPerAccelerator = 8
 
-// coresOf returns the weight of resources in cores.
-func coresOf(r job.Resources) float64 {
-	return float64(r.CPU)/1000 + acceleratorCores*float64(r.Accelerators)
+// coreWeight returns the weight of resources in cores.
+func coreWeight(r job.Resources) float64 {
+	return float64(r.CPU)/1000 + coresPerAccelerator*float64(r.Accelerators)
 }
