--- a/core/dispatch/candidate.go
+++ b/core/dispatch/candidate.go
@@ -9,16 +9,17 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// lateFactor times the time allowed is when a job stops earning anything.
+// lateFactor times the allowed time is how long after its due time a job stops
+// earning anything.
 const lateFactor = 3
 
-// candidate is one step of which tasks may start now.
+// candidate is a step that has tasks which may start now.
 type candidate struct {
 	step *stepState
-	// waiting holds the indexes of the tasks that wait.
+	// waiting holds the indexes of the tasks that wait for a worker.
 	waiting []int
-	// possible holds the workers that take new tasks and may run the step, as far as is
-	// known, whether there is room or not.
+	// possible holds the workers that accept new tasks and may run the step, as
+	// far as is known, whether they have free capacity or not.
 	possible []*worker
 	// covered is set for urgent work within its customer's guarantee.
 	covered bool
@@ -26,8 +27,10 @@
 	late bool
 	// deadline is when the job should be completed.
 	deadline unit.Instant
-	// turn orders candidates of the same urgency: the deadline, or when the step fell due if the
-	// policy has no order by deadline. Long-running tasks wait in turn either way.
+	// sortTime orders candidates of the same urgency. It is the deadline, or
+	// when the step became due if the policy doesn't order by deadline.
+	// Long-running tasks are ordered by how long they have waited in either
+	// case.
 	turn unit.Instant
 }
 
@@ -47,8 +50,9 @@
 	return out
 }
 
-// compareCandidates puts the more urgent priority first, then work within a guarantee, then
-// work that can still earn something, then whose turn is earlier.
+// compareCandidates puts the more urgent priority first, then work within a
+// guarantee, then work that can still earn something, then the earlier sort
+// time.
 func (d *Dispatcher) compareCandidates(a, b candidate) int {
 	late := 0
 	if d.policy.ByDeadline {
@@ -73,8 +77,8 @@
 	return -1
 }
 
-// urgentUse returns how many accelerators each customer's open jobs of priority 0
-// ask for.
+// urgentDemand returns how many accelerators each customer's open jobs of
+// priority 0 ask for.
 func (d *Dispatcher) urgentUse() map[id.Customer]int {
 	out := map[id.Customer]int{}
 	for _, js := range d.open {
@@ -88,7 +92,8 @@
 	return out
 }
 
-// candidate returns the tasks of a step that may start.
+// candidate returns a step with its tasks that may start, and false if there
+// are none.
 func (d *Dispatcher) candidate(now unit.Instant, s *stepState) (candidate, bool) {
 	js := s.job
 	due, ok := d.due(now, s)
@@ -116,7 +121,8 @@
 	c.deadline = due.Add(allowed)
 	c.late = now > due.Add(lateFactor*allowed)
 	if s.step.LongRunning {
-		// It earns as long as it runs, whenever that begins: who waits longest goes first.
+		// A long-running task earns for as long as it runs, whenever it begins:
+		// the one that has waited longest goes first.
 		c.late = false
 		if s.waitingSince != 0 {
 			c.deadline = s.waitingSince
@@ -129,9 +135,9 @@
 	return c, true
 }
 
-// due returns when a step's round has fallen due, by the steady clock, and whether that
-// was so. A job without times is due at once: the clock of the host that accepted it
-// may be ahead of ours.
+// due returns when a step's round became due, by the steady clock, and whether
+// that time has come. A job without rounds is due at once: the clock of the
+// host that accepted it may be ahead of this host's.
 func (d *Dispatcher) due(now unit.Instant, s *stepState) (unit.Instant, bool) {
 	spec := s.job.spec
 	if spec.Rounds == 0 {
--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -8,21 +8,31 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Crashes of many workers at once have a cause in common, and aren't held against what ran there.
+// When many workers crash together, they have a common cause. Such crashes are
+// not counted against the tasks that ran there.
 
 const (
-	// commonCause is within which time crashes of massLeast workers of a service, and massShare of all its workers, under which nothing
-	// had just begun are taken to have one cause: a rack that loses power takes all its workers. They are noticed when the next lives answer. Without
-	// it jobs that can be done are given up for crashes that they have nothing to do with.
+	// commonCause is the time window within which unexplained crashes are taken
+	// to have a common cause, if they hit at least minUnexplained workers of a
+	// service and minUnexplainedShare of all its workers. A crash is
+	// unexplained if no run had just begun on the worker. A rack that loses
+	// power, for example, takes down all its workers; this is noticed when
+	// their next incarnations answer. Without this rule, jobs that could
+	// complete are given up for crashes that they didn't cause.
 	commonCause = time.Second
 	massLeast   = 3
 	massShare   = 1.0 / 30
-	// allLeast and allShare are the same for crashes of any kind: half of the workers begin something within the 2 s in which a renewal may wait
-	// for news, so that in a storm nearly each crash seems to come soon after a start. Tasks that crash workers are far from that many.
+	// minCrashes and minCrashShare are the same bounds for crashes with or
+	// without an explanation. Half of the workers start something within the 2
+	// s that a renewal may wait for news, so that in a large outage nearly
+	// every crash seems to come soon after a start. Tasks that crash their
+	// workers never reach these numbers.
 	allLeast = 5
 	allShare = 1.0 / 8
-	// mostExcused is how many crashes soon after its starts a task may be excused. With the three that end its job they are the starts that the
-	// platform allows; without it tasks that crash their workers at once excuse each other for good.
+	// maxExcused is how many crashes soon after its starts a task may be
+	// excused. Together with the three that end its job, they make up the
+	// number of starts that the platform allows. Without the bound, tasks that
+	// crash their workers at once excuse each other indefinitely.
 	mostExcused = 2
 )
 
@@ -30,15 +40,17 @@
 type lifeEnd struct {
 	at      unit.Instant
 	service id.Service
-	// counted holds the runs under which it was counted.
+	// counted holds the runs that the crash was counted against.
 	counted []*run
-	// explained is set if one of them may well be the cause: it had just begun. repeated is set if workers have crashed before under the task
-	// of one of them: it speaks for no other cause.
+	// explained is set if one of these runs may well be the cause because it
+	// had just begun. repeated is set if workers have crashed before under the
+	// task of one of them; such a crash is no evidence of a common cause.
 	explained, repeated bool
 }
 
-// excuseMass takes the counts of the newest crashes of a service back if so many of them have no explanation that there must be a cause in
-// common.
+// excuseMass takes back the counts of a service's newest crashes if so many of
+// them are unexplained, or so many happened at all, that they must have a
+// common cause.
 func (d *Dispatcher) excuseMass(service id.Service) {
 	all, unexplained := 0, 0
 	for _, e := range d.lifeEnds {
@@ -66,8 +78,9 @@
 	}
 }
 
-// excuse takes the count of a crash under a run back, because so many workers crashed together; that of one soon after the run's start
-// mostExcused times.
+// excuse takes back the count of a crash under a run, because so many workers
+// crashed together. A crash soon after the run's start is excused at most
+// maxExcused times for a task.
 func (d *Dispatcher) excuse(r *run, crashes int) {
 	c := r.step.crashCount(r.task.Index)
 	if c == nil || c.Run != r.number {
@@ -85,7 +98,7 @@
 	d.noteRun(EventCrashExcused, r, fmt.Sprintf("%d workers crashed together for no reason of their own", crashes), r.workedFor())
 }
 
-// noteExcused notes that a crash soon after its start was excused to a task.
+// noteExcused counts a crash soon after its start that a task was excused.
 func (s *stepState) noteExcused(index int) {
 	if s.excused == nil {
 		s.excused = map[int]int{}
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -8,7 +8,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// placeGang places all members or none.
+// placeGang places all members of a gang or none.
 func (d *Dispatcher) placeGang(now unit.Instant, c candidate, fits []*worker) bool {
 	chosen := d.chooseGang(now, c, fits, d.plainRoom)
 	if chosen.workers == nil {
@@ -19,8 +19,8 @@
 	return true
 }
 
-// placeOn places as many of the waiting tasks as there are workers, each on its own. The
-// members of a gang share a number.
+// placeOn places as many of the waiting tasks as there are workers, one on each
+// entry of workers. The members of a gang share a run number.
 func (d *Dispatcher) placeOn(c candidate, workers []*worker) {
 	s := c.step
 	number := s.nextRun(0)
@@ -36,13 +36,13 @@
 	}
 }
 
-// assignment is room for the members of a gang.
+// assignment says on which workers the members of a gang can be placed.
 type assignment struct {
 	// workers has one worker for each member; nil if there is no room.
 	workers []*worker
 	victims []*run
-	// cost is the work that stopping the victims throws away, in core-seconds;
-	// among equal ones the least leftover wins.
+	// cost is the work that is lost by stopping the victims, in core-seconds.
+	// Among assignments of equal cost, the one with the least leftover wins.
 	cost, left float64
 }
 
@@ -60,16 +60,18 @@
 	return a.left < b.left
 }
 
-// room says how much of a worker a unit can have, and by stopping which runs.
+// roomFunc returns how much of a worker's capacity a step can have, and which
+// runs must be stopped for it at what cost.
 type room func(now unit.Instant, c candidate, w *worker, need job.Resources) (free job.Resources, victims []*run, cost float64)
 
-// plainRoom is what is free.
+// plainRoom is the roomFunc of the capacity that is free now.
 func (d *Dispatcher) plainRoom(_ unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 	return w.free(), nil, 0
 }
 
-// chooseGang finds room for all waiting members: in one rack and near the data if
-// that is asked for and possible, elsewhere only after some waiting.
+// chooseGang finds room for all waiting members. If the step asks for one rack
+// or for a place near its data, it looks there first and elsewhere only after
+// some waiting, or if no rack could ever hold the gang.
 func (d *Dispatcher) chooseGang(now unit.Instant, c candidate, fits []*worker, by room) assignment {
 	s := c.step
 	var best assignment
@@ -89,8 +91,9 @@
 	return d.assign(now, c, fits, by)
 }
 
-// reachable reports whether some rack near the data could hold all members if it were
-// empty. Workers that are kept for others now, or wait for a permit, count.
+// fitsSomeRack reports whether some rack near the data could hold all members
+// if it were empty. Workers that are currently reserved for others, or wait for
+// a permit, count.
 func (c *candidate) reachable() bool {
 	for _, group := range racks(c.possible) {
 		if c.step.near(group[0]) && c.step.holds(group, len(c.waiting)) {
@@ -100,7 +103,7 @@
 	return false
 }
 
-// racks groups workers by rack, in order.
+// racks groups workers by rack, ordered by rack name.
 func racks(workers []*worker) [][]*worker {
 	groups := map[id.Rack][]*worker{}
 	var names []id.Rack
@@ -118,26 +121,28 @@
 	return out
 }
 
-// tally is how an assignment has filled one worker so far.
+// workerAssignment is the part of an assignment that goes to one worker so far.
 type tally struct {
 	worker  *worker
 	members int
 	victims []*run
 	cost    float64
 	left    float64
-	// extra is added to left: for opening an empty worker, for one whose last runs
-	// failed, and for disturbing or being disturbed.
+	// penalty is added to leftover: for using an empty worker, for a worker
+	// whose last runs failed, and for interference between serving and
+	// best-effort runs.
 	extra float64
 }
 
-// offer is what one more member would make of a worker's tally, and whether there is room.
+// extension is a worker's assignment with one more member; ok is false if there
+// is no room for it.
 type offer struct {
 	tally tally
 	ok    bool
 }
 
-// assign puts the members on workers one by one, each where it costs least. A worker's offer
-// changes only when it takes a member.
+// assign puts the members on workers one by one, each where it costs least. A
+// worker's extension changes only when it gets a member.
 func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, by room) assignment {
 	s := c.step
 	need := s.step.Reserved()
@@ -167,8 +172,8 @@
 	return out
 }
 
-// cheapest returns the position of the offer that adds least to its tally's cost, and among those
-// the one with the least left over; -1 if there is none.
+// cheapestExtension returns the index of the extension that adds the least
+// cost, and among those the one with the least leftover; -1 if there is none.
 func cheapest(tallies []tally, offers []offer) int {
 	best := -1
 	for i := range offers {
@@ -187,7 +192,8 @@
 	return best
 }
 
-// oneMore returns the tally with one more member, if there is room.
+// withOneMore returns the worker's assignment with one more member, if there is
+// room.
 func (d *Dispatcher) oneMore(now unit.Instant, c candidate, t tally, need job.Resources, by room) offer {
 	if c.step.full(t.worker, t.members) || t.worker.onTrial() && len(t.worker.runs)+t.members > 0 {
 		return offer{}
--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// forgetJobs bounds how many ended jobs are dropped in one batch; each is
-	// three records.
+	// forgetBatch bounds how many ended jobs are dropped in one batch; each
+	// takes three records.
 	forgetJobs = 20
-	// expireEvery is how often ended jobs are looked through: with forgetJobs, 40 a second
-	// can be dropped.
+	// expireEvery is the interval between checks for ended jobs to drop. With
+	// forgetBatch, 40 jobs a second can be dropped.
 	expireEvery = 500 * time.Millisecond
 )
 
-// AddJob takes in a job as the store has it. The entry has a spec.
+// AddJob adds a job with what the store has of it. The entry must have a spec.
 func (d *Dispatcher) AddJob(now unit.Instant, name id.Job, e *jobtable.Entry) {
 	if d.jobs[name] != nil {
 		return
@@ -39,7 +39,8 @@
 	}
 	d.insertOpen(js)
 	if !fits {
-		// Nobody can tell which of its tasks have been done, and none may be done twice.
+		// It is unknown which of its tasks are done, and none may be done
+		// twice.
 		d.finish(now, js, job.Failed, "its spec and its progress have different tasks")
 		return
 	}
@@ -54,7 +55,7 @@
 	}
 }
 
-// newJobState returns a job with all its steps, none of which runs.
+// newJobState returns a job with all its steps, without runs.
 func newJobState(now unit.Instant, name id.Job, e *jobtable.Entry) *jobState {
 	p := e.Resumed()
 	p.Tasks, p.Crashes = slices.Clone(p.Tasks), slices.Clone(p.Crashes)
@@ -71,15 +72,17 @@
 	return js
 }
 
-// fits reports whether a job's progress is of the tasks that its spec has. Another writer's spec, which a host that begins to read finds alone, may
-// have others.
+// progressMatchesSpec reports whether a job's progress has as many tasks as its
+// spec. They differ if another writer has replaced the spec and this host,
+// which began to read later, has read only the replacement.
 func (js *jobState) fits() bool {
 	n := len(js.progress.Tasks)
 	return n == 0 || n == js.spec.RoundCount()*js.spec.Width()
 }
 
-// resumeEnded goes on with a job that has ended under an earlier owner: what still runs of it is stopped, and the store gets what that owner has
-// not written any more.
+// resumeEnded continues a job that ended under an earlier owner: it stops what
+// still runs of it, and writes the records to the store that the earlier owner
+// had not written.
 func (d *Dispatcher) resumeEnded(now unit.Instant, js *jobState) {
 	d.stopAll(now, js, "job ended")
 	if !js.busy() {
@@ -90,7 +93,7 @@
 	}
 }
 
-// summaryOf returns how far the summary of a job is that the store has.
+// summaryOf returns the phase of the job's summary in the store.
 func summaryOf(e *jobtable.Entry) summaryPhase {
 	switch {
 	case e.Ended():
@@ -101,13 +104,14 @@
 	return summaryNone
 }
 
-// insertOpen takes a job among the open ones.
+// insertOpen adds a job to the open ones, which are sorted by id.
 func (d *Dispatcher) insertOpen(js *jobState) {
 	at, _ := slices.BinarySearchFunc(d.open, js, compareJobs)
 	d.open = slices.Insert(d.open, at, js)
 }
 
-// removeOpen takes a job that has its outcome from the open ones to the ended ones.
+// removeOpen moves a job that has its outcome from the open jobs to the ended
+// ones.
 func (d *Dispatcher) removeOpen(js *jobState) {
 	if at, ok := slices.BinarySearchFunc(d.open, js, compareJobs); ok {
 		d.open = slices.Delete(d.open, at, at+1)
@@ -118,10 +122,10 @@
 // compareJobs orders jobs by id.
 func compareJobs(a, b *jobState) int { return cmp.Compare(a.id, b.id) }
 
-// dropTasks forgets what is known of the tasks of a job that has ended.
+// dropTasks drops the state of the tasks of a job that has ended.
 func (js *jobState) dropTasks() { js.progress.Tasks, js.progress.Crashes = nil, nil }
 
-// resume takes over what an earlier owner has placed.
+// resume takes over the runs that an earlier owner has placed.
 func (d *Dispatcher) resume(now unit.Instant, js *jobState) {
 	if len(js.progress.Tasks) == 0 {
 		return
@@ -147,8 +151,9 @@
 	}
 }
 
-// resumeRun takes over a run that an earlier owner has placed. Whether its order has left isn't
-// known, nor how much a run that uses what others leave was slowed down.
+// resumeRun takes over a run that an earlier owner has placed. It is unknown
+// whether its order to start was sent, and by how much a best-effort run was
+// slowed down.
 func (d *Dispatcher) resumeRun(now unit.Instant, s *stepState, index int, t *job.TaskState) {
 	w := d.worker(now, t.Worker)
 	w.grantedUntil = max(w.grantedUntil, d.lapseOf(now.Add(assuredFor))) // the earlier owner may not know of this one yet
@@ -159,12 +164,13 @@
 	d.occupy(r)
 }
 
-// forgettable reports whether nothing of an ended job runs, and the store has its outcome and no progress of it.
+// forgettable reports whether an ended job has no runs left, and the store has
+// its outcome and no progress of it.
 func (js *jobState) forgettable() bool {
 	return !js.busy() && !js.changed && !js.hasProgress && js.summary == summaryEnded
 }
 
-// expire forgets jobs whose end nobody needs to know any more.
+// expire drops jobs that ended longer ago than Config.KeepEnded.
 func (d *Dispatcher) expire(now unit.Instant) {
 	if now.Sub(d.expired) < expireEvery {
 		return
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -8,39 +8,45 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// The control of tasks that use what others leave, beside serving tasks. Each worker with
-// both is a loop of its own: its input is the worst serving task's tail latency as a part of
-// its target, its output the speed of all that use what is left.
+// Speed control of best-effort runs (Step.Fills), which use the capacity that
+// serving tasks on the same worker leave idle. Each worker that has both is a
+// control loop of its own: its input is the worst tail latency of its serving
+// tasks as a fraction of their target, its output the speed of all its
+// best-effort runs.
 const (
-	// paceHigh is the part of its target above which a serving task's tail latency counts
-	// as too high. It leaves room for the noise of half a second's figure; the platform
-	// counts harm after some 4 s over the target.
+	// highLatencyRatio is the fraction of its target above which a serving
+	// task's tail latency counts as too high. It leaves a margin for noise,
+	// since a figure covers only half a second; the platform counts a violation
+	// after some 4 s over the target.
 	paceHigh = 0.8
-	// paceLow is the part below which the others may work faster again. Between the two
-	// nothing changes.
+	// lowLatencyRatio is the fraction below which best-effort runs may speed up
+	// again. Between the two ratios the speed stays as it is.
 	paceLow = 0.6
-	// paceUp is by how many percent they are sped up at a time. They are slowed by half of
-	// what is left, so that harm ends in two steps and returns in many.
+	// speedStep is by how many percent best-effort runs are sped up at a time.
+	// They are slowed down by half of their speed, so that a violation ends in
+	// two steps and returns only after many.
 	paceUp = 10
-	// paceLeast is the speed in percent below which they stand still instead.
+	// minSpeed is the speed in percent below which best-effort runs are paused.
 	paceLeast = 10
-	// paceEvery is the time between two changes: a figure covers half a second, and a
-	// change takes effect after a tenth.
+	// paceInterval is the least time between two changes of speed: a latency
+	// figure covers half a second, and a change takes effect after a tenth.
 	paceEvery = 700 * time.Millisecond
-	// fullSpeed is the speed of a run that nobody slows down, in percent.
+	// fullSpeed is the speed in percent of a run that is not slowed down.
 	fullSpeed = 100
-	// sharingWeight is added for each run on a worker that a task would disturb, or that
-	// would disturb it; it outweighs all but suspicion.
+	// interferenceWeight is added for each run on a worker that a task would
+	// interfere with, or that would interfere with it. It outweighs all other
+	// penalties but that for failed runs.
 	sharingWeight = 8
 )
 
-// fills reports whether a run uses what others leave.
+// fills reports whether a run is best-effort: it uses only capacity that others
+// leave idle.
 func (r *run) fills() bool { return r.step != nil && r.step.step.Fills }
 
-// serves reports whether a run serves users of its own.
+// isServing reports whether a run serves requests with a target latency.
 func (r *run) serves() bool { return r.step != nil && r.step.step.TargetLatency > 0 }
 
-// shared reports whether some run uses what a serving one leaves on the worker.
+// hasMixedLoad reports whether best-effort and serving runs share the worker.
 func (w *worker) shared() bool {
 	filling, serving := false, false
 	for _, r := range w.runs {
@@ -50,8 +56,9 @@
 	return filling && serving
 }
 
-// disturbance is added to the leftover of a placement on a worker with runs that would
-// disturb a task of the step, or that it would disturb.
+// interferencePenalty is added to the leftover of a placement on a worker for
+// each run there that a task of the step would interfere with, or that would
+// interfere with it.
 func (s *stepState) disturbance(w *worker) float64 {
 	if !s.step.Fills && s.step.TargetLatency == 0 {
 		return 0
@@ -65,8 +72,8 @@
 	return sharingWeight * float64(n)
 }
 
-// pressure returns the worst tail latency of the worker's serving tasks, as a part of the
-// target.
+// worstLatencyRatio returns the worst tail latency of the worker's serving
+// tasks as a fraction of the target.
 func (w *worker) pressure() float64 {
 	worst := 0.0
 	for _, r := range w.runs {
@@ -78,8 +85,8 @@
 	return worst
 }
 
-// pace slows down the runs that use what others leave while a serving one beside them is
-// near its target, and speeds them up again after that.
+// pace slows down best-effort runs while a serving run on the same worker is
+// near its target latency, and speeds them up again afterwards.
 func (d *Dispatcher) pace(now unit.Instant, w *worker) {
 	if now.Sub(w.pacedAt) < paceEvery {
 		return
@@ -106,7 +113,8 @@
 	}
 }
 
-// nextSpeed returns the speed, in percent, that follows on one under a pressure.
+// nextSpeed returns the speed, in percent, that follows on the present one at a
+// latency ratio.
 func nextSpeed(speed int, pressure float64) int {
 	switch {
 	case pressure > paceHigh && speed/2 < paceLeast:
@@ -119,15 +127,15 @@
 	return speed
 }
 
-// Paced takes in what became of an order on a run's speed. One that wasn't carried out is
-// decided anew.
+// Paced handles the result of an order that sets a run's speed. If the order
+// wasn't carried out, the speed is decided anew.
 func (d *Dispatcher) Paced(now unit.Instant, res PaceResult) {
 	r := d.runAnswer(now, res.Pace.Target, res.Verdict, res.Clock, res.Pace.Task, res.Pace.Run)
 	if r == nil || res.Verdict == fleet.Carried {
 		return
 	}
-	// The worker may work at the old speed or at the new one. A speed between the two
-	// ends leads to another order either way.
+	// The worker may run it at the old speed or at the new one. A speed between
+	// the two ends of the range leads to another order in either case.
 	r.slowed = min(max(r.slowed, paceUp), fullSpeed-paceLeast)
 	r.worker.pacedAt = 0
 }
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -9,46 +9,53 @@
 )
 
 const (
-	// stopPatience times the time that a stop may take is when a run that is still listed is
-	// ordered to stop again.
+	// stopPatience times the time that a stop may take is when a run that is
+	// still listed is ordered to stop again.
 	stopPatience = 3
-	// resendAfter is when an order without an answer is repeated. Workers answer
-	// within a few milliseconds.
+	// resendAfter is when an order without an answer is repeated. Workers
+	// answer within a few milliseconds.
 	resendAfter = 300 * time.Millisecond
-	// startPatience is how long a run may wait for an answer to its orders to start, startTries of them at
-	// least, from a worker that answers renewals meanwhile. Without it tasks stay for ever
-	// with a worker that takes no starts.
+	// startPatience is how long a run may wait for an answer to its orders to
+	// start, of which there must have been at least minStartOrders, from a
+	// worker that answers renewals meanwhile. Without this limit, tasks stay
+	// forever with a worker that ignores orders to start.
 	startPatience = 4 * time.Second
 	startTries    = 5
 	// renewWait is how long a renewal may wait at the worker for news; the
 	// platform allows 2 s.
 	renewWait = 2 * time.Second
-	// renewLimit is how long after its wait a renewal without an answer counts as lost, by the limit
-	// of the platform's client.
+	// renewLimit is how long after its wait a renewal without an answer counts
+	// as lost. It is the timeout of the platform's client.
 	renewLimit = 800 * time.Millisecond
-	// lateResult is how long after its limit the end of a renewal may be taken in to tell something of the worker.
+	// lateResult is how long after its timeout the result of a renewal may
+	// arrive and still count as evidence about the worker.
 	lateResult = 500 * time.Millisecond
-	// leaseShare is the part of a lease within which a renewal must come after two were lost. The
-	// worker's clock may run 2 % off; the rest is for the way.
+	// leaseShare is the share of a lease within which a renewal must succeed
+	// after two were lost. The worker's clock may drift by 2 %; the rest is for
+	// the transit time.
 	leaseShare = 0.95
-	// leastWait is how long a renewal may wait on deployments with the shortest leases.
+	// minRenewWait is how long a renewal may wait in deployments with the
+	// shortest leases.
 	leastWait = 100 * time.Millisecond
-	// sharedWait is renewWait on a worker where tasks that use what others leave run beside
-	// serving ones: the worker's figures are those of the last half second.
+	// mixedRenewWait is renewWait for a worker that has both best-effort and
+	// serving runs: the worker's latency figures cover the last half second.
 	sharedWait = 500 * time.Millisecond
-	// silentAfter is how long after its last answer a worker gets no new tasks.
-	// It is one renewal that waited in full, and one lost.
+	// unresponsiveAfter is how long after its last answer a worker gets no new
+	// tasks. It is the time of one renewal that waited in full and one that was
+	// lost.
 	silentAfter = 3500 * time.Millisecond
-	// moveSlack is the time that a stop needs on its way and to be noted.
+	// stopOverhead is the time that an order to stop needs to reach the worker
+	// and its result to be recorded.
 	moveSlack = 500 * time.Millisecond
-	// trustPercent is the least progress, in percent, from which a run's remaining time
-	// is estimated; below, the customer's estimate counts.
+	// minTrustedPercent is the least progress, in percent, from which a run's
+	// remaining time is estimated; below it, the customer's estimate is used.
 	trustPercent = 10
 )
 
-// Pass does what is due: it gives up lapsed leases, repeats orders, renews leases and
-// places tasks. Now is a steady clock; wall is the time of day, by which the rounds of
-// timed jobs fall due, and may jump.
+// Pass does all work that is due: it gives up runs whose leases have expired,
+// repeats orders, places tasks and renews leases. now is a steady clock; wall
+// is the time of day, by which the rounds of timed jobs become due, and may
+// jump.
 func (d *Dispatcher) Pass(now, wall unit.Instant) {
 	d.wall = wall
 	if d.began == 0 {
@@ -65,7 +72,9 @@
 	d.giveUpSpent(now)
 	d.expire(now)
 	d.maintain(now)
-	if d.mayStart(now) { // else each order would be taken back, with a record and a number of its own
+	// Otherwise each order would be withdrawn again, at the cost of a record
+	// and a run number.
+	if d.mayStart(now) {
 		d.placeAll(now)
 	}
 	for _, w := range d.order {
@@ -73,18 +82,23 @@
 	}
 }
 
-// giveUp loses the runs of a worker whose lease has surely run out. That it is off the list and takes no connections
-// is not enough: such a worker may run on, cut off. Nor is the time alone: while this host stood still it hasn't asked, and the worker's answer
-// tells how the runs have ended. One whose address isn't known can't be asked.
+// loseLapsed gives up the runs of a worker whose lease has certainly expired.
+// It is not enough that the worker is off the list and refuses connections: it
+// may be partitioned and still run its tasks. Nor is it enough that the time
+// has passed: while this host was frozen it sent no renewals, and the worker's
+// answer says how the runs have ended. A worker whose address is unknown can't
+// be asked.
 func (d *Dispatcher) giveUp(now unit.Instant, w *worker) {
 	if w.leased() && now > w.lapse() && (w.askedInVain || w.Address == "") {
 		d.loseAll(now, w, leaseLapsed)
-		w.synced = 0 // it seems to be empty: without an answer it would get the same tasks again
+		// The worker now seems to be empty. Without a new answer it would be
+		// given the same tasks again.
+		w.synced = 0
 	}
 }
 
-// leased reports whether an order to start may have reached the worker. Runs whose
-// orders have not left are not bound to the worker's last lease.
+// leased reports whether an order to start may have reached the worker. Runs
+// whose orders have not been sent don't depend on the worker's last lease.
 func (w *worker) leased() bool {
 	for _, r := range w.runs {
 		if r.state != runOrdered {
@@ -94,8 +108,9 @@
 	return false
 }
 
-// resend repeats orders that got no answer. A run that an earlier owner placed is
-// started again only after the worker has told this owner what runs and what has ended.
+// resend repeats orders that got no answer. A run that an earlier owner placed
+// is started again only after the worker has reported to this owner what runs
+// and what has ended.
 func (d *Dispatcher) resend(now unit.Instant, w *worker) {
 	if w.Address == "" {
 		return
@@ -125,13 +140,15 @@
 	}
 }
 
-// ignored reports whether a run's orders to start were left unanswered for long, while its worker
-// answered a renewal that was sent after the first of them.
+// startIgnored reports whether a run's orders to start have been unanswered for
+// too long, although its worker answered a renewal that was sent after the
+// first of them.
 func (r *run) ignored(now unit.Instant) bool {
 	return r.unanswered && r.started == 0 && r.orders >= startTries && now.Sub(r.since) >= startPatience && r.worker.synced > r.since
 }
 
-// unsettled reports whether some order for a run on the worker may have to be repeated.
+// hasUnconfirmed reports whether some order for a run on the worker may have to
+// be repeated.
 func (w *worker) unsettled() bool {
 	for _, r := range w.runs {
 		if !r.inFlight && (r.state == runStarting || r.state == runStopping) {
@@ -141,7 +158,9 @@
 	return false
 }
 
-// moveOff moves tasks off a worker that leaves, if they can't end there in time.
+// evictDraining stops tasks on a draining worker that can't complete there in
+// time. Tasks with checkpoints run on for as long as there is time to stop
+// them.
 func (d *Dispatcher) moveOff(now unit.Instant, w *worker) {
 	if !w.Draining || len(w.runs) == 0 {
 		return
@@ -162,7 +181,7 @@
 	}
 }
 
-// remaining guesses how long a run still takes.
+// remaining estimates how long a run still takes.
 func (d *Dispatcher) remaining(now unit.Instant, r *run) time.Duration {
 	if r.step.step.LongRunning {
 		return d.config.MaxLease
@@ -178,7 +197,7 @@
 	return max(0, r.step.step.Estimate-ran)
 }
 
-// renew renews a worker's lease when that is due.
+// renew renews a worker's lease if that is due.
 func (d *Dispatcher) renew(now unit.Instant, w *worker) {
 	if w.holding || !w.asks() || w.Address == "" || now < w.nextHold {
 		return
@@ -192,7 +211,9 @@
 	}
 	if w.synced != 0 && w.seen == w.durable && len(w.runs) > 0 && w.heard(now) && !w.lastUnanswered && !w.hurry() && !w.forgets() {
 		o.Wait = renewalWait(d.config.MaxLease)
-		if w.shared() || o.Until == 0 { // the next one may grant, before a lease of 6 s has lapsed
+		// The next renewal may grant a lease, and must leave before a lease of
+		// 6 s has expired.
+		if w.shared() || o.Until == 0 {
 			o.Wait = min(o.Wait, sharedWait)
 		}
 		if d.policy.MoveStalled && w.urgent() {
@@ -203,7 +224,9 @@
 		}
 	}
 	if d.config.MostWaits > 0 && d.awaiting >= d.config.MostWaits {
-		o.Wait = 0 // others have all the connections on which news may be waited for: this worker is asked again and again
+		// Renewals to other workers use all the connections that may wait for
+		// news, so this worker is polled instead.
+		o.Wait = 0
 	}
 	if o.Wait > 0 {
 		w.waits = true
@@ -213,13 +236,15 @@
 	d.orders.Renews = append(d.orders.Renews, o)
 }
 
-// heard reports whether the worker has answered lately, or was first asked lately. Only then orders extend its
-// lease: those to a worker that never answers would put the end of its lease off for ever.
+// heard reports whether the worker has answered recently, or was first asked
+// recently. Only then do orders extend its lease: a worker that never answers
+// would otherwise keep its lease indefinitely.
 func (w *worker) heard(now unit.Instant) bool {
 	return now.Sub(max(w.answered, w.firstAsked)) < silentAfter
 }
 
-// asks reports whether the worker is to be asked what runs there, or to be told of ends.
+// needsRenewal reports whether the worker must be asked what runs there, or
+// told which ends it may forget.
 func (w *worker) asks() bool {
 	if w.replaced {
 		return false
@@ -227,18 +252,22 @@
 	return len(w.runs) > 0 || w.durable > w.told || w.listed && !w.confirmed()
 }
 
-// renewalWait returns how long a renewal may wait for news under leases of a length: so long that
-// after one that was answered two in a row may be lost, of which the second doesn't wait.
+// renewalWait returns how long a renewal may wait for news under leases of this
+// length. After an answered renewal two in a row may be lost, of which the
+// second doesn't wait, before the lease expires.
 func renewalWait(lease time.Duration) time.Duration {
 	spare := scale(lease, leaseShare) - 2*renewLimit
 	return max(leastWait, min(renewWait, spare/2))
 }
 
-// forgets reports whether the worker is to be told which ends it may forget, by this renewal or the next one. It is asked for an answer at once: as
-// long as there is none, its next life may get what was told, and no tasks for as long as orders may be late.
+// hasForgettableEnds reports whether the worker must be told which ends it may
+// forget, by this renewal or the next one. Such a renewal doesn't wait for
+// news: until it is answered, the worker's next incarnation may receive it
+// instead, and then gets no tasks for as long as orders may arrive late.
 func (w *worker) forgets() bool { return fleet.TellsStart(w.ID) && w.durable > w.told }
 
-// hurry reports whether an answer is wanted at once.
+// needsPromptAnswer reports whether a renewal to the worker must be answered
+// without waiting for news.
 func (w *worker) hurry() bool {
 	if w.synced < w.pausedAt || !w.confirmed() {
 		return true
@@ -255,17 +284,17 @@
 	return false
 }
 
-// usable reports whether new tasks may go to a worker.
+// usable reports whether new tasks may be placed on a worker.
 func (w *worker) usable(now unit.Instant) bool {
 	return w.listed && !w.Draining && !w.held && !w.evacuated && w.confirmed() && now >= w.pausedUntil && w.healthy(now)
 }
 
-// healthy reports whether a worker that is at work answers.
+// healthy reports whether a worker is idle, or answers.
 func (w *worker) healthy(now unit.Instant) bool {
 	return len(w.runs) == 0 || w.heard(now)
 }
 
-// near reports whether a worker is where the step's data is.
+// nearData reports whether a worker is where the step's data is.
 func (s *stepState) near(w *worker) bool {
 	return s.step.DataRack == "" || slices.Contains(w.Labels, s.step.DataRack)
 }
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// nearWait is how long urgent work waits for room near its data or in one rack
-	// before it takes room elsewhere; it must have begun after about 3 s.
+	// urgentRelaxWait is how long urgent work waits for room near its data or
+	// in one rack before it takes room elsewhere. Urgent work must have begun
+	// after about 3 s.
 	nearWait = 1200 * time.Millisecond
-	// roomyWait is the same for other work while there is room to spare. The
+	// relaxWait is the same for other work while there is ample room. The
 	// platform counts a job as lost that waits 3 s then.
 	roomyWait = 2 * time.Second
-	// farUsage is the part of a service's capacity in use below which work that
-	// isn't urgent may be placed where it is slow. The platform asks for work to
-	// start when under half is in use.
+	// maxRelaxUsage is the fraction of a service's capacity in use below which
+	// work that isn't urgent may be placed where it is slow. The platform asks
+	// for work to start when less than half is in use.
 	farUsage = 0.5
 )
 
-// placeAll places what may start, most urgent first.
+// placeAll places the tasks that may start, most urgent first.
 func (d *Dispatcher) placeAll(now unit.Instant) {
 	d.gather(now)
 	if len(d.pools) == 0 {
@@ -44,9 +45,11 @@
 	}
 }
 
-// waits notes that a step's tasks have found no room. Those of a job of which nothing was placed yet have waited since they fell due, under
-// whichever owner. The platform counts any 3 s of waiting beside room; counted from the first look of each owner, it could be nearly 2 s under
-// one and 2 s under the next.
+// noteWaiting records since when a step's tasks have found no room. If nothing
+// of the job was placed yet, they have waited since they became due, whichever
+// host was the owner. The platform counts any 3 s of waiting while there is
+// room; if each owner counted only from its own first attempt, the wait could
+// be nearly 2 s under one and 2 s under the next.
 func (d *Dispatcher) waits(now unit.Instant, s *stepState) {
 	if s.waitingSince != 0 {
 		return
@@ -60,8 +63,8 @@
 	}
 }
 
-// placeCandidate places what finds room of a candidate. It reports whether that is all, or room
-// is kept for it.
+// placeCandidate places as many of a candidate's tasks as find room. It reports
+// whether all were placed, or room is reserved for them.
 func (d *Dispatcher) placeCandidate(now unit.Instant, c candidate) bool {
 	p := d.pools[c.step.job.spec.Service]
 	if p == nil || d.hopeless(now, &c, p) {
@@ -91,7 +94,8 @@
 	return false
 }
 
-// waitingClaims counts the steps of work that isn't urgent for which room is kept.
+// waitingClaims counts the steps of work that isn't urgent for which room is
+// reserved.
 func (d *Dispatcher) waitingClaims() int {
 	n := 0
 	for _, js := range d.open {
@@ -104,8 +108,8 @@
 	return n
 }
 
-// tryPlace places as many of the candidate's tasks as find room, a gang whole or not
-// at all. It reports whether all were placed.
+// tryPlace places as many of the candidate's tasks as find room, or a gang as a
+// whole or not at all. It reports whether all were placed.
 func (d *Dispatcher) tryPlace(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
 	if c.step.step.Gang {
 		if !d.mayOpen(now, c, p, fits) {
@@ -124,8 +128,8 @@
 	return true
 }
 
-// placeFirst places the first waiting task on one of the workers that it may go to. If none has
-// room, it frees room for all that wait where they fit.
+// placeFirst places the first waiting task on one of the workers that it may
+// run on. If none has room, it preempts other work for all waiting tasks.
 func (d *Dispatcher) placeFirst(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
 	s, index := c.step, c.waiting[0]
 	w := d.choose(now, s, fits, d.mayOpen(now, c, p, fits))
@@ -137,7 +141,8 @@
 	return true
 }
 
-// notRefused leaves out the workers on which the advice service has refused the step.
+// withoutRefused leaves out the workers on which the advice service has refused
+// the step.
 func (s *stepState) notRefused(workers []*worker) []*worker {
 	if len(s.permits) == 0 {
 		return workers
@@ -167,9 +172,9 @@
 	return last + 1
 }
 
-// choose returns the best worker for one task: near its data if there is room or if
-// it hasn't waited long, and among those where least is left over. Empty workers are left
-// out unless they may be opened.
+// choose returns the best worker for one task: near its data if there is room
+// or the task hasn't waited long, and among those the one with the least
+// leftover. Empty workers are left out unless mayUseEmpty is set.
 func (d *Dispatcher) choose(now unit.Instant, s *stepState, fits []*worker, mayOpen bool) *worker {
 	var best, far *worker
 	bestLeft, farLeft := 0.0, 0.0
@@ -197,15 +202,16 @@
 	return best
 }
 
-// waitedFor reports whether the step's tasks have waited for that long.
+// waitedFor reports whether the step's tasks have waited for at least t.
 func (s *stepState) waitedFor(now unit.Instant, t time.Duration) bool {
 	return s.waitingSince != 0 && now.Sub(s.waitingSince) >= t
 }
 
-// mayGoFar reports whether n tasks of a step may be placed where they are slow, or on
-// workers that are kept for urgent work. Slow tasks hold their room for longer, so that is
-// for urgent work, and for times in which there is more than enough room. Long-running tasks
-// must be back whenever there is room for two, however much is in use.
+// mayRelax reports whether n tasks of a step may be placed where they are slow,
+// or on workers that are reserved for urgent work. Slow tasks occupy their room
+// for longer, so this is allowed for urgent work, and for other work while
+// there is ample room. Long-running tasks must run again as soon as there is
+// room for two, however much is in use.
 func (d *Dispatcher) mayGoFar(now unit.Instant, s *stepState, fits []*worker, n int) bool {
 	if s.job.spec.Priority == 0 {
 		return s.waitedFor(now, nearWait)
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -9,23 +9,26 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// pool is what a pass knows of the workers of one service. It is made anew in each pass, so that
-// the many tasks that wait need no walk over all workers each.
+// pool holds what a pass knows of the workers of one service. It is rebuilt in
+// each pass, so that not every waiting task has to walk over all workers.
 type pool struct {
-	// workers are those that new tasks may go to, by id; labelled those of them with a label,
-	// filled when it is asked for.
+	// workers are those that new tasks may be placed on, by id. labelled holds
+	// those with a label, and is filled on demand.
 	workers  []*worker
 	labelled map[string][]*worker
-	// most is, of each resource, the most that a worker has free as the pass begins.
+	// maxFree is, for each resource, the most that any worker has free when the
+	// pass begins.
 	most job.Resources
-	// spare is how many more empty workers less urgent work may take in this pass.
+	// spare is how many more empty workers less urgent work may take in this
+	// pass.
 	spare int
-	// usage is how much of the service's capacity was taken as the pass began: of the
-	// resource of which most is free.
+	// usage is the fraction of the service's capacity in use when the pass
+	// begins, for the resource of which most is free.
 	usage float64
 }
 
-// rackUse counts the usable workers of one rack and service, and those on which nothing runs.
+// rackUse counts the usable workers of one rack and service, and those on which
+// nothing runs.
 type rackUse struct{ all, empty int }
 
 // rackName names a rack of a service.
@@ -34,7 +37,7 @@
 	rack    id.Rack
 }
 
-// gather makes the pools of a pass.
+// makePools makes the pools of a pass.
 func (d *Dispatcher) gather(now unit.Instant) {
 	d.pools = map[id.Service]*pool{}
 	for _, r := range d.racks {
@@ -61,7 +64,7 @@
 	}
 }
 
-// add takes a usable worker into the pool.
+// add adds a usable worker to the pool.
 func (p *pool) add(w *worker) {
 	w.pool = p
 	p.workers = append(p.workers, w)
@@ -89,9 +92,10 @@
 	}
 }
 
-// keptEmpty returns how many empty workers of a service are kept for urgent work. Whole workers
-// are kept because urgent gangs ask for many accelerators of one rack; workers that are in use
-// already may be filled by anybody.
+// reservedEmpty returns how many empty workers of a service are reserved for
+// urgent work. Whole workers are reserved because urgent gangs ask for many
+// accelerators of one rack. Work of any priority may fill workers that are
+// already in use.
 func (d *Dispatcher) keptEmpty(now unit.Instant, service id.Service, p *pool) int {
 	most := 0
 	for _, w := range p.workers {
@@ -105,7 +109,7 @@
 	return int(min(math.Ceil(kept), reserveMost*float64(len(p.workers))))
 }
 
-// with returns the workers that carry a label; an empty one is carried by all.
+// withLabel returns the workers that have a label, or all for an empty label.
 func (p *pool) with(label string) []*worker {
 	if label == "" {
 		return p.workers
@@ -126,7 +130,8 @@
 	return found
 }
 
-// recount does what may change whether a worker is empty, and keeps the counts of the pass right.
+// recount makes a change after which a worker may be empty or no longer empty,
+// and updates the counts of the pass.
 func (w *worker) recount(do func()) {
 	before := w.empty()
 	do()
@@ -142,8 +147,8 @@
 	w.rackUse.empty += step
 }
 
-// hopeless reports whether no worker has room for even one task of a candidate, and nobody may
-// be stopped or room kept for it.
+// hopeless reports whether no worker has room for even one task of a candidate,
+// and neither preemption nor a reservation is allowed for it.
 func (d *Dispatcher) hopeless(now unit.Instant, c *candidate, p *pool) bool {
 	s := c.step
 	if s.claim != nil || s.job.spec.Priority == 0 || s.job.spec.Advice.Needed || s.step.Reserved().Fits(p.most) {
--- a/core/dispatch/preempt.go
+++ b/core/dispatch/preempt.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// claimTime is how long room is kept for a step that others were stopped for: twice
-	// the time that a stop may take by default.
+	// claimTime is how long room is reserved for a step that other runs were
+	// stopped for: twice the time that a stop may take by default.
 	claimTime = 2 * time.Second
 	// stopCost is added for each run that is stopped, in core-seconds, so that
-	// few are stopped when little work is lost either way.
+	// among choices that lose little work the one with the fewest stops wins.
 	stopCost = 1
-	// shortestWait and longestWait bound how far ahead room is kept for a gang that
-	// nobody is stopped for; the time doubles in between. mostWaitingClaims bounds how
-	// many gangs that is done for at a time, because kept room lies idle.
+	// minHorizon and maxHorizon bound how far ahead room is reserved for a gang
+	// that no run is stopped for; the time doubles in between. maxWaitingClaims
+	// bounds how many gangs have such a reservation at a time, because reserved
+	// room lies idle.
 	shortestWait      = time.Second
 	longestWait       = 8 * time.Second
 	mostWaitingClaims = 2
-	// fewerPart is the part of the waiting tasks by which their number is lowered until
-	// there can be room for the rest, and fewerPause the pause between two such searches,
-	// which take longer than a pass.
+	// fewerDivisor sets by which part of the waiting tasks their number is
+	// lowered until there can be room for the rest. fewerInterval is the least
+	// time between two such searches, which take longer than a pass.
 	fewerPart  = 4
 	fewerPause = 200 * time.Millisecond
 )
 
-// preempt stops work of lower priority for work that finds no room and can't wait, and
-// keeps the room for it until the stopped runs have ended. If that isn't enough, room
-// is kept where most of it will be free soonest.
+// preempt stops work of lower priority for urgent work that finds no room, and
+// reserves the room until the stopped runs have ended. For other work that must
+// start now, it reserves room where enough will be free soonest.
 func (d *Dispatcher) preempt(now unit.Instant, c candidate, fits []*worker) {
 	s := c.step
 	urgent := s.job.spec.Priority == 0
@@ -60,14 +61,15 @@
 	d.keep(now, c, chosen.workers, claimTime, "work of lower priority is stopped")
 }
 
-// choosePreempted finds room for all that waits of a step by stopping others, or reports
-// false.
+// choosePreempted finds room for all waiting tasks of a step by stopping
+// others, or reports false.
 func (d *Dispatcher) choosePreempted(now unit.Instant, c candidate, fits []*worker) (assignment, bool) {
 	chosen := d.chooseGang(now, c, fits, d.preemptible)
 	return chosen, chosen.workers != nil && mayStopAll(chosen.victims...)
 }
 
-// chooseFewer does the same for as many of the tasks as there can be room for.
+// chooseFewer is choosePreempted for as many of the tasks as there can be room
+// for.
 func (d *Dispatcher) chooseFewer(now unit.Instant, c candidate, fits []*worker) (assignment, bool) {
 	for n := len(c.waiting); n > 1; {
 		n -= max(1, n/fewerPart)
@@ -79,8 +81,8 @@
 	return assignment{}, false
 }
 
-// wait keeps room for a gang where enough of it will be free soonest, so that smaller
-// work doesn't take it bit by bit.
+// claimForGang reserves room for a gang where enough of it will be free
+// soonest, so that smaller work doesn't take it bit by bit.
 func (d *Dispatcher) wait(now unit.Instant, c candidate, fits []*worker) {
 	if !d.policy.KeepGangRoom || d.lastingWaits[c.step.job.spec.Service] {
 		return
@@ -95,7 +97,8 @@
 	}
 }
 
-// roomWithin is the room that is free or is expected to be so within a time.
+// roomWithin returns the roomFunc of the capacity that is free or expected to
+// be free within a time.
 func (d *Dispatcher) roomWithin(horizon time.Duration) room {
 	return func(now unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 		free := w.free()
@@ -108,8 +111,9 @@
 	}
 }
 
-// preemptible is the room that is free or could be freed for urgent work. Runs that
-// are being stopped count as free: their room comes without another stop.
+// preemptibleRoom is the roomFunc of the capacity that is free or can be freed
+// for urgent work. Runs that are already being stopped count as free, since
+// their room needs no further stop.
 func (d *Dispatcher) preemptible(now unit.Instant, c candidate, w *worker, need job.Resources) (job.Resources, []*run, float64) {
 	free := w.free()
 	var others []*run
@@ -118,7 +122,8 @@
 		case r.state == runStopping:
 			free = free.Add(r.taken())
 		case r.step != nil && d.suspect(r.step, r.task.Index):
-			// Stopped, it would show nothing and use up one of the few starts that are left to its task.
+			// If a suspect is stopped, its run gives no evidence and uses up
+			// one of the few starts that are left to its task.
 		case r.step != nil && r.step.job.spec.Priority > c.step.job.spec.Priority && mayStopAll(r):
 			others = append(others, r)
 		}
@@ -138,8 +143,9 @@
 	return free, victims, cost
 }
 
-// pick returns victims whose room, with what is free, is enough; those that turn out
-// to be needless are left out again, the dearest first.
+// pickVictims returns runs whose room is sufficient together with what is free.
+// Runs that turn out to be unnecessary are dropped again, the most expensive
+// first.
 func pick(others []*run, costs map[*run]float64, free, need job.Resources) ([]*run, float64) {
 	var victims []*run
 	for _, r := range others {
--- a/core/dispatch/room.go
+++ b/core/dispatch/room.go
@@ -5,11 +5,13 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// acceleratorWeight makes free accelerators count more than free processors
-// or memory when the fullest worker is sought: they are what runs short.
+// acceleratorWeight makes free accelerators count more than free processors or
+// memory in leftover: they are the scarce resource.
 const acceleratorWeight = 2
 
-// occupy makes a run take room on its worker. A run of the same task that is looked for there gives its room back: a worker has at most one.
+// occupy makes a run take capacity of its worker. An older run of the same task
+// on that worker, which may still be waiting for an answer, is released: a
+// worker has at most one run of a task.
 func (d *Dispatcher) occupy(r *run) {
 	if old := r.worker.runs.get(r.task); old != nil {
 		d.release(old)
@@ -22,13 +24,14 @@
 	}
 }
 
-// release gives the room of a run that is gone back.
+// release frees the capacity of a run that is gone.
 func (d *Dispatcher) release(r *run) {
 	if r.worker.runs.get(r.task) != r {
 		return
 	}
 	d.inPlace--
-	r.worker.grantedUntil = max(r.worker.grantedUntil, r.startLapse) // its order may be under way yet
+	// Its order may still be under way.
+	r.worker.grantedUntil = max(r.worker.grantedUntil, r.startLapse)
 	r.keepStray()
 	r.worker.recount(func() { r.worker.runs.remove(r.task) })
 	r.worker.used = r.worker.used.Sub(r.taken())
@@ -45,11 +48,12 @@
 	}
 }
 
-// taken returns what a run takes of its worker's room.
+// taken returns the capacity that a run takes of its worker, including what is
+// kept free beside it.
 func (r *run) taken() job.Resources { return r.need.Add(r.shield) }
 
-// usage returns how much of a service's capacity is taken: of the resource of which
-// most is free. Workers that take no new tasks count, as far as the list has them.
+// usage returns the fraction of a service's capacity in use, for the resource
+// of which most is free. Listed workers that accept no new tasks count.
 func (d *Dispatcher) usage(name id.Service) float64 {
 	var used, all job.Resources
 	for _, w := range d.order {
@@ -61,7 +65,7 @@
 		part(float64(used.Accelerators), float64(all.Accelerators)))
 }
 
-// roomFor reports whether n tasks of a step fit into what is free.
+// roomFor reports whether n tasks of a step fit into the free capacity.
 func (s *stepState) roomFor(workers []*worker, n int) bool {
 	need := s.step.Reserved()
 	for _, w := range workers {
@@ -72,8 +76,8 @@
 	return n <= 0
 }
 
-// full reports whether a worker holds as many tasks of the step as it may, with more
-// of them about to be placed there.
+// full reports whether a worker has as many tasks of the step as it may,
+// counting those that are about to be placed there.
 func (s *stepState) full(w *worker, more int) bool {
 	if s.step.MaxPerWorker == 0 {
 		return false
@@ -87,15 +91,16 @@
 	return n >= s.step.MaxPerWorker
 }
 
-// leftover is how much of a worker stays free, as the sum of the parts of each
-// resource. The least leftover keeps whole workers free for large tasks.
+// leftover measures how much of a worker stays free, as the weighted sum of the
+// fractions of each resource. Choosing the least leftover keeps whole workers
+// free for large tasks.
 func leftover(free, capacity job.Resources) float64 {
 	return part(float64(free.CPU), float64(capacity.CPU)) +
 		part(float64(free.Memory), float64(capacity.Memory)) +
 		acceleratorWeight*part(float64(free.Accelerators), float64(capacity.Accelerators))
 }
 
-// part returns of / whole, or 0 for a resource that there is none of.
+// fraction returns of / whole, or 0 for a resource that there is none of.
 func part(of, whole float64) float64 {
 	if whole == 0 {
 		return 0
@@ -103,7 +108,8 @@
 	return of / whole
 }
 
-// mostOn returns how many tasks of the step fit into so much room of one worker.
+// mostOn returns how many tasks of the step fit into this much room of one
+// worker.
 func (s *stepState) mostOn(room job.Resources) int {
 	need, n := s.step.Reserved(), 0
 	for need.Fits(room) && n < s.step.Count && (s.step.MaxPerWorker == 0 || n < s.step.MaxPerWorker) {
@@ -121,10 +127,12 @@
 	return n <= 0
 }
 
-// overfull reports whether runs take more than a worker has: its room has shrunk since they were placed. Of one that
-// isn't listed no room is known.
+// overfull reports whether runs take more than a worker's capacity, because it
+// has shrunk since they were placed. The capacity of a worker that isn't listed
+// is unknown.
 func (w *worker) overfull() bool { return w.listed && !w.used.Fits(w.Capacity) }
 
-// free returns what neither runs nor claims take. It is negative if a run that was
-// discovered, or a smaller capacity in the list, leaves less than is taken.
+// free returns the capacity that neither runs nor reservations take. It is
+// negative if a newly discovered run, or a smaller capacity in the list, leaves
+// less than is taken.
 func (w *worker) free() job.Resources { return w.Capacity.Sub(w.used).Sub(w.reserved) }
--- a/core/dispatch/window.go
+++ b/core/dispatch/window.go
@@ -7,35 +7,40 @@
 )
 
 const (
-	// slowStart is how long the answer to an order to start takes at least when the owner's host
-	// or link can't keep up: workers answer within a few milliseconds.
+	// slowAnswer is how long the answer to an order to start takes at least
+	// when the owner's host or link is overloaded: workers answer within a few
+	// milliseconds.
 	slowStart = 250 * time.Millisecond
-	// leastStarts and mostStarts bound the window of starts under way. The least one still
-	// starts 100 tasks a second at slowStart; the most is what an able host sends in half a
-	// second.
+	// minWindow and maxWindow bound the size of the window. The minimum still
+	// starts 100 tasks a second with answers that take slowAnswer; the maximum
+	// is what a fast host sends in half a second.
 	leastStarts = 24
 	mostStarts  = 512
-	// firstStarts is the window of a new owner, which doesn't know its host's speed yet; it doubles
-	// with each round of quick answers, 10 ms on an able host.
+	// initialWindow is the window of a new owner, which doesn't know its host's
+	// speed yet. It doubles with each round of quick answers, which takes 10 ms
+	// on a fast host.
 	firstStarts = 64
-	// shrink times the window is what is left of it after a slow answer; each quick one lets it
-	// grow by one.
+	// windowDecrease is the factor by which a slow answer reduces the window;
+	// each quick answer increases it by one.
 	shrink = 0.8
-	// answersLately is how old a worker's last answer may be for orders to it without one to
-	// count as under way: the others wait for a worker that is cut off.
+	// answeredRecently is how old a worker's last answer may be for unanswered
+	// orders to it to count as under way: older ones wait for a worker that is
+	// partitioned.
 	answersLately = time.Second
-	// shrinkEvery is the least time between two such cuts: the answers that come within it were
-	// sent under the same window.
+	// decreaseInterval is the least time between two reductions: the answers
+	// that arrive within it belong to orders that were sent under the same
+	// window.
 	shrinkEvery = 100 * time.Millisecond
 )
 
-// window bounds how many starts are under way: decided, but without a verdict. What goes beyond it
-// waits as a task and not as an order, so that urgent work that comes later goes first, and no
-// order is old when it leaves. The zero value is not ready; call newWindow.
+// window bounds how many starts are under way, that is decided but without a
+// verdict. Beyond the bound, tasks wait without an order, so that urgent work
+// that arrives later goes first and no order is old when it is sent. The zero
+// value is not ready; call newWindow.
 type window struct {
-	// size is between leastStarts and mostStarts.
+	// size is between minWindow and maxWindow.
 	size float64
-	// cut is when the size was last lowered.
+	// reduced is when the size was last reduced.
 	cut unit.Instant
 	// under counts the starts under way in this pass.
 	under int
@@ -43,8 +48,9 @@
 
 func newWindow() window { return window{size: firstStarts} }
 
-// answered takes in that a worker has begun a task on an order of that age. Orders without an
-// answer say nothing: their worker may be cut off.
+// answered adapts the window when a worker has started a task on an order of
+// this age. Orders without an answer don't count, since their worker may be
+// partitioned.
 func (w *window) answered(now unit.Instant, age time.Duration) {
 	if age < slowStart {
 		w.size = min(mostStarts, w.size+1)
@@ -55,9 +61,10 @@
 	}
 }
 
-// room returns how many more starts may be decided. A gang begins whole whenever anything of the
-// window is free: one that had to wait for all of its room, or for a moment without any start under
-// way, never began beside 20 urgent tasks a second, nor did anything behind it.
+// available returns how many more starts may be decided. A gang may start as a
+// whole whenever any part of the window is free. If it had to wait until all
+// its members fit into the window, or until no start was under way, it would
+// never start beside 20 urgent tasks a second, nor would anything behind it.
 func (w *window) room(tasks int, gang bool) int {
 	free := int(w.size) - w.under
 	switch {
@@ -69,7 +76,8 @@
 	return min(tasks, free)
 }
 
-// startsLeft returns how many of so many waiting tasks may be started in this pass.
+// startsLeft returns how many of this many waiting tasks may be started in this
+// pass.
 func (d *Dispatcher) startsLeft(tasks int, gang bool) int {
 	if !d.policy.BoundStarts {
 		return tasks
@@ -77,8 +85,9 @@
 	return d.window.room(tasks, gang)
 }
 
-// pending reports whether a run counts as a start under way. One whose order got no answer counts
-// while its worker answers others: the order is repeated.
+// pending reports whether a run counts as a start under way. If its order got
+// no answer, it counts while its worker answers others, since the order is
+// repeated.
 func (r *run) pending(now unit.Instant) bool {
 	return r.state == runOrdered || r.state == runStarting && (r.inFlight || now.Sub(r.worker.answered) < answersLately)
 }
