--- a/core/dispatch/candidate.go
+++ b/core/dispatch/candidate.go
@@ -31,13 +31,13 @@
 	// when the step became due if the policy doesn't order by deadline.
 	// Long-running tasks are ordered by how long they have waited in either
 	// case.
-	turn unit.Instant
+	sortTime unit.Instant
 }
 
 // candidates returns the steps that have tasks to start, most urgent first.
 func (d *Dispatcher) candidates(now unit.Instant) []candidate {
 	var out []candidate
-	used := d.urgentUse()
+	used := d.urgentDemand()
 	for _, js := range d.open {
 		for _, s := range js.steps {
 			if c, ok := d.candidate(now, s); ok {
@@ -62,7 +62,7 @@
 		cmp.Compare(a.step.job.spec.Priority, b.step.job.spec.Priority),
 		-compareBools(a.covered, b.covered),
 		late,
-		cmp.Compare(a.turn, b.turn),
+		cmp.Compare(a.sortTime, b.sortTime),
 	)
 }
 
@@ -79,7 +79,7 @@
 
 // urgentDemand returns how many accelerators each customer's open jobs of
 // priority 0 ask for.
-func (d *Dispatcher) urgentUse() map[id.Customer]int {
+func (d *Dispatcher) urgentDemand() map[id.Customer]int {
 	out := map[id.Customer]int{}
 	for _, js := range d.open {
 		if js.spec.Priority != 0 {
@@ -128,9 +128,9 @@
 			c.deadline = s.waitingSince
 		}
 	}
-	c.turn = c.deadline
+	c.sortTime = c.deadline
 	if !d.policy.ByDeadline && !s.step.LongRunning {
-		c.turn = due
+		c.sortTime = due
 	}
 	return c, true
 }
--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -19,21 +19,21 @@
 	// power, for example, takes down all its workers; this is noticed when
 	// their next incarnations answer. Without this rule, jobs that could
 	// complete are given up for crashes that they didn't cause.
-	commonCause = time.Second
-	massLeast   = 3
-	massShare   = 1.0 / 30
+	commonCause         = time.Second
+	minUnexplained      = 3
+	minUnexplainedShare = 1.0 / 30
 	// minCrashes and minCrashShare are the same bounds for crashes with or
 	// without an explanation. Half of the workers start something within the 2
 	// s that a renewal may wait for news, so that in a large outage nearly
 	// every crash seems to come soon after a start. Tasks that crash their
 	// workers never reach these numbers.
-	allLeast = 5
-	allShare = 1.0 / 8
+	minCrashes    = 5
+	minCrashShare = 1.0 / 8
 	// maxExcused is how many crashes soon after its starts a task may be
 	// excused. Together with the three that end its job, they make up the
 	// number of starts that the platform allows. Without the bound, tasks that
 	// crash their workers at once excuse each other indefinitely.
-	mostExcused = 2
+	maxExcused = 2
 )
 
 // lifeEnd is a crash of a worker.
@@ -63,8 +63,8 @@
 		}
 	}
 	workers := float64(d.listed(service))
-	most := unexplained >= massLeast && float64(unexplained) >= massShare*workers
-	if !most && (all < allLeast || float64(all) < allShare*workers) {
+	manyUnexplained := unexplained >= minUnexplained && float64(unexplained) >= minUnexplainedShare*workers
+	if !manyUnexplained && (all < minCrashes || float64(all) < minCrashShare*workers) {
 		return
 	}
 	for _, e := range d.lifeEnds {
@@ -87,7 +87,7 @@
 		return
 	}
 	if r.workedFor() < settledAfter {
-		if r.step.excused[r.task.Index] >= mostExcused {
+		if r.step.excused[r.task.Index] >= maxExcused {
 			return
 		}
 		r.step.noteExcused(r.task.Index)
@@ -95,7 +95,7 @@
 	c.All--
 	c.AtOnce = max(0, c.AtOnce-1)
 	d.mark(r.step.job)
-	d.noteRun(EventCrashExcused, r, fmt.Sprintf("%d workers crashed together for no reason of their own", crashes), r.workedFor())
+	d.noteRun(EventCrashExcused, r, fmt.Sprintf("%d workers crashed together, which suggests a common cause", crashes), r.workedFor())
 }
 
 // noteExcused counts a crash soon after its start that a task was excused.
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -24,8 +24,8 @@
 func (d *Dispatcher) placeOn(c candidate, workers []*worker) {
 	s := c.step
 	number := s.nextRun(0)
-	for at, w := range workers {
-		i := c.waiting[at]
+	for k, w := range workers {
+		i := c.waiting[k]
 		if !s.step.Gang {
 			number = s.nextRun(i)
 		}
@@ -43,7 +43,7 @@
 	victims []*run
 	// cost is the work that is lost by stopping the victims, in core-seconds.
 	// Among assignments of equal cost, the one with the least leftover wins.
-	cost, left float64
+	cost, leftover float64
 }
 
 // better reports whether a is to be preferred to b.
@@ -57,12 +57,12 @@
 	if a.cost != b.cost {
 		return a.cost < b.cost
 	}
-	return a.left < b.left
+	return a.leftover < b.leftover
 }
 
 // roomFunc returns how much of a worker's capacity a step can have, and which
 // runs must be stopped for it at what cost.
-type room func(now unit.Instant, c candidate, w *worker, need job.Resources) (free job.Resources, victims []*run, cost float64)
+type roomFunc func(now unit.Instant, c candidate, w *worker, need job.Resources) (free job.Resources, victims []*run, cost float64)
 
 // plainRoom is the roomFunc of the capacity that is free now.
 func (d *Dispatcher) plainRoom(_ unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
@@ -72,31 +72,31 @@
 // chooseGang finds room for all waiting members. If the step asks for one rack
 // or for a place near its data, it looks there first and elsewhere only after
 // some waiting, or if no rack could ever hold the gang.
-func (d *Dispatcher) chooseGang(now unit.Instant, c candidate, fits []*worker, by room) assignment {
+func (d *Dispatcher) chooseGang(now unit.Instant, c candidate, fits []*worker, roomOf roomFunc) assignment {
 	s := c.step
 	var best assignment
 	if s.step.SameRack || s.step.DataRack != "" {
 		for _, group := range racks(fits) {
-			if !s.near(group[0]) {
+			if !s.nearData(group[0]) {
 				continue
 			}
-			if a := d.assign(now, c, group, by); a.better(best) {
+			if a := d.assign(now, c, group, roomOf); a.better(best) {
 				best = a
 			}
 		}
-		if best.workers != nil || c.reachable() && !d.mayGoFar(now, s, fits, len(c.waiting)) {
+		if best.workers != nil || c.fitsSomeRack() && !d.mayRelax(now, s, fits, len(c.waiting)) {
 			return best
 		}
 	}
-	return d.assign(now, c, fits, by)
+	return d.assign(now, c, fits, roomOf)
 }
 
 // fitsSomeRack reports whether some rack near the data could hold all members
 // if it were empty. Workers that are currently reserved for others, or wait for
 // a permit, count.
-func (c *candidate) reachable() bool {
+func (c *candidate) fitsSomeRack() bool {
 	for _, group := range racks(c.possible) {
-		if c.step.near(group[0]) && c.step.holds(group, len(c.waiting)) {
+		if c.step.nearData(group[0]) && c.step.fitsIfEmpty(group, len(c.waiting)) {
 			return true
 		}
 	}
@@ -122,51 +122,51 @@
 }
 
 // workerAssignment is the part of an assignment that goes to one worker so far.
-type tally struct {
-	worker  *worker
-	members int
-	victims []*run
-	cost    float64
-	left    float64
+type workerAssignment struct {
+	worker   *worker
+	members  int
+	victims  []*run
+	cost     float64
+	leftover float64
 	// penalty is added to leftover: for using an empty worker, for a worker
 	// whose last runs failed, and for interference between serving and
 	// best-effort runs.
-	extra float64
+	penalty float64
 }
 
 // extension is a worker's assignment with one more member; ok is false if there
 // is no room for it.
-type offer struct {
-	tally tally
-	ok    bool
+type extension struct {
+	assigned workerAssignment
+	ok       bool
 }
 
 // assign puts the members on workers one by one, each where it costs least. A
 // worker's extension changes only when it gets a member.
-func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, by room) assignment {
+func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, by roomFunc) assignment {
 	s := c.step
 	need := s.step.Reserved()
-	tallies := make([]tally, len(workers))
-	offers := make([]offer, len(workers))
+	perWorker := make([]workerAssignment, len(workers))
+	extensions := make([]extension, len(workers))
 	for i, w := range workers {
-		tallies[i].worker, tallies[i].extra = w, d.opening(w)+w.suspicion()+s.disturbance(w)
-		offers[i] = d.oneMore(now, c, tallies[i], need, by)
+		perWorker[i].worker, perWorker[i].penalty = w, d.emptyWorkerPenalty(w)+w.suspicion()+s.interferencePenalty(w)
+		extensions[i] = d.withOneMore(now, c, perWorker[i], need, by)
 	}
 	var out assignment
 	for range c.waiting {
-		best := cheapest(tallies, offers)
+		best := cheapestExtension(perWorker, extensions)
 		if best < 0 {
 			return assignment{}
 		}
-		tallies[best] = offers[best].tally
-		offers[best] = d.oneMore(now, c, tallies[best], need, by)
+		perWorker[best] = extensions[best].assigned
+		extensions[best] = d.withOneMore(now, c, perWorker[best], need, by)
 		out.workers = append(out.workers, workers[best])
 	}
-	for _, t := range tallies {
+	for _, t := range perWorker {
 		out.victims = append(out.victims, t.victims...)
 		out.cost += t.cost
 		if t.members > 0 {
-			out.left += t.left
+			out.leftover += t.leftover
 		}
 	}
 	return out
@@ -174,18 +174,18 @@
 
 // cheapestExtension returns the index of the extension that adds the least
 // cost, and among those the one with the least leftover; -1 if there is none.
-func cheapest(tallies []tally, offers []offer) int {
+func cheapestExtension(perWorker []workerAssignment, extensions []extension) int {
 	best := -1
-	for i := range offers {
-		if !offers[i].ok {
+	for i := range extensions {
+		if !extensions[i].ok {
 			continue
 		}
 		if best < 0 {
 			best = i
 			continue
 		}
-		adds, least := offers[i].tally.cost-tallies[i].cost, offers[best].tally.cost-tallies[best].cost
-		if adds < least || adds == least && offers[i].tally.left < offers[best].tally.left {
+		adds, least := extensions[i].assigned.cost-perWorker[i].cost, extensions[best].assigned.cost-perWorker[best].cost
+		if adds < least || adds == least && extensions[i].assigned.leftover < extensions[best].assigned.leftover {
 			best = i
 		}
 	}
@@ -194,9 +194,9 @@
 
 // withOneMore returns the worker's assignment with one more member, if there is
 // room.
-func (d *Dispatcher) oneMore(now unit.Instant, c candidate, t tally, need job.Resources, by room) offer {
+func (d *Dispatcher) withOneMore(now unit.Instant, c candidate, t workerAssignment, need job.Resources, by roomFunc) extension {
 	if c.step.full(t.worker, t.members) || t.worker.onTrial() && len(t.worker.runs)+t.members > 0 {
-		return offer{}
+		return extension{}
 	}
 	t.members++
 	all := job.Resources{
@@ -204,9 +204,9 @@
 	}
 	free, victims, cost := by(now, c, t.worker, all)
 	if !all.Fits(free) {
-		return offer{}
+		return extension{}
 	}
 	t.victims, t.cost = victims, cost
-	t.left = leftover(free.Sub(all), t.worker.Capacity) + t.extra
-	return offer{tally: t, ok: true}
+	t.leftover = leftover(free.Sub(all), t.worker.Capacity) + t.penalty
+	return extension{assigned: t, ok: true}
 }
--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -14,7 +14,7 @@
 const (
 	// forgetBatch bounds how many ended jobs are dropped in one batch; each
 	// takes three records.
-	forgetJobs = 20
+	forgetBatch = 20
 	// expireEvery is the interval between checks for ended jobs to drop. With
 	// forgetBatch, 40 jobs a second can be dropped.
 	expireEvery = 500 * time.Millisecond
@@ -27,7 +27,7 @@
 	}
 	js := newJobState(now, name, e)
 	d.jobs[name] = js
-	fits := js.fits()
+	fits := js.progressMatchesSpec()
 	if !fits {
 		js.dropTasks()
 	}
@@ -45,7 +45,7 @@
 		return
 	}
 	if js.spec.Priority == 0 && len(js.progress.Tasks) == 0 {
-		d.expect(now, js.spec)
+		d.noteArrival(now, js.spec)
 	}
 	if js.summary == summaryNone && js.progress.Began() {
 		d.mark(js)
@@ -75,7 +75,7 @@
 // progressMatchesSpec reports whether a job's progress has as many tasks as its
 // spec. They differ if another writer has replaced the spec and this host,
 // which began to read later, has read only the replacement.
-func (js *jobState) fits() bool {
+func (js *jobState) progressMatchesSpec() bool {
 	n := len(js.progress.Tasks)
 	return n == 0 || n == js.spec.RoundCount()*js.spec.Width()
 }
@@ -106,15 +106,15 @@
 
 // insertOpen adds a job to the open ones, which are sorted by id.
 func (d *Dispatcher) insertOpen(js *jobState) {
-	at, _ := slices.BinarySearchFunc(d.open, js, compareJobs)
-	d.open = slices.Insert(d.open, at, js)
+	pos, _ := slices.BinarySearchFunc(d.open, js, compareJobs)
+	d.open = slices.Insert(d.open, pos, js)
 }
 
 // removeOpen moves a job that has its outcome from the open jobs to the ended
 // ones.
 func (d *Dispatcher) removeOpen(js *jobState) {
-	if at, ok := slices.BinarySearchFunc(d.open, js, compareJobs); ok {
-		d.open = slices.Delete(d.open, at, at+1)
+	if pos, ok := slices.BinarySearchFunc(d.open, js, compareJobs); ok {
+		d.open = slices.Delete(d.open, pos, pos+1)
 	}
 	d.ended = append(d.ended, js)
 }
@@ -156,10 +156,11 @@
 // slowed down.
 func (d *Dispatcher) resumeRun(now unit.Instant, s *stepState, index int, t *job.TaskState) {
 	w := d.worker(now, t.Worker)
-	w.grantedUntil = max(w.grantedUntil, d.lapseOf(now.Add(assuredFor))) // the earlier owner may not know of this one yet
+	// The earlier owner may not know of this one yet.
+	w.grantedUntil = max(w.grantedUntil, d.lapseOf(now.Add(assuredFor)))
 	r := &run{task: s.task(index), number: t.Run, state: runStarting, worker: w, need: s.step.Reserved(), step: s, since: now, asked: now, resumed: true}
 	if r.fills() {
-		r.slowed = fullSpeed - paceLeast
+		r.slowed = fullSpeed - minSpeed
 	}
 	d.occupy(r)
 }
@@ -178,7 +179,7 @@
 	d.expired = now
 	kept := d.ended[:0]
 	for _, js := range d.ended {
-		if !js.forgettable() || len(d.forget) >= forgetJobs || now.Sub(js.progress.Ended) <= d.config.KeepEnded {
+		if !js.forgettable() || len(d.forget) >= forgetBatch || now.Sub(js.progress.Ended) <= d.config.KeepEnded {
 			kept = append(kept, js)
 			continue
 		}
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -18,40 +18,40 @@
 	// task's tail latency counts as too high. It leaves a margin for noise,
 	// since a figure covers only half a second; the platform counts a violation
 	// after some 4 s over the target.
-	paceHigh = 0.8
+	highLatencyRatio = 0.8
 	// lowLatencyRatio is the fraction below which best-effort runs may speed up
 	// again. Between the two ratios the speed stays as it is.
-	paceLow = 0.6
+	lowLatencyRatio = 0.6
 	// speedStep is by how many percent best-effort runs are sped up at a time.
 	// They are slowed down by half of their speed, so that a violation ends in
 	// two steps and returns only after many.
-	paceUp = 10
+	speedStep = 10
 	// minSpeed is the speed in percent below which best-effort runs are paused.
-	paceLeast = 10
+	minSpeed = 10
 	// paceInterval is the least time between two changes of speed: a latency
 	// figure covers half a second, and a change takes effect after a tenth.
-	paceEvery = 700 * time.Millisecond
+	paceInterval = 700 * time.Millisecond
 	// fullSpeed is the speed in percent of a run that is not slowed down.
 	fullSpeed = 100
 	// interferenceWeight is added for each run on a worker that a task would
 	// interfere with, or that would interfere with it. It outweighs all other
 	// penalties but that for failed runs.
-	sharingWeight = 8
+	interferenceWeight = 8
 )
 
 // fills reports whether a run is best-effort: it uses only capacity that others
 // leave idle.
 func (r *run) fills() bool { return r.step != nil && r.step.step.Fills }
 
-// isServing reports whether a run serves requests with a target latency.
-func (r *run) serves() bool { return r.step != nil && r.step.step.TargetLatency > 0 }
+// isServing reports whether a run isServing requests with a target latency.
+func (r *run) isServing() bool { return r.step != nil && r.step.step.TargetLatency > 0 }
 
 // hasMixedLoad reports whether best-effort and serving runs share the worker.
-func (w *worker) shared() bool {
+func (w *worker) hasMixedLoad() bool {
 	filling, serving := false, false
 	for _, r := range w.runs {
 		filling = filling || r.fills()
-		serving = serving || r.serves()
+		serving = serving || r.isServing()
 	}
 	return filling && serving
 }
@@ -59,25 +59,25 @@
 // interferencePenalty is added to the leftover of a placement on a worker for
 // each run there that a task of the step would interfere with, or that would
 // interfere with it.
-func (s *stepState) disturbance(w *worker) float64 {
+func (s *stepState) interferencePenalty(w *worker) float64 {
 	if !s.step.Fills && s.step.TargetLatency == 0 {
 		return 0
 	}
 	n := 0
 	for _, r := range w.runs {
-		if s.step.Fills && r.serves() || s.step.TargetLatency > 0 && r.fills() {
+		if s.step.Fills && r.isServing() || s.step.TargetLatency > 0 && r.fills() {
 			n++
 		}
 	}
-	return sharingWeight * float64(n)
+	return interferenceWeight * float64(n)
 }
 
 // worstLatencyRatio returns the worst tail latency of the worker's serving
 // tasks as a fraction of the target.
-func (w *worker) pressure() float64 {
+func (w *worker) worstLatencyRatio() float64 {
 	worst := 0.0
 	for _, r := range w.runs {
-		if r.serves() && r.state == runRunning {
+		if r.isServing() && r.state == runRunning {
 			tail := time.Duration(r.load) * time.Millisecond
 			worst = max(worst, float64(tail)/float64(r.step.step.TargetLatency))
 		}
@@ -88,17 +88,17 @@
 // pace slows down best-effort runs while a serving run on the same worker is
 // near its target latency, and speeds them up again afterwards.
 func (d *Dispatcher) pace(now unit.Instant, w *worker) {
-	if now.Sub(w.pacedAt) < paceEvery {
+	if now.Sub(w.pacedAt) < paceInterval {
 		return
 	}
-	pressure := w.pressure()
+	ratio := w.worstLatencyRatio()
 	for _, r := range w.sorted() {
 		if !r.fills() || r.state != runRunning {
 			continue
 		}
 		speed := fullSpeed
-		if w.shared() {
-			speed = nextSpeed(fullSpeed-r.slowed, pressure)
+		if w.hasMixedLoad() {
+			speed = nextSpeed(fullSpeed-r.slowed, ratio)
 		}
 		if speed == fullSpeed-r.slowed {
 			continue
@@ -108,21 +108,21 @@
 		d.orders.Paces = append(d.orders.Paces, Pace{Target: d.target(w), Task: r.task, Run: r.number, Percent: speed})
 		d.note(Note{
 			Event: EventTaskPaced, Job: r.task.Job, Task: r.task, Worker: w.ID, Run: r.number,
-			Why: fmt.Sprintf("to %d %%, a serving task is at %.0f %% of its target", speed, pressure*fullSpeed),
+			Why: fmt.Sprintf("to %d %% of full speed; a serving task is at %.0f %% of its target latency", speed, ratio*fullSpeed),
 		})
 	}
 }
 
 // nextSpeed returns the speed, in percent, that follows on the present one at a
 // latency ratio.
-func nextSpeed(speed int, pressure float64) int {
+func nextSpeed(speed int, ratio float64) int {
 	switch {
-	case pressure > paceHigh && speed/2 < paceLeast:
+	case ratio > highLatencyRatio && speed/2 < minSpeed:
 		return 0
-	case pressure > paceHigh:
+	case ratio > highLatencyRatio:
 		return speed / 2
-	case pressure < paceLow:
-		return min(fullSpeed, speed+paceUp)
+	case ratio < lowLatencyRatio:
+		return min(fullSpeed, speed+speedStep)
 	}
 	return speed
 }
@@ -136,6 +136,6 @@
 	}
 	// The worker may run it at the old speed or at the new one. A speed between
 	// the two ends of the range leads to another order in either case.
-	r.slowed = min(max(r.slowed, paceUp), fullSpeed-paceLeast)
+	r.slowed = min(max(r.slowed, speedStep), fullSpeed-minSpeed)
 	r.worker.pacedAt = 0
 }
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -19,8 +19,8 @@
 	// start, of which there must have been at least minStartOrders, from a
 	// worker that answers renewals meanwhile. Without this limit, tasks stay
 	// forever with a worker that ignores orders to start.
-	startPatience = 4 * time.Second
-	startTries    = 5
+	startPatience  = 4 * time.Second
+	minStartOrders = 5
 	// renewWait is how long a renewal may wait at the worker for news; the
 	// platform allows 2 s.
 	renewWait = 2 * time.Second
@@ -36,20 +36,20 @@
 	leaseShare = 0.95
 	// minRenewWait is how long a renewal may wait in deployments with the
 	// shortest leases.
-	leastWait = 100 * time.Millisecond
+	minRenewWait = 100 * time.Millisecond
 	// mixedRenewWait is renewWait for a worker that has both best-effort and
 	// serving runs: the worker's latency figures cover the last half second.
-	sharedWait = 500 * time.Millisecond
+	mixedRenewWait = 500 * time.Millisecond
 	// unresponsiveAfter is how long after its last answer a worker gets no new
 	// tasks. It is the time of one renewal that waited in full and one that was
 	// lost.
-	silentAfter = 3500 * time.Millisecond
+	unresponsiveAfter = 3500 * time.Millisecond
 	// stopOverhead is the time that an order to stop needs to reach the worker
 	// and its result to be recorded.
-	moveSlack = 500 * time.Millisecond
+	stopOverhead = 500 * time.Millisecond
 	// minTrustedPercent is the least progress, in percent, from which a run's
 	// remaining time is estimated; below it, the customer's estimate is used.
-	trustPercent = 10
+	minTrustedPercent = 10
 )
 
 // Pass does all work that is due: it gives up runs whose leases have expired,
@@ -65,9 +65,9 @@
 	d.noteNews(now)
 	d.forgetGone(now)
 	for _, w := range d.order {
-		d.giveUp(now, w)
+		d.loseLapsed(now, w)
 		d.resend(now, w)
-		d.moveOff(now, w)
+		d.evictDraining(now, w)
 	}
 	d.giveUpSpent(now)
 	d.expire(now)
@@ -88,7 +88,7 @@
 // has passed: while this host was frozen it sent no renewals, and the worker's
 // answer says how the runs have ended. A worker whose address is unknown can't
 // be asked.
-func (d *Dispatcher) giveUp(now unit.Instant, w *worker) {
+func (d *Dispatcher) loseLapsed(now unit.Instant, w *worker) {
 	if w.leased() && now > w.lapse() && (w.askedInVain || w.Address == "") {
 		d.loseAll(now, w, leaseLapsed)
 		// The worker now seems to be empty. Without a new answer it would be
@@ -115,7 +115,7 @@
 	if w.Address == "" {
 		return
 	}
-	if !w.unsettled() {
+	if !w.hasUnconfirmed() {
 		return
 	}
 	for _, r := range w.sorted() {
@@ -129,7 +129,7 @@
 			d.stopRun(now, r, whyEvacuated)
 		case r.state == runStarting && r.started == 0 && w.synced != 0 && w.overfull():
 			d.stopRun(now, r, noRoomLeft)
-		case r.state == runStarting && r.ignored(now):
+		case r.state == runStarting && r.startIgnored(now):
 			d.stopRun(now, r, "its worker answers renewals, but not its orders to start")
 			d.countIgnored(now, r)
 		case r.state == runStarting && r.inherited == "" && now.Sub(r.asked) >= resendAfter && w.synced != 0 && w.heard(now) && d.mayStart(now) && !r.shut():
@@ -143,13 +143,13 @@
 // startIgnored reports whether a run's orders to start have been unanswered for
 // too long, although its worker answered a renewal that was sent after the
 // first of them.
-func (r *run) ignored(now unit.Instant) bool {
-	return r.unanswered && r.started == 0 && r.orders >= startTries && now.Sub(r.since) >= startPatience && r.worker.synced > r.since
+func (r *run) startIgnored(now unit.Instant) bool {
+	return r.unanswered && r.started == 0 && r.orders >= minStartOrders && now.Sub(r.since) >= startPatience && r.worker.synced > r.since
 }
 
 // hasUnconfirmed reports whether some order for a run on the worker may have to
 // be repeated.
-func (w *worker) unsettled() bool {
+func (w *worker) hasUnconfirmed() bool {
 	for _, r := range w.runs {
 		if !r.inFlight && (r.state == runStarting || r.state == runStopping) {
 			return true
@@ -161,7 +161,7 @@
 // evictDraining stops tasks on a draining worker that can't complete there in
 // time. Tasks with checkpoints run on for as long as there is time to stop
 // them.
-func (d *Dispatcher) moveOff(now unit.Instant, w *worker) {
+func (d *Dispatcher) evictDraining(now unit.Instant, w *worker) {
 	if !w.Draining || len(w.runs) == 0 {
 		return
 	}
@@ -170,7 +170,7 @@
 		if r.step == nil || r.state != runRunning && r.state != runStarting {
 			continue
 		}
-		margin := d.config.StopTime + moveSlack
+		margin := d.config.StopTime + stopOverhead
 		needed := d.remaining(now, r)
 		if needed+margin <= left {
 			continue
@@ -190,7 +190,7 @@
 	if r.started == 0 {
 		ran = 0
 	}
-	if r.percent >= trustPercent && r.reported > r.started {
+	if r.percent >= minTrustedPercent && r.reported > r.started {
 		whole := scale(r.reported.Sub(r.started), 100/float64(r.percent))
 		return max(0, whole-ran)
 	}
@@ -199,7 +199,7 @@
 
 // renew renews a worker's lease if that is due.
 func (d *Dispatcher) renew(now unit.Instant, w *worker) {
-	if w.holding || !w.asks() || w.Address == "" || now < w.nextHold {
+	if w.holding || !w.needsRenewal() || w.Address == "" || now < w.nextHold {
 		return
 	}
 	if w.firstAsked == 0 {
@@ -209,12 +209,12 @@
 	if len(w.runs) > 0 && w.heard(now) && d.grants(now) {
 		o.Until, w.renewalLapse = d.lease(now, w), d.lapseOf(now)
 	}
-	if w.synced != 0 && w.seen == w.durable && len(w.runs) > 0 && w.heard(now) && !w.lastUnanswered && !w.hurry() && !w.forgets() {
+	if w.synced != 0 && w.seen == w.durable && len(w.runs) > 0 && w.heard(now) && !w.lastUnanswered && !w.needsPromptAnswer() && !w.hasForgettableEnds() {
 		o.Wait = renewalWait(d.config.MaxLease)
 		// The next renewal may grant a lease, and must leave before a lease of
 		// 6 s has expired.
-		if w.shared() || o.Until == 0 {
-			o.Wait = min(o.Wait, sharedWait)
+		if w.hasMixedLoad() || o.Until == 0 {
+			o.Wait = min(o.Wait, mixedRenewWait)
 		}
 		if d.policy.MoveStalled && w.urgent() {
 			o.Wait = min(o.Wait, urgentWait)
@@ -240,12 +240,12 @@
 // recently. Only then do orders extend its lease: a worker that never answers
 // would otherwise keep its lease indefinitely.
 func (w *worker) heard(now unit.Instant) bool {
-	return now.Sub(max(w.answered, w.firstAsked)) < silentAfter
+	return now.Sub(max(w.answered, w.firstAsked)) < unresponsiveAfter
 }
 
 // needsRenewal reports whether the worker must be asked what runs there, or
 // told which ends it may forget.
-func (w *worker) asks() bool {
+func (w *worker) needsRenewal() bool {
 	if w.replaced {
 		return false
 	}
@@ -257,18 +257,18 @@
 // second doesn't wait, before the lease expires.
 func renewalWait(lease time.Duration) time.Duration {
 	spare := scale(lease, leaseShare) - 2*renewLimit
-	return max(leastWait, min(renewWait, spare/2))
+	return max(minRenewWait, min(renewWait, spare/2))
 }
 
 // hasForgettableEnds reports whether the worker must be told which ends it may
 // forget, by this renewal or the next one. Such a renewal doesn't wait for
 // news: until it is answered, the worker's next incarnation may receive it
 // instead, and then gets no tasks for as long as orders may arrive late.
-func (w *worker) forgets() bool { return fleet.TellsStart(w.ID) && w.durable > w.told }
+func (w *worker) hasForgettableEnds() bool { return fleet.TellsStart(w.ID) && w.durable > w.told }
 
 // needsPromptAnswer reports whether a renewal to the worker must be answered
 // without waiting for news.
-func (w *worker) hurry() bool {
+func (w *worker) needsPromptAnswer() bool {
 	if w.synced < w.pausedAt || !w.confirmed() {
 		return true
 	}
@@ -276,8 +276,8 @@
 		if r.inherited != "" {
 			return true
 		}
-		settles := r.started != 0 || r.stopDone != 0
-		if settles && r.missed != 0 || r.state == runStopping && r.stopDone != 0 && w.synced < r.stopDone {
+		absenceCounts := r.started != 0 || r.stopDone != 0
+		if absenceCounts && r.missed != 0 || r.state == runStopping && r.stopDone != 0 && w.synced < r.stopDone {
 			return true
 		}
 	}
@@ -295,6 +295,6 @@
 }
 
 // nearData reports whether a worker is where the step's data is.
-func (s *stepState) near(w *worker) bool {
+func (s *stepState) nearData(w *worker) bool {
 	return s.step.DataRack == "" || slices.Contains(w.Labels, s.step.DataRack)
 }
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -12,19 +12,19 @@
 	// urgentRelaxWait is how long urgent work waits for room near its data or
 	// in one rack before it takes room elsewhere. Urgent work must have begun
 	// after about 3 s.
-	nearWait = 1200 * time.Millisecond
+	urgentRelaxWait = 1200 * time.Millisecond
 	// relaxWait is the same for other work while there is ample room. The
 	// platform counts a job as lost that waits 3 s then.
-	roomyWait = 2 * time.Second
+	relaxWait = 2 * time.Second
 	// maxRelaxUsage is the fraction of a service's capacity in use below which
 	// work that isn't urgent may be placed where it is slow. The platform asks
 	// for work to start when less than half is in use.
-	farUsage = 0.5
+	maxRelaxUsage = 0.5
 )
 
 // placeAll places the tasks that may start, most urgent first.
 func (d *Dispatcher) placeAll(now unit.Instant) {
-	d.gather(now)
+	d.makePools(now)
 	if len(d.pools) == 0 {
 		return
 	}
@@ -33,14 +33,14 @@
 	d.lastingWaits = d.giveWay(now, candidates)
 	d.claims = d.waitingClaims()
 	for _, c := range candidates {
-		some := d.startsLeft(len(c.waiting), c.step.step.Gang)
-		if some == 0 {
+		allowed := d.startsLeft(len(c.waiting), c.step.step.Gang)
+		if allowed == 0 {
 			d.note(Note{Event: EventStartsBounded, Job: c.step.job.id, Why: fmt.Sprintf("%d starts under way", d.window.under)})
 			return
 		}
-		c.waiting = c.waiting[:some]
+		c.waiting = c.waiting[:allowed]
 		if !d.placeCandidate(now, c) {
-			d.waits(now, c.step)
+			d.noteWaiting(now, c.step)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 // host was the owner. The platform counts any 3 s of waiting while there is
 // room; if each owner counted only from its own first attempt, the wait could
 // be nearly 2 s under one and 2 s under the next.
-func (d *Dispatcher) waits(now unit.Instant, s *stepState) {
+func (d *Dispatcher) noteWaiting(now unit.Instant, s *stepState) {
 	if s.waitingSince != 0 {
 		return
 	}
@@ -67,22 +67,22 @@
 // whether all were placed, or room is reserved for them.
 func (d *Dispatcher) placeCandidate(now unit.Instant, c candidate) bool {
 	p := d.pools[c.step.job.spec.Service]
-	if p == nil || d.hopeless(now, &c, p) {
+	if p == nil || d.unplaceable(now, &c, p) {
 		return false
 	}
-	c.possible = c.step.notRefused(p.with(c.step.step.Label))
+	c.possible = c.step.withoutRefused(p.withLabel(c.step.step.Label))
 	fits := c.elsewhere(now, c.step.permitted(now, c.possible))
 	if d.gangApart(now, &c) {
 		return d.placeSuspectGang(now, c, fits)
 	}
 	if !c.step.step.Gang && !d.placeSuspects(now, &c, fits) {
-		d.waits(now, c.step)
+		d.noteWaiting(now, c.step)
 	}
 	if len(c.waiting) == 0 {
 		return true
 	}
 	if d.heldBack(now, c, p, fits) {
-		if !d.idle(now, c, p, fits) {
+		if !d.mustStartOne(now, c, p, fits) {
 			return false
 		}
 		c.waiting = c.waiting[:1]
@@ -112,14 +112,14 @@
 // whole or not at all. It reports whether all were placed.
 func (d *Dispatcher) tryPlace(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
 	if c.step.step.Gang {
-		if !d.mayOpen(now, c, p, fits) {
-			fits = inUse(fits)
+		if !d.mayUseEmpty(now, c, p, fits) {
+			fits = withoutEmpty(fits)
 		}
 		return d.placeGang(now, c, fits)
 	}
-	for at := range c.waiting {
+	for k := range c.waiting {
 		rest := c
-		rest.waiting = c.waiting[at:]
+		rest.waiting = c.waiting[k:]
 		if !d.placeFirst(now, rest, p, fits) {
 			return false
 		}
@@ -132,7 +132,7 @@
 // run on. If none has room, it preempts other work for all waiting tasks.
 func (d *Dispatcher) placeFirst(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
 	s, index := c.step, c.waiting[0]
-	w := d.choose(now, s, fits, d.mayOpen(now, c, p, fits))
+	w := d.choose(now, s, fits, d.mayUseEmpty(now, c, p, fits))
 	if w == nil {
 		d.preempt(now, c, fits)
 		return false
@@ -143,7 +143,7 @@
 
 // withoutRefused leaves out the workers on which the advice service has refused
 // the step.
-func (s *stepState) notRefused(workers []*worker) []*worker {
+func (s *stepState) withoutRefused(workers []*worker) []*worker {
 	if len(s.permits) == 0 {
 		return workers
 	}
@@ -175,29 +175,29 @@
 // choose returns the best worker for one task: near its data if there is room
 // or the task hasn't waited long, and among those the one with the least
 // leftover. Empty workers are left out unless mayUseEmpty is set.
-func (d *Dispatcher) choose(now unit.Instant, s *stepState, fits []*worker, mayOpen bool) *worker {
-	var best, far *worker
-	bestLeft, farLeft := 0.0, 0.0
+func (d *Dispatcher) choose(now unit.Instant, s *stepState, fits []*worker, mayUseEmpty bool) *worker {
+	var best, remote *worker
+	bestLeft, remoteLeft := 0.0, 0.0
 	need := s.step.Reserved()
 	for _, w := range fits {
 		free := w.free()
-		if !need.Fits(free) || !mayOpen && w.empty() || s.full(w, 0) || w.onTrial() && len(w.runs) > 0 {
+		if !need.Fits(free) || !mayUseEmpty && w.empty() || s.full(w, 0) || w.onTrial() && len(w.runs) > 0 {
 			continue
 		}
-		left := leftover(free.Sub(need), w.Capacity) + d.opening(w) + w.suspicion() + s.disturbance(w)
-		if s.near(w) {
+		left := leftover(free.Sub(need), w.Capacity) + d.emptyWorkerPenalty(w) + w.suspicion() + s.interferencePenalty(w)
+		if s.nearData(w) {
 			if best == nil || left < bestLeft {
 				best, bestLeft = w, left
 			}
-		} else if far == nil || left < farLeft {
-			far, farLeft = w, left
+		} else if remote == nil || left < remoteLeft {
+			remote, remoteLeft = w, left
 		}
 	}
-	if best == nil && far != nil && !d.mayGoFar(now, s, fits, 1) {
+	if best == nil && remote != nil && !d.mayRelax(now, s, fits, 1) {
 		return nil
 	}
 	if best == nil {
-		return far
+		return remote
 	}
 	return best
 }
@@ -212,12 +212,12 @@
 // for longer, so this is allowed for urgent work, and for other work while
 // there is ample room. Long-running tasks must run again as soon as there is
 // room for two, however much is in use.
-func (d *Dispatcher) mayGoFar(now unit.Instant, s *stepState, fits []*worker, n int) bool {
+func (d *Dispatcher) mayRelax(now unit.Instant, s *stepState, fits []*worker, n int) bool {
 	if s.job.spec.Priority == 0 {
-		return s.waitedFor(now, nearWait)
+		return s.waitedFor(now, urgentRelaxWait)
 	}
 	if s.step.LongRunning {
-		return s.waitedFor(now, roomyWait) && s.roomFor(fits, 2)
+		return s.waitedFor(now, relaxWait) && s.roomFor(fits, 2)
 	}
-	return s.waitedFor(now, roomyWait) && d.pools[s.job.spec.Service].usage < farUsage && s.roomFor(fits, 2*n)
+	return s.waitedFor(now, relaxWait) && d.pools[s.job.spec.Service].usage < maxRelaxUsage && s.roomFor(fits, 2*n)
 }
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -16,9 +16,9 @@
 	// those with a label, and is filled on demand.
 	workers  []*worker
 	labelled map[string][]*worker
-	// maxFree is, for each resource, the most that any worker has free when the
+	// maxFree is, for each resource, the maxFree that any worker has free when the
 	// pass begins.
-	most job.Resources
+	maxFree job.Resources
 	// spare is how many more empty workers less urgent work may take in this
 	// pass.
 	spare int
@@ -38,7 +38,7 @@
 }
 
 // makePools makes the pools of a pass.
-func (d *Dispatcher) gather(now unit.Instant) {
+func (d *Dispatcher) makePools(now unit.Instant) {
 	d.pools = map[id.Service]*pool{}
 	for _, r := range d.racks {
 		*r = rackUse{}
@@ -58,7 +58,7 @@
 	}
 	for s, p := range d.pools {
 		if d.policy.KeepEmpty {
-			p.spare -= d.keptEmpty(now, s, p)
+			p.spare -= d.reservedEmpty(now, s, p)
 		}
 		p.usage = d.usage(s)
 	}
@@ -69,9 +69,9 @@
 	w.pool = p
 	p.workers = append(p.workers, w)
 	free := w.free()
-	p.most.CPU = max(p.most.CPU, free.CPU)
-	p.most.Memory = max(p.most.Memory, free.Memory)
-	p.most.Accelerators = max(p.most.Accelerators, free.Accelerators)
+	p.maxFree.CPU = max(p.maxFree.CPU, free.CPU)
+	p.maxFree.Memory = max(p.maxFree.Memory, free.Memory)
+	p.maxFree.Accelerators = max(p.maxFree.Accelerators, free.Accelerators)
 	if w.empty() {
 		p.spare++
 	}
@@ -96,21 +96,21 @@
 // urgent work. Whole workers are reserved because urgent gangs ask for many
 // accelerators of one rack. Work of any priority may fill workers that are
 // already in use.
-func (d *Dispatcher) keptEmpty(now unit.Instant, service id.Service, p *pool) int {
-	most := 0
+func (d *Dispatcher) reservedEmpty(now unit.Instant, service id.Service, p *pool) int {
+	perWorker := 0
 	for _, w := range p.workers {
-		most = max(most, w.Capacity.Accelerators)
+		perWorker = max(perWorker, w.Capacity.Accelerators)
 	}
 	a := d.arrivals[service]
-	if a == nil || most == 0 {
+	if a == nil || perWorker == 0 {
 		return 0
 	}
-	kept := a.now(now) * reserveTime.Seconds() / float64(most)
-	return int(min(math.Ceil(kept), reserveMost*float64(len(p.workers))))
+	reserved := a.rateAt(now) * reserveHorizon.Seconds() / float64(perWorker)
+	return int(min(math.Ceil(reserved), maxReserveShare*float64(len(p.workers))))
 }
 
 // withLabel returns the workers that have a label, or all for an empty label.
-func (p *pool) with(label string) []*worker {
+func (p *pool) withLabel(label string) []*worker {
 	if label == "" {
 		return p.workers
 	}
@@ -132,27 +132,27 @@
 
 // recount makes a change after which a worker may be empty or no longer empty,
 // and updates the counts of the pass.
-func (w *worker) recount(do func()) {
+func (w *worker) recount(change func()) {
 	before := w.empty()
-	do()
+	change()
 	after := w.empty()
 	if w.pool == nil || before == after {
 		return
 	}
-	step := -1
+	delta := -1
 	if after {
-		step = 1
+		delta = 1
 	}
-	w.pool.spare += step
-	w.rackUse.empty += step
+	w.pool.spare += delta
+	w.rackUse.empty += delta
 }
 
-// hopeless reports whether no worker has room for even one task of a candidate,
+// unplaceable reports whether no worker has room for even one task of a candidate,
 // and neither preemption nor a reservation is allowed for it.
-func (d *Dispatcher) hopeless(now unit.Instant, c *candidate, p *pool) bool {
+func (d *Dispatcher) unplaceable(now unit.Instant, c *candidate, p *pool) bool {
 	s := c.step
-	if s.claim != nil || s.job.spec.Priority == 0 || s.job.spec.Advice.Needed || s.step.Reserved().Fits(p.most) {
+	if s.claim != nil || s.job.spec.Priority == 0 || s.job.spec.Advice.Needed || s.step.Reserved().Fits(p.maxFree) {
 		return false
 	}
-	return c.late || d.claims >= mostWaitingClaims || !c.pressing(now)
+	return c.late || d.claims >= maxWaitingClaims || !c.pressing(now)
 }
--- a/core/dispatch/preempt.go
+++ b/core/dispatch/preempt.go
@@ -20,14 +20,14 @@
 	// that no run is stopped for; the time doubles in between. maxWaitingClaims
 	// bounds how many gangs have such a reservation at a time, because reserved
 	// room lies idle.
-	shortestWait      = time.Second
-	longestWait       = 8 * time.Second
-	mostWaitingClaims = 2
+	minHorizon       = time.Second
+	maxHorizon       = 8 * time.Second
+	maxWaitingClaims = 2
 	// fewerDivisor sets by which part of the waiting tasks their number is
 	// lowered until there can be room for the rest. fewerInterval is the least
 	// time between two such searches, which take longer than a pass.
-	fewerPart  = 4
-	fewerPause = 200 * time.Millisecond
+	fewerDivisor  = 4
+	fewerInterval = 200 * time.Millisecond
 )
 
 // preempt stops work of lower priority for urgent work that finds no room, and
@@ -40,14 +40,14 @@
 		return
 	}
 	if !urgent {
-		d.wait(now, c, fits)
+		d.claimForGang(now, c, fits)
 		return
 	}
 	if !d.policy.Preempt {
 		return
 	}
 	chosen, ok := d.choosePreempted(now, c, fits)
-	if !ok && !s.step.Gang && now.Sub(s.triedFewer) >= fewerPause {
+	if !ok && !s.step.Gang && now.Sub(s.triedFewer) >= fewerInterval {
 		s.triedFewer = now
 		chosen, ok = d.chooseFewer(now, c, fits)
 	}
@@ -64,7 +64,7 @@
 // choosePreempted finds room for all waiting tasks of a step by stopping
 // others, or reports false.
 func (d *Dispatcher) choosePreempted(now unit.Instant, c candidate, fits []*worker) (assignment, bool) {
-	chosen := d.chooseGang(now, c, fits, d.preemptible)
+	chosen := d.chooseGang(now, c, fits, d.preemptibleRoom)
 	return chosen, chosen.workers != nil && mayStopAll(chosen.victims...)
 }
 
@@ -72,7 +72,7 @@
 // for.
 func (d *Dispatcher) chooseFewer(now unit.Instant, c candidate, fits []*worker) (assignment, bool) {
 	for n := len(c.waiting); n > 1; {
-		n -= max(1, n/fewerPart)
+		n -= max(1, n/fewerDivisor)
 		c.waiting = c.waiting[:n]
 		if chosen, ok := d.choosePreempted(now, c, fits); ok {
 			return chosen, true
@@ -83,15 +83,15 @@
 
 // claimForGang reserves room for a gang where enough of it will be free
 // soonest, so that smaller work doesn't take it bit by bit.
-func (d *Dispatcher) wait(now unit.Instant, c candidate, fits []*worker) {
+func (d *Dispatcher) claimForGang(now unit.Instant, c candidate, fits []*worker) {
 	if !d.policy.KeepGangRoom || d.lastingWaits[c.step.job.spec.Service] {
 		return
 	}
-	for horizon := shortestWait; d.claims < mostWaitingClaims && horizon <= longestWait; horizon *= 2 {
+	for horizon := minHorizon; d.claims < maxWaitingClaims && horizon <= maxHorizon; horizon *= 2 {
 		chosen := d.chooseGang(now, c, fits, d.roomWithin(horizon))
 		if chosen.workers != nil {
 			d.claims++
-			d.keep(now, c, chosen.workers, horizon+claimTime, "waits for work that ends soon")
+			d.keep(now, c, chosen.workers, horizon+claimTime, "other work there is expected to end soon")
 			return
 		}
 	}
@@ -99,7 +99,7 @@
 
 // roomWithin returns the roomFunc of the capacity that is free or expected to
 // be free within a time.
-func (d *Dispatcher) roomWithin(horizon time.Duration) room {
+func (d *Dispatcher) roomWithin(horizon time.Duration) roomFunc {
 	return func(now unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 		free := w.free()
 		for _, r := range w.runs {
@@ -114,7 +114,7 @@
 // preemptibleRoom is the roomFunc of the capacity that is free or can be freed
 // for urgent work. Runs that are already being stopped count as free, since
 // their room needs no further stop.
-func (d *Dispatcher) preemptible(now unit.Instant, c candidate, w *worker, need job.Resources) (job.Resources, []*run, float64) {
+func (d *Dispatcher) preemptibleRoom(now unit.Instant, c candidate, w *worker, need job.Resources) (job.Resources, []*run, float64) {
 	free := w.free()
 	var others []*run
 	for _, r := range w.runs {
@@ -136,7 +136,7 @@
 		costs[r] = d.lossOf(now, r)
 	}
 	slices.SortStableFunc(others, func(a, b *run) int { return cmp.Compare(costs[a], costs[b]) })
-	victims, cost := pick(others, costs, free, need)
+	victims, cost := pickVictims(others, costs, free, need)
 	for _, v := range victims {
 		free = free.Add(v.taken())
 	}
@@ -146,7 +146,7 @@
 // pickVictims returns runs whose room is sufficient together with what is free.
 // Runs that turn out to be unnecessary are dropped again, the most expensive
 // first.
-func pick(others []*run, costs map[*run]float64, free, need job.Resources) ([]*run, float64) {
+func pickVictims(others []*run, costs map[*run]float64, free, need job.Resources) ([]*run, float64) {
 	var victims []*run
 	for _, r := range others {
 		if need.Fits(free) {
--- a/core/dispatch/rack.go
+++ b/core/dispatch/rack.go
@@ -8,7 +8,7 @@
 // emptyWorkerPenalty returns the penalty, in addition to the leftover, for
 // placing something on a worker: none if the worker is in use, and the more the
 // emptier its rack is.
-func (d *Dispatcher) opening(w *worker) float64 {
+func (d *Dispatcher) emptyWorkerPenalty(w *worker) float64 {
 	if !d.policy.UsedRacksFirst || w.rackUse == nil || !w.empty() {
 		return 0
 	}
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -11,15 +11,15 @@
 const (
 	// reserveHorizon is how much expected urgent work is provided for, as the
 	// time in which it arrives: room for it can be freed in about half of that.
-	reserveTime = 3000 * time.Millisecond
+	reserveHorizon = 3000 * time.Millisecond
 	// rateTimeConstant is the time constant of the arrival rate's exponential
 	// average.
-	reserveMemory = 6 * time.Second
+	rateTimeConstant = 6 * time.Second
 	// maxReserveShare bounds the reserve as a fraction of a service's workers.
-	reserveMost = 0.2
+	maxReserveShare = 0.2
 	// estimateFactor times the estimated work is the time before its deadline
 	// from which a job may use the reserve: estimates are often too short.
-	pressingFactor = 1.5
+	estimateFactor = 1.5
 )
 
 // arrivals is the rate at which urgent jobs of a service ask for accelerators.
@@ -30,22 +30,22 @@
 }
 
 // add adds the accelerators of a job that has arrived.
-func (a *arrivals) note(now unit.Instant, accelerators int) {
-	a.rate = a.now(now) + float64(accelerators)/reserveMemory.Seconds()
+func (a *arrivals) add(now unit.Instant, accelerators int) {
+	a.rate = a.rateAt(now) + float64(accelerators)/rateTimeConstant.Seconds()
 	a.at = now
 }
 
 // rateAt returns the rate, which decays exponentially while nothing arrives.
-func (a *arrivals) now(now unit.Instant) float64 {
+func (a *arrivals) rateAt(now unit.Instant) float64 {
 	if a.at == 0 {
 		return 0
 	}
-	return a.rate * math.Exp(-now.Sub(a.at).Seconds()/reserveMemory.Seconds())
+	return a.rate * math.Exp(-now.Sub(a.at).Seconds()/rateTimeConstant.Seconds())
 }
 
 // noteArrival counts an urgent job in the arrival rate, from which the reserve
 // for later ones is sized.
-func (d *Dispatcher) expect(now unit.Instant, s *job.Spec) {
+func (d *Dispatcher) noteArrival(now unit.Instant, s *job.Spec) {
 	a := d.arrivals[s.Service]
 	if a == nil {
 		a = &arrivals{}
@@ -55,7 +55,7 @@
 	for i := range s.Steps {
 		n += s.Steps[i].Count * s.Steps[i].Need.Accelerators
 	}
-	a.note(now, n)
+	a.add(now, n)
 }
 
 // empty reports whether a worker has no runs and no reservations.
@@ -63,8 +63,8 @@
 
 // mayUseEmpty reports whether a candidate may take empty workers: less urgent
 // work may not take those that are reserved.
-func (d *Dispatcher) mayOpen(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
-	return c.step.job.spec.Priority == 0 || p.spare > 0 || c.pressing(now) || d.mayGoFar(now, c.step, fits, len(c.waiting))
+func (d *Dispatcher) mayUseEmpty(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
+	return c.step.job.spec.Priority == 0 || p.spare > 0 || c.pressing(now) || d.mayRelax(now, c.step, fits, len(c.waiting))
 }
 
 // heldBack reports whether a candidate has to wait because fewer workers are
@@ -78,20 +78,20 @@
 	if !d.policy.HoldBack || p.spare >= 0 || step.Gang || step.LongRunning {
 		return false
 	}
-	return !d.mayOpen(now, c, p, fits)
+	return !d.mayUseEmpty(now, c, p, fits)
 }
 
 // mustStartOne reports whether a job that is held back has to start one task
 // nevertheless: nothing of it has run for a while, although less than half of
 // the service's capacity is in use and there is room for two. The platform
 // counts a job as lost that waits 3 s then.
-func (d *Dispatcher) idle(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
+func (d *Dispatcher) mustStartOne(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
 	s := c.step
-	return !s.job.busy() && s.waitedFor(now, roomyWait) && p.usage < farUsage && s.roomFor(fits, 2)
+	return !s.job.busy() && s.waitedFor(now, relaxWait) && p.usage < maxRelaxUsage && s.roomFor(fits, 2)
 }
 
 // withoutEmpty leaves out the empty workers.
-func inUse(workers []*worker) []*worker {
+func withoutEmpty(workers []*worker) []*worker {
 	out := workers[:0:0]
 	for _, w := range workers {
 		if !w.empty() {
@@ -103,5 +103,5 @@
 
 // pressing reports whether a job has to start now to be completed in time.
 func (c *candidate) pressing(now unit.Instant) bool {
-	return now.Add(scale(c.step.job.spec.LongestChain(), pressingFactor)) > c.deadline
+	return now.Add(scale(c.step.job.spec.LongestChain(), estimateFactor)) > c.deadline
 }
--- a/core/dispatch/room.go
+++ b/core/dispatch/room.go
@@ -61,8 +61,8 @@
 			used, all = used.Add(w.used), all.Add(w.Capacity)
 		}
 	}
-	return min(part(float64(used.CPU), float64(all.CPU)), part(float64(used.Memory), float64(all.Memory)),
-		part(float64(used.Accelerators), float64(all.Accelerators)))
+	return min(fraction(float64(used.CPU), float64(all.CPU)), fraction(float64(used.Memory), float64(all.Memory)),
+		fraction(float64(used.Accelerators), float64(all.Accelerators)))
 }
 
 // roomFor reports whether n tasks of a step fit into the free capacity.
@@ -95,17 +95,17 @@
 // fractions of each resource. Choosing the least leftover keeps whole workers
 // free for large tasks.
 func leftover(free, capacity job.Resources) float64 {
-	return part(float64(free.CPU), float64(capacity.CPU)) +
-		part(float64(free.Memory), float64(capacity.Memory)) +
-		acceleratorWeight*part(float64(free.Accelerators), float64(capacity.Accelerators))
+	return fraction(float64(free.CPU), float64(capacity.CPU)) +
+		fraction(float64(free.Memory), float64(capacity.Memory)) +
+		acceleratorWeight*fraction(float64(free.Accelerators), float64(capacity.Accelerators))
 }
 
-// fraction returns of / whole, or 0 for a resource that there is none of.
-func part(of, whole float64) float64 {
+// fraction returns amount / whole, or 0 for a resource that there is none of.
+func fraction(amount, whole float64) float64 {
 	if whole == 0 {
 		return 0
 	}
-	return of / whole
+	return amount / whole
 }
 
 // mostOn returns how many tasks of the step fit into this much room of one
@@ -119,8 +119,8 @@
 	return n
 }
 
-// holds reports whether the workers, if they were empty, could hold n tasks.
-func (s *stepState) holds(workers []*worker, n int) bool {
+// fitsIfEmpty reports whether the workers, if they were empty, could hold n tasks.
+func (s *stepState) fitsIfEmpty(workers []*worker, n int) bool {
 	for _, w := range workers {
 		n -= s.mostOn(w.Capacity)
 	}
--- a/core/dispatch/window.go
+++ b/core/dispatch/window.go
@@ -10,27 +10,27 @@
 	// slowAnswer is how long the answer to an order to start takes at least
 	// when the owner's host or link is overloaded: workers answer within a few
 	// milliseconds.
-	slowStart = 250 * time.Millisecond
+	slowAnswer = 250 * time.Millisecond
 	// minWindow and maxWindow bound the size of the window. The minimum still
 	// starts 100 tasks a second with answers that take slowAnswer; the maximum
 	// is what a fast host sends in half a second.
-	leastStarts = 24
-	mostStarts  = 512
+	minWindow = 24
+	maxWindow = 512
 	// initialWindow is the window of a new owner, which doesn't know its host's
 	// speed yet. It doubles with each round of quick answers, which takes 10 ms
 	// on a fast host.
-	firstStarts = 64
+	initialWindow = 64
 	// windowDecrease is the factor by which a slow answer reduces the window;
 	// each quick answer increases it by one.
-	shrink = 0.8
+	windowDecrease = 0.8
 	// answeredRecently is how old a worker's last answer may be for unanswered
 	// orders to it to count as under way: older ones wait for a worker that is
 	// partitioned.
-	answersLately = time.Second
+	answeredRecently = time.Second
 	// decreaseInterval is the least time between two reductions: the answers
 	// that arrive within it belong to orders that were sent under the same
 	// window.
-	shrinkEvery = 100 * time.Millisecond
+	decreaseInterval = 100 * time.Millisecond
 )
 
 // window bounds how many starts are under way, that is decided but without a
@@ -41,23 +41,23 @@
 	// size is between minWindow and maxWindow.
 	size float64
 	// reduced is when the size was last reduced.
-	cut unit.Instant
+	reduced unit.Instant
 	// under counts the starts under way in this pass.
 	under int
 }
 
-func newWindow() window { return window{size: firstStarts} }
+func newWindow() window { return window{size: initialWindow} }
 
 // answered adapts the window when a worker has started a task on an order of
 // this age. Orders without an answer don't count, since their worker may be
 // partitioned.
 func (w *window) answered(now unit.Instant, age time.Duration) {
-	if age < slowStart {
-		w.size = min(mostStarts, w.size+1)
+	if age < slowAnswer {
+		w.size = min(maxWindow, w.size+1)
 		return
 	}
-	if now.Sub(w.cut) >= shrinkEvery {
-		w.cut, w.size = now, max(leastStarts, w.size*shrink)
+	if now.Sub(w.reduced) >= decreaseInterval {
+		w.reduced, w.size = now, max(minWindow, w.size*windowDecrease)
 	}
 }
 
@@ -65,7 +65,7 @@
 // whole whenever any part of the window is free. If it had to wait until all
 // its members fit into the window, or until no start was under way, it would
 // never start beside 20 urgent tasks a second, nor would anything behind it.
-func (w *window) room(tasks int, gang bool) int {
+func (w *window) available(tasks int, gang bool) int {
 	free := int(w.size) - w.under
 	switch {
 	case free <= 0:
@@ -82,14 +82,14 @@
 	if !d.policy.BoundStarts {
 		return tasks
 	}
-	return d.window.room(tasks, gang)
+	return d.window.available(tasks, gang)
 }
 
 // pending reports whether a run counts as a start under way. If its order got
 // no answer, it counts while its worker answers others, since the order is
 // repeated.
 func (r *run) pending(now unit.Instant) bool {
-	return r.state == runOrdered || r.state == runStarting && (r.inFlight || now.Sub(r.worker.answered) < answersLately)
+	return r.state == runOrdered || r.state == runStarting && (r.inFlight || now.Sub(r.worker.answered) < answeredRecently)
 }
 
 // countPending counts the starts under way.
