--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -121,8 +121,8 @@
 	return out
 }
 
-// workerAssignment is the part of an assignment that goes to one worker so far.
-type workerAssignment struct {
+// workerShare is the part of an assignment that goes to one worker so far.
+type workerShare struct {
 	worker   *worker
 	members  int
 	victims  []*run
@@ -137,8 +137,8 @@
 // extension is a worker's assignment with one more member; ok is false if there
 // is no room for it.
 type extension struct {
-	assigned workerAssignment
-	ok       bool
+	workerShare workerShare
+	ok          bool
 }
 
 // assign puts the members on workers one by one, each where it costs least. A
@@ -146,23 +146,23 @@
 func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, by roomFunc) assignment {
 	s := c.step
 	need := s.step.Reserved()
-	perWorker := make([]workerAssignment, len(workers))
+	shares := make([]workerShare, len(workers))
 	extensions := make([]extension, len(workers))
 	for i, w := range workers {
-		perWorker[i].worker, perWorker[i].penalty = w, d.emptyWorkerPenalty(w)+w.suspicion()+s.interferencePenalty(w)
-		extensions[i] = d.withOneMore(now, c, perWorker[i], need, by)
+		shares[i].worker, shares[i].penalty = w, d.emptyWorkerPenalty(w)+w.suspicion()+s.interferencePenalty(w)
+		extensions[i] = d.withOneMore(now, c, shares[i], need, by)
 	}
 	var out assignment
 	for range c.waiting {
-		best := cheapestExtension(perWorker, extensions)
+		best := cheapestExtension(shares, extensions)
 		if best < 0 {
 			return assignment{}
 		}
-		perWorker[best] = extensions[best].assigned
-		extensions[best] = d.withOneMore(now, c, perWorker[best], need, by)
+		shares[best] = extensions[best].workerShare
+		extensions[best] = d.withOneMore(now, c, shares[best], need, by)
 		out.workers = append(out.workers, workers[best])
 	}
-	for _, t := range perWorker {
+	for _, t := range shares {
 		out.victims = append(out.victims, t.victims...)
 		out.cost += t.cost
 		if t.members > 0 {
@@ -174,7 +174,7 @@
 
 // cheapestExtension returns the index of the extension that adds the least
 // cost, and among those the one with the least leftover; -1 if there is none.
-func cheapestExtension(perWorker []workerAssignment, extensions []extension) int {
+func cheapestExtension(shares []workerShare, extensions []extension) int {
 	best := -1
 	for i := range extensions {
 		if !extensions[i].ok {
@@ -184,8 +184,8 @@
 			best = i
 			continue
 		}
-		adds, least := extensions[i].assigned.cost-perWorker[i].cost, extensions[best].assigned.cost-perWorker[best].cost
-		if adds < least || adds == least && extensions[i].assigned.leftover < extensions[best].assigned.leftover {
+		adds, least := extensions[i].workerShare.cost-shares[i].cost, extensions[best].workerShare.cost-shares[best].cost
+		if adds < least || adds == least && extensions[i].workerShare.leftover < extensions[best].workerShare.leftover {
 			best = i
 		}
 	}
@@ -194,7 +194,7 @@
 
 // withOneMore returns the worker's assignment with one more member, if there is
 // room.
-func (d *Dispatcher) withOneMore(now unit.Instant, c candidate, t workerAssignment, need job.Resources, by roomFunc) extension {
+func (d *Dispatcher) withOneMore(now unit.Instant, c candidate, t workerShare, need job.Resources, by roomFunc) extension {
 	if c.step.full(t.worker, t.members) || t.worker.onTrial() && len(t.worker.runs)+t.members > 0 {
 		return extension{}
 	}
@@ -208,5 +208,5 @@
 	}
 	t.victims, t.cost = victims, cost
 	t.leftover = leftover(free.Sub(all), t.worker.Capacity) + t.penalty
-	return extension{assigned: t, ok: true}
+	return extension{workerShare: t, ok: true}
 }
