--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -134,8 +134,8 @@
 	penalty float64
 }
 
-// extension is a worker's assignment with one more member; ok is false if there
-// is no room for it.
+// extension is a worker's share with one more member; ok is false if there is no
+// room for it.
 type extension struct {
 	workerShare workerShare
 	ok          bool
@@ -143,14 +143,14 @@
 
 // assign puts the members on workers one by one, each where it costs least. A
 // worker's extension changes only when it gets a member.
-func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, by roomFunc) assignment {
+func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, roomOf roomFunc) assignment {
 	s := c.step
 	need := s.step.Reserved()
 	shares := make([]workerShare, len(workers))
 	extensions := make([]extension, len(workers))
 	for i, w := range workers {
 		shares[i].worker, shares[i].penalty = w, d.emptyWorkerPenalty(w)+w.suspicion()+s.interferencePenalty(w)
-		extensions[i] = d.withOneMore(now, c, shares[i], need, by)
+		extensions[i] = d.withOneMore(now, c, shares[i], need, roomOf)
 	}
 	var out assignment
 	for range c.waiting {
@@ -159,14 +159,14 @@
 			return assignment{}
 		}
 		shares[best] = extensions[best].workerShare
-		extensions[best] = d.withOneMore(now, c, shares[best], need, by)
+		extensions[best] = d.withOneMore(now, c, shares[best], need, roomOf)
 		out.workers = append(out.workers, workers[best])
 	}
-	for _, t := range shares {
-		out.victims = append(out.victims, t.victims...)
-		out.cost += t.cost
-		if t.members > 0 {
-			out.leftover += t.leftover
+	for _, share := range shares {
+		out.victims = append(out.victims, share.victims...)
+		out.cost += share.cost
+		if share.members > 0 {
+			out.leftover += share.leftover
 		}
 	}
 	return out
@@ -192,21 +192,20 @@
 	return best
 }
 
-// withOneMore returns the worker's assignment with one more member, if there is
-// room.
-func (d *Dispatcher) withOneMore(now unit.Instant, c candidate, t workerShare, need job.Resources, by roomFunc) extension {
-	if c.step.full(t.worker, t.members) || t.worker.onTrial() && len(t.worker.runs)+t.members > 0 {
+// withOneMore returns a worker's share with one more member, if there is room.
+func (d *Dispatcher) withOneMore(now unit.Instant, c candidate, share workerShare, need job.Resources, roomOf roomFunc) extension {
+	if c.step.full(share.worker, share.members) || share.worker.onTrial() && len(share.worker.runs)+share.members > 0 {
 		return extension{}
 	}
-	t.members++
+	share.members++
 	all := job.Resources{
-		CPU: need.CPU * job.MilliCPU(t.members), Memory: need.Memory * unit.Bytes(t.members), Accelerators: need.Accelerators * t.members,
+		CPU: need.CPU * job.MilliCPU(share.members), Memory: need.Memory * unit.Bytes(share.members), Accelerators: need.Accelerators * share.members,
 	}
-	free, victims, cost := by(now, c, t.worker, all)
+	free, victims, cost := roomOf(now, c, share.worker, all)
 	if !all.Fits(free) {
 		return extension{}
 	}
-	t.victims, t.cost = victims, cost
-	t.leftover = leftover(free.Sub(all), t.worker.Capacity) + t.penalty
-	return extension{workerShare: t, ok: true}
+	share.victims, share.cost = victims, cost
+	share.leftover = leftover(free.Sub(all), share.worker.Capacity) + share.penalty
+	return extension{workerShare: share, ok: true}
 }
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -211,8 +211,8 @@
 	}
 	if w.synced != 0 && w.seen == w.durable && len(w.runs) > 0 && w.heard(now) && !w.lastUnanswered && !w.needsPromptAnswer() && !w.hasForgettableEnds() {
 		o.Wait = renewalWait(d.config.MaxLease)
-		// The next renewal may grant a lease, and must leave before a lease of
-		// 6 s has expired.
+		// After a renewal that grants no lease, the next one may grant one, and
+		// must be sent before a lease of 6 s has expired.
 		if w.hasMixedLoad() || o.Until == 0 {
 			o.Wait = min(o.Wait, mixedRenewWait)
 		}
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -16,8 +16,8 @@
 	// those with a label, and is filled on demand.
 	workers  []*worker
 	labelled map[string][]*worker
-	// maxFree is, for each resource, the maxFree that any worker has free when the
-	// pass begins.
+	// maxFree is, for each resource, the most that any worker has free when
+	// the pass begins.
 	maxFree job.Resources
 	// spare is how many more empty workers less urgent work may take in this
 	// pass.
@@ -147,8 +147,8 @@
 	w.rackUse.empty += delta
 }
 
-// unplaceable reports whether no worker has room for even one task of a candidate,
-// and neither preemption nor a reservation is allowed for it.
+// unplaceable reports whether no worker has room for even one task of a
+// candidate, and neither preemption nor a reservation is allowed for it.
 func (d *Dispatcher) unplaceable(now unit.Instant, c *candidate, p *pool) bool {
 	s := c.step
 	if s.claim != nil || s.job.spec.Priority == 0 || s.job.spec.Advice.Needed || s.step.Reserved().Fits(p.maxFree) {
