--- a/core/dispatch/assure_test.go
+++ b/core/dispatch/assure_test.go
@@ -5,10 +5,13 @@
 	"time"
 )
 
-// TestPlacesNothingWithoutGrants takes the assurance away that nobody else is the owner, while the store takes records.
+// TestPlacesNothingWithoutGrants guards against placements while no lease may
+// be granted, because it is not assured that no other host is the owner,
+// although the store accepts records.
 //
-// Each pass placed the task, each batch took it back because no lease may be granted: a record and a number of a run for
-// every turn, a hundred a second, until an assurance came.
+// Each pass placed the task, and each batch withdrew it for the lack of a
+// lease. That cost a record and a run number each time, a hundred times a
+// second, until the next assurance.
 func TestPlacesNothingWithoutGrants(t *testing.T) {
 	s := newScript(t)
 	s.d.Assure(s.now)
@@ -20,10 +23,12 @@
 	s.run("pass 10ms\n> renew w1 told 0\nwrite\n> start j1.0.0.0 run 1 on w1")
 }
 
-// TestTakesNothingDownWithoutGrants asks an owner for maintenance that may have been replaced without knowing.
+// TestTakesNothingDownWithoutGrants guards against maintenance orders by an
+// owner that may have been replaced without knowing.
 //
-// It went on to order machines down that were empty as far as it knew, though the next owner may have begun tasks there,
-// and may have as many machines down as the wave allows.
+// Such an owner ordered machines to be taken down that were empty as far as it
+// knew, although the next owner may have started tasks there, and may have
+// taken down as many machines as the wave allows.
 func TestTakesNothingDownWithoutGrants(t *testing.T) {
 	s := newScript(t)
 	s.d.Assure(s.now)
@@ -32,11 +37,15 @@
 	s.run("pass 10ms\n> upkeep m1 of wave 1")
 }
 
-// TestGrantsSoonAfterAssurance takes the assurance away for 2 s, on a deployment with leases of 6 s, from a worker that answers
-// every renewal.
+// TestGrantsSoonAfterAssurance guards against leases that expire because of 5 s
+// without assurance that no other host is the owner, during the last 2 s of
+// which no lease is granted. Leases last 6 s, and the worker answers every
+// renewal.
 //
-// A renewal that left meanwhile granted nothing, and waited 2 s at the worker for news like any other. The next one that grants left
-// only after it, 6.03 s after the last that had granted: everything on the worker had lapsed.
+// A renewal that was sent during these 2 s granted nothing, and waited 2 s at
+// the worker for news like any other. The next one that granted a lease was
+// sent only after it, 6.03 s after the last one that had granted, when every
+// lease on the worker had expired.
 func TestGrantsSoonAfterAssurance(t *testing.T) {
 	s := newScript(t)
 	s.run("lease 6s")
@@ -48,7 +57,9 @@
 	for s.now.Sub(assured) < 9*time.Second {
 		s.now = s.now.Add(10 * time.Millisecond)
 		away := s.now.Sub(assured)
-		if away <= time.Second || away >= 6050*time.Millisecond { // the last read before the trouble, and the first after it
+		// The last assurance is 1 s after the start, the next one when the
+		// outage is over.
+		if away <= time.Second || away >= 6050*time.Millisecond {
 			s.d.Assure(s.now)
 		}
 		s.d.Pass(s.now, s.now)
@@ -57,7 +68,7 @@
 			answerAt = s.now.Add(max(10*time.Millisecond, s.waits["w1"]))
 			if s.renews["w1"].Until > 0 {
 				if gap := s.now.Sub(granted); gap > 5*time.Second {
-					t.Errorf("%s pass between two renewals that grant, of which the second leaves %s after the assurance is lost", gap, away-time.Second)
+					t.Errorf("%s between two renewals that grant a lease, the second sent %s after the last assurance", gap, away-time.Second)
 				}
 				granted = s.now
 			}
@@ -68,10 +79,13 @@
 	}
 }
 
-// TestPatienceCountsOrders takes the assurance away right after an order to start got no answer, and gives it back after 4 s.
+// TestPatienceCountsOrders guards against giving up a run because its worker
+// ignores orders to start when only one order was sent. No owner is assured
+// from right after that order, which got no answer, until 4 s later.
 //
-// The order wasn't repeated meanwhile, as it would have granted a lease. Then the run was stopped because its worker answers renewals,
-// but not its orders, of which there had been one, and the worker was counted as one that fails.
+// The order wasn't repeated meanwhile, because it would have granted a lease.
+// Then the run was stopped because its worker answered renewals but not orders
+// to start, and the failure was counted against the worker.
 func TestPatienceCountsOrders(t *testing.T) {
 	s := newScript(t)
 	s.d.Assure(s.now)
--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -23,8 +23,8 @@
 	minUnexplained      = 3
 	minUnexplainedShare = 1.0 / 30
 	// minCrashes and minCrashShare are the same bounds for crashes with or
-	// without an explanation. Half of the workers start something within the 2
-	// s that a renewal may wait for news, so that in a large outage nearly
+	// without an explanation. Half of the workers start something within the
+	// 2 s that a renewal may wait for news, so that in a large outage nearly
 	// every crash seems to come soon after a start. Tasks that crash their
 	// workers never reach these numbers.
 	minCrashes    = 5
--- a/core/dispatch/overload_test.go
+++ b/core/dispatch/overload_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestSlowHost plays an owner whose host sends an order in 20 ms, a tenth of the speed that its load
-// asks for. Every accepted task must end once, no task may be started twice as often as needed, and
-// urgent work that arrives into the backlog must not wait behind it.
+// TestSlowHost guards against overload of an owner whose host takes 20 ms to
+// send an order, a tenth of the speed that its load needs. Every accepted task
+// must end once, the starts must be at most twice the tasks, and urgent work
+// that arrives during the backlog must not wait for it.
 func TestSlowHost(t *testing.T) {
 	w := newWorld(t, 48, 20*time.Millisecond)
 	w.Run(2 * time.Second)
@@ -19,7 +20,7 @@
 	w.submit(0, 4, 1, time.Second)
 	w.Run(4 * time.Second)
 	if done := w.DoneOf(jobName(w.jobs)); done < 4 {
-		t.Errorf("%d of 4 urgent tasks have ended 4 s after they came; %d others began meanwhile", done, w.Tally().Starts-before)
+		t.Errorf("%d of 4 urgent tasks have ended 4 s after they arrived; %d other tasks were started meanwhile", done, w.Tally().Starts-before)
 	}
 	w.Run(30 * time.Second)
 	if w.Tally().Done != w.accepted {
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -43,7 +43,7 @@
 // leave idle.
 func (r *run) fills() bool { return r.step != nil && r.step.step.Fills }
 
-// isServing reports whether a run isServing requests with a target latency.
+// isServing reports whether a run serves requests with a target latency.
 func (r *run) isServing() bool { return r.step != nil && r.step.step.TargetLatency > 0 }
 
 // hasMixedLoad reports whether best-effort and serving runs share the worker.
--- a/core/dispatch/rooms_test.go
+++ b/core/dispatch/rooms_test.go
@@ -6,10 +6,13 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// TestRooms plays the scripts of testdata/rooms, in which a worker's room shrinks and grows while it runs.
+// TestRooms runs the scripts of testdata/rooms, in which a worker's capacity
+// shrinks and grows while tasks run on it.
 //
-// An order to start that had been decided by a worker's former room left all the same when its record was in the store, and was
-// repeated when it got no answer: a worker that doesn't guard its room began a task past it.
+// It guards against orders to start that were decided by a worker's former
+// capacity. They were still sent when their record was in the store, and
+// repeated when they got no answer, and a worker that doesn't check its
+// capacity started a task beyond it.
 func TestRooms(t *testing.T) {
 	scripttest.EachIn(t, "rooms", func(t *testing.T, text string) { newScript(t).run(text) })
 }
--- a/core/dispatch/script_test.go
+++ b/core/dispatch/script_test.go
@@ -16,47 +16,67 @@
 	"curlewsill.org/curlewsill/core/upkeep"
 )
 
-// TestScripts drives a dispatcher by the scripts in testdata. A line is a command; the
-// lines that begin with > after it are the orders that it must lead to, in order.
+// TestScripts drives a dispatcher by the scripts in testdata. A line is a
+// command. The lines after it that begin with > are the orders that the command
+// must lead to, in order.
 //
-//	worker NAME[@START] rack=R [domain=D] [gpus=8] [service=S] [draining=DURATION] [machine=M]   an entry of the list
-//	unlist NAME
-//	job NAME [priority=N] [count=N] [gpus=N] [gang] [samerack] [saves] [lasts] [attempts=N]
-//	    [label=L] [data=RACK] [apart=N] [maymiss=N] [estimate=D] [twosteps] [ahead=D, of the clock that accepted it]
-//	    [rounds=N first=D interval=D] [advice] [target=D, of a serving task] [fills]
-//	clock DURATION           how far the time of day is ahead of the steady clock from now on
+//	worker NAME[@START] rack=R [domain=D] [gpus=8] [service=S]
+//	    [draining=DURATION] [machine=M]
+//	                         adds an entry to the list of workers
+//	unlist NAME              removes one from it
+//	job NAME [priority=N] [count=N] [gpus=N] [gang] [samerack] [saves] [lasts]
+//	    [attempts=N] [label=L] [data=RACK] [apart=N] [maymiss=N] [estimate=D]
+//	    [twosteps] [ahead=D, of the clock that accepted it]
+//	    [rounds=N first=D interval=D] [advice] [target=D, of a serving task]
+//	    [fills]
+//	                         submits a job
+//	clock DURATION           sets how far the time of day is ahead of the steady
+//	                         clock
 //	cancel NAME
-//	pass [DURATION]          time passes, then what is due is done
-//	write                    what was flushed gets into the store
-//	start NAME VERDICT       the last order to start that task is answered
-//	stop NAME VERDICT
-//	pace NAME VERDICT        the last order on that task's speed is answered
-//	renew WORKER VERDICT [by WORKER, the life that answered] [in-part] [run TASK RUN PERCENT[:LOAD]]... [end N TASK RUN HOW]...
-//	mostwaits N               from now on so many renewals may wait for news at a time, under another owner
-//	waits WORKER D           the last renewal there may wait so long
-//	advised VERDICT [valid=D] [WORKER=TICKET]...    the oldest open question to the advice service
-//	advisers N               so many hosts can ask the advice service
-//	wave N WITHIN MOST MACHINE...     the operator asks for maintenance
-//	evacuate [DOMAIN]...     the operator evacuates these failure domains, and opens all others
-//	bound D                  another owner starts, on a deployment that lets tasks start so long after an evacuation at most
-//	informed D               what the operator has evacuated is known as of so long ago
-//	upkeep MACHINE VERDICT   the last order to take that machine down is answered
-//	lease D                  another owner starts, on a deployment with leases of at most D
-//	replaced NAME [as job]   somebody else writes this over the job's spec; owners that have read it before go on with the first one
-//	takeover                 another owner starts from the store's records
-//	state NAME OUTCOME       checks a job's outcome: open completed failed cancelled
-//	crashes NAME N...        checks the counts of crashes in the store's record of a job, those of all kinds, in the order of their tasks
+//	pass [DURATION]          advances the time, then does what is due
+//	write                    completes the write of flushed records to the store
+//	start NAME VERDICT       answers the last order to start that task
+//	stop NAME VERDICT        answers the last order to stop it
+//	pace NAME VERDICT        answers the last order that sets its speed
+//	renew WORKER VERDICT [by WORKER, the incarnation that answered] [in-part]
+//	    [run TASK RUN PERCENT[:LOAD]]... [end N TASK RUN HOW]...
+//	                         answers the last renewal
+//	mostwaits N              starts another owner, whose renewals may wait for
+//	                         news at N workers at a time
+//	waits WORKER D           checks how long the last renewal may wait there
+//	advised VERDICT [valid=D] [WORKER=TICKET]...
+//	                         answers the oldest open question to the advice
+//	                         service
+//	advisers N               sets how many hosts can ask the advice service
+//	wave N WITHIN MOST MACHINE...
+//	                         requests maintenance as the operator
+//	evacuate [DOMAIN]...     evacuates these failure domains as the operator, and
+//	                         opens all others
+//	bound D                  starts another owner, in a deployment that lets tasks
+//	                         start at most D after an evacuation
+//	informed D               sets how old the owner's knowledge of evacuations is
+//	upkeep MACHINE VERDICT   answers the last order to take that machine down
+//	lease D                  starts another owner, in a deployment with leases of
+//	                         at most D
+//	replaced NAME [as job]   overwrites the job's spec as another writer does;
+//	                         owners that have read it before keep the first one
+//	takeover                 starts another owner from the store's records
+//	state NAME OUTCOME       checks a job's outcome: open completed failed
+//	                         cancelled
+//	crashes NAME N...        checks the counts of all crashes in the store's
+//	                         record of a job, in the order of its tasks
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
 		newScript(t).run(text)
 	})
 }
 
-// script is a dispatcher under test, with the store and the platform's list beside it.
+// script is a dispatcher under test, with a model of the store and of the
+// platform's list of workers.
 type script struct {
 	t *testing.T
 	d *dispatch.Dispatcher
-	// table is what is in the store.
+	// table is the content of the store.
 	table *jobtable.Table
 	epoch id.Epoch
 	// policy is that of the next owner.
@@ -64,29 +84,36 @@
 	now    unit.Instant
 	// ahead is how far the time of day is ahead of now.
 	ahead time.Duration
-	// workers is the platform's list, waves what the operator asked for.
+	// workers is the platform's list, waves the maintenance that the operator
+	// has requested.
 	workers map[string]fleet.Listing
 	waves   []upkeep.Wave
-	// evacuated is what the operator has evacuated, informed as of when the owner knows it; 0 if nobody tells.
+	// evacuated holds the failure domains that the operator has evacuated.
+	// informed is as of when the owner knows them; 0 if it has not been
+	// informed.
 	evacuated []id.Domain
 	informed  unit.Instant
 
-	// The last orders, by task, worker or machine.
+	// The newest orders, by task, worker or machine.
 	starts  map[string]dispatch.Start
 	stops   map[string]dispatch.Stop
 	paces   map[string]dispatch.Pace
 	renews  map[string]dispatch.Renew
 	upkeeps map[string]dispatch.Upkeep
-	// sent is when the last renewal of a worker left, waits how long it may wait there.
+	// sent is when the last renewal of a worker was sent, waits how long it may
+	// wait there.
 	sent  map[string]unit.Instant
 	waits map[string]time.Duration
-	// asks are the open questions to the advice service, asked when the newest one left.
+	// asks are the open questions to the advice service, asked is when the
+	// newest one was sent.
 	asks  []dispatch.Ask
 	asked unit.Instant
 
-	// lease is the longest lease if it isn't that of config, evacuation how long after an evacuation a task may still start.
+	// lease is the longest lease if it differs from that of config, evacuation
+	// how long after an evacuation a task may still start.
 	lease, evacuation time.Duration
-	// mostWaits is how many renewals may wait for news at a time; 0 for any number.
+	// mostWaits is how many renewals may wait for news at a time; 0 for any
+	// number.
 	mostWaits int
 	// lines are the orders since the last command.
 	lines []string
@@ -143,7 +170,8 @@
 	return out
 }
 
-// run plays a script: after each command the orders must be those that follow it.
+// run executes a script. The orders after each command must be those that the
+// script lists after it.
 func (s *script) run(text string) {
 	var want []string
 	line, command := 0, ""
--- a/core/dispatch/switches_test.go
+++ b/core/dispatch/switches_test.go
@@ -9,10 +9,11 @@
 	"curlewsill.org/curlewsill/core/policy"
 )
 
-// TestSwitches plays testdata/switches/NAME.txt for each switch of the policy, with the switch on
-// and off, all others on. Lines are those of TestScripts; one that begins with "on:" or "off:" is
-// read only then. Each script must have such lines, so that
-// it shows what the switch does.
+// TestSwitches runs testdata/switches/NAME.txt for each switch of the policy,
+// with the switch on and off and all others on. The lines are those of
+// TestScripts; a line that begins with "on:" or "off:" counts only in that
+// case. Each script must have such lines, so that it shows the effect of the
+// switch.
 func TestSwitches(t *testing.T) {
 	for _, name := range policy.Names() {
 		data, err := os.ReadFile(filepath.Join("testdata", "switches", name+".txt"))
@@ -25,7 +26,7 @@
 				s := newScript(t)
 				s.policy, _ = policy.New().With(name, on)
 				s.takeOver()
-				s.run(only(t, string(data), on))
+				s.run(linesWhen(t, string(data), on))
 			})
 		}
 	}
@@ -38,9 +39,9 @@
 	return "off"
 }
 
-// only returns the lines of a script that count with the switch on or off. The others become empty,
-// so that the numbers of lines stay.
-func only(t *testing.T, text string, on bool) string {
+// linesWhen returns the lines of a script that count with the switch on or off. The
+// others become empty, so that line numbers stay the same.
+func linesWhen(t *testing.T, text string, on bool) string {
 	lines := strings.Split(text, "\n")
 	mine, others := 0, 0
 	for i, l := range lines {
@@ -53,7 +54,7 @@
 		}
 	}
 	if mine+others == 0 {
-		t.Error("the script tells of no difference")
+		t.Error("the script has no line that depends on the switch")
 	}
 	return strings.Join(lines, "\n")
 }
--- a/core/dispatch/words_test.go
+++ b/core/dispatch/words_test.go
@@ -11,7 +11,7 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// verdict returns the verdict of that name.
+// verdict returns the verdict with a name.
 func verdict(t *testing.T, name string) fleet.Verdict {
 	for v := fleet.Unknown; v <= fleet.Unreachable; v++ {
 		if v.String() == name {
@@ -22,11 +22,11 @@
 	return 0
 }
 
-// task reads a task's name, JOB.ROUND.STEP.INDEX.
+// task parses a task's name, JOB.ROUND.STEP.INDEX.
 func task(t *testing.T, name string) job.Task {
 	p := strings.Split(name, ".")
 	if len(p) != 4 {
-		t.Fatalf("task %q", name)
+		t.Fatalf("invalid task name %q", name)
 	}
 	return job.Task{Job: id.Job(p[0]), Round: number(t, p[1]), Step: number(t, p[2]), Index: number(t, p[3])}
 }
@@ -47,10 +47,11 @@
 	return d
 }
 
-// opts are the words of a line, as NAME or NAME=VALUE.
+// opts are the options of a script line, which have the form NAME or
+// NAME=VALUE.
 type opts map[string]string
 
-// options reads the words that follow a command.
+// options parses the options that follow a command.
 func options(f []string) opts {
 	o := opts{}
 	for _, w := range f[1:] {
