--- a/core/dispatch/switches_test.go
+++ b/core/dispatch/switches_test.go
@@ -39,8 +39,8 @@
 	return "off"
 }
 
-// linesWhen returns the lines of a script that count with the switch on or off. The
-// others become empty, so that line numbers stay the same.
+// linesWhen returns the lines of a script that count with the switch on or off.
+// The others become empty, so that line numbers stay the same.
 func linesWhen(t *testing.T, text string, on bool) string {
 	lines := strings.Split(text, "\n")
 	mine, others := 0, 0
