--- a/core/dispatch/assure_test.go
+++ b/core/dispatch/assure_test.go
@@ -56,10 +56,10 @@
 	answerAt := s.now // when the renewal that is under way is answered
 	for s.now.Sub(assured) < 9*time.Second {
 		s.now = s.now.Add(10 * time.Millisecond)
-		away := s.now.Sub(assured)
+		elapsed := s.now.Sub(assured)
 		// The last assurance is 1 s after the start, the next one when the
 		// outage is over.
-		if away <= time.Second || away >= 6050*time.Millisecond {
+		if elapsed <= time.Second || elapsed >= 6050*time.Millisecond {
 			s.d.Assure(s.now)
 		}
 		s.d.Pass(s.now, s.now)
@@ -68,7 +68,7 @@
 			answerAt = s.now.Add(max(10*time.Millisecond, s.waits["w1"]))
 			if s.renews["w1"].Until > 0 {
 				if gap := s.now.Sub(granted); gap > 5*time.Second {
-					t.Errorf("%s between two renewals that grant a lease, the second sent %s after the last assurance", gap, away-time.Second)
+					t.Errorf("%s between two renewals that grant a lease, the second sent %s after the last assurance", gap, elapsed-time.Second)
 				}
 				granted = s.now
 			}
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -134,8 +134,8 @@
 	penalty float64
 }
 
-// extension is a worker's share with one more member; ok is false if there is no
-// room for it.
+// extension is a worker's share with one more member; ok is false if there is
+// no room for it.
 type extension struct {
 	workerShare workerShare
 	ok          bool
--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -27,8 +27,8 @@
 	}
 	js := newJobState(now, name, e)
 	d.jobs[name] = js
-	fits := js.progressMatchesSpec()
-	if !fits {
+	matches := js.progressMatchesSpec()
+	if !matches {
 		js.dropTasks()
 	}
 	d.resume(now, js)
@@ -38,7 +38,7 @@
 		return
 	}
 	d.insertOpen(js)
-	if !fits {
+	if !matches {
 		// It is unknown which of its tasks are done, and none may be done
 		// twice.
 		d.finish(now, js, job.Failed, "its spec and its progress have different tasks")
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -15,11 +15,11 @@
 	// resendAfter is when an order without an answer is repeated. Workers
 	// answer within a few milliseconds.
 	resendAfter = 300 * time.Millisecond
-	// startPatience is how long a run may wait for an answer to its orders to
+	// startTimeout is how long a run may wait for an answer to its orders to
 	// start, of which there must have been at least minStartOrders, from a
 	// worker that answers renewals meanwhile. Without this limit, tasks stay
 	// forever with a worker that ignores orders to start.
-	startPatience  = 4 * time.Second
+	startTimeout   = 4 * time.Second
 	minStartOrders = 5
 	// renewWait is how long a renewal may wait at the worker for news; the
 	// platform allows 2 s.
@@ -144,7 +144,7 @@
 // too long, although its worker answered a renewal that was sent after the
 // first of them.
 func (r *run) startIgnored(now unit.Instant) bool {
-	return r.unanswered && r.started == 0 && r.orders >= minStartOrders && now.Sub(r.since) >= startPatience && r.worker.synced > r.since
+	return r.unanswered && r.started == 0 && r.orders >= minStartOrders && now.Sub(r.since) >= startTimeout && r.worker.synced > r.since
 }
 
 // hasUnconfirmed reports whether some order for a run on the worker may have to
--- a/core/dispatch/room.go
+++ b/core/dispatch/room.go
@@ -119,7 +119,8 @@
 	return n
 }
 
-// fitsIfEmpty reports whether the workers, if they were empty, could hold n tasks.
+// fitsIfEmpty reports whether the workers, if they were empty, could hold n
+// tasks.
 func (s *stepState) fitsIfEmpty(workers []*worker, n int) bool {
 	for _, w := range workers {
 		n -= s.mostOn(w.Capacity)
