--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -8,7 +8,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// placeGang places all members or none.
+// placeGang places all members of a gang or none.
 func (d *Dispatcher) placeGang(now unit.Instant, c candidate, fits []*worker) bool {
 	chosen := d.chooseGang(now, c, fits, d.plainRoom)
 	if chosen.workers == nil {
@@ -19,13 +19,13 @@
 	return true
 }
 
-// placeOn places as many of the waiting tasks as there are workers, each on its own. The
-// members of a gang share a number.
+// placeOn places as many of the waiting tasks as there are workers, one on each
+// entry of workers. The members of a gang share a run number.
 func (d *Dispatcher) placeOn(c candidate, workers []*worker) {
 	s := c.step
 	number := s.nextRun(0)
-	for at, w := range workers {
-		i := c.waiting[at]
+	for k, w := range workers {
+		i := c.waiting[k]
 		if !s.step.Gang {
 			number = s.nextRun(i)
 		}
@@ -36,14 +36,14 @@
 	}
 }
 
-// assignment is room for the members of a gang.
+// assignment says on which workers the members of a gang can be placed.
 type assignment struct {
 	// workers has one worker for each member; nil if there is no room.
 	workers []*worker
 	victims []*run
-	// cost is the work that stopping the victims throws away, in core-seconds;
-	// among equal ones the least leftover wins.
-	cost, left float64
+	// cost is the work that is lost by stopping the victims, in core-seconds.
+	// Among assignments of equal cost, the one with the least leftover wins.
+	cost, leftover float64
 }
 
 // better reports whether a is to be preferred to b.
@@ -57,50 +57,53 @@
 	if a.cost != b.cost {
 		return a.cost < b.cost
 	}
-	return a.left < b.left
+	return a.leftover < b.leftover
 }
 
-// room says how much of a worker a unit can have, and by stopping which runs.
-type room func(now unit.Instant, c candidate, w *worker, need job.Resources) (free job.Resources, victims []*run, cost float64)
+// roomFunc returns how much of a worker's capacity a step can have, and which
+// runs must be stopped for it at what cost.
+type roomFunc func(now unit.Instant, c candidate, w *worker, need job.Resources) (free job.Resources, victims []*run, cost float64)
 
-// plainRoom is what is free.
+// plainRoom is the roomFunc of the capacity that is free now.
 func (d *Dispatcher) plainRoom(_ unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 	return w.free(), nil, 0
 }
 
-// chooseGang finds room for all waiting members: in one rack and near the data if
-// that is asked for and possible, elsewhere only after some waiting.
-func (d *Dispatcher) chooseGang(now unit.Instant, c candidate, fits []*worker, by room) assignment {
+// chooseGang finds room for all waiting members. If the step asks for one rack
+// or for a place near its data, it looks there first and elsewhere only after
+// some waiting, or if no rack could ever hold the gang.
+func (d *Dispatcher) chooseGang(now unit.Instant, c candidate, fits []*worker, roomOf roomFunc) assignment {
 	s := c.step
 	var best assignment
 	if s.step.SameRack || s.step.DataRack != "" {
 		for _, group := range racks(fits) {
-			if !s.near(group[0]) {
+			if !s.nearData(group[0]) {
 				continue
 			}
-			if a := d.assign(now, c, group, by); a.better(best) {
+			if a := d.assign(now, c, group, roomOf); a.better(best) {
 				best = a
 			}
 		}
-		if best.workers != nil || c.reachable() && !d.mayGoFar(now, s, fits, len(c.waiting)) {
+		if best.workers != nil || c.fitsSomeRack() && !d.mayRelax(now, s, fits, len(c.waiting)) {
 			return best
 		}
 	}
-	return d.assign(now, c, fits, by)
+	return d.assign(now, c, fits, roomOf)
 }
 
-// reachable reports whether some rack near the data could hold all members if it were
-// empty. Workers that are kept for others now, or wait for a permit, count.
-func (c *candidate) reachable() bool {
+// fitsSomeRack reports whether some rack near the data could hold all members
+// if it were empty. Workers that are currently reserved for others, or wait for
+// a permit, count.
+func (c *candidate) fitsSomeRack() bool {
 	for _, group := range racks(c.possible) {
-		if c.step.near(group[0]) && c.step.holds(group, len(c.waiting)) {
+		if c.step.nearData(group[0]) && c.step.fitsIfEmpty(group, len(c.waiting)) {
 			return true
 		}
 	}
 	return false
 }
 
-// racks groups workers by rack, in order.
+// racks groups workers by rack, ordered by rack name.
 func racks(workers []*worker) [][]*worker {
 	groups := map[id.Rack][]*worker{}
 	var names []id.Rack
@@ -118,89 +121,91 @@
 	return out
 }
 
-// tally is how an assignment has filled one worker so far.
-type tally struct {
-	worker  *worker
-	members int
-	victims []*run
-	cost    float64
-	left    float64
-	// extra is added to left: for opening an empty worker, for one whose last runs
-	// failed, and for disturbing or being disturbed.
-	extra float64
+// workerShare is the part of an assignment that goes to one worker so far.
+type workerShare struct {
+	worker   *worker
+	members  int
+	victims  []*run
+	cost     float64
+	leftover float64
+	// penalty is added to leftover: for using an empty worker, for a worker
+	// whose last runs failed, and for interference between serving and
+	// best-effort runs.
+	penalty float64
 }
 
-// offer is what one more member would make of a worker's tally, and whether there is room.
-type offer struct {
-	tally tally
-	ok    bool
+// extension is a worker's share with one more member; ok is false if there is
+// no room for it.
+type extension struct {
+	workerShare workerShare
+	ok          bool
 }
 
-// assign puts the members on workers one by one, each where it costs least. A worker's offer
-// changes only when it takes a member.
-func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, by room) assignment {
+// assign puts the members on workers one by one, each where it costs least. A
+// worker's extension changes only when it gets a member.
+func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, roomOf roomFunc) assignment {
 	s := c.step
 	need := s.step.Reserved()
-	tallies := make([]tally, len(workers))
-	offers := make([]offer, len(workers))
+	shares := make([]workerShare, len(workers))
+	extensions := make([]extension, len(workers))
 	for i, w := range workers {
-		tallies[i].worker, tallies[i].extra = w, d.opening(w)+w.suspicion()+s.disturbance(w)
-		offers[i] = d.oneMore(now, c, tallies[i], need, by)
+		shares[i].worker, shares[i].penalty = w, d.emptyWorkerPenalty(w)+w.suspicion()+s.interferencePenalty(w)
+		extensions[i] = d.withOneMore(now, c, shares[i], need, roomOf)
 	}
 	var out assignment
 	for range c.waiting {
-		best := cheapest(tallies, offers)
+		best := cheapestExtension(shares, extensions)
 		if best < 0 {
 			return assignment{}
 		}
-		tallies[best] = offers[best].tally
-		offers[best] = d.oneMore(now, c, tallies[best], need, by)
+		shares[best] = extensions[best].workerShare
+		extensions[best] = d.withOneMore(now, c, shares[best], need, roomOf)
 		out.workers = append(out.workers, workers[best])
 	}
-	for _, t := range tallies {
-		out.victims = append(out.victims, t.victims...)
-		out.cost += t.cost
-		if t.members > 0 {
-			out.left += t.left
+	for _, share := range shares {
+		out.victims = append(out.victims, share.victims...)
+		out.cost += share.cost
+		if share.members > 0 {
+			out.leftover += share.leftover
 		}
 	}
 	return out
 }
 
-// cheapest returns the position of the offer that adds least to its tally's cost, and among those
-// the one with the least left over; -1 if there is none.
-func cheapest(tallies []tally, offers []offer) int {
+// cheapestExtension returns the index of the extension that adds the least
+// cost, and among those the one with the least leftover; -1 if there is none.
+func cheapestExtension(shares []workerShare, extensions []extension) int {
 	best := -1
-	for i := range offers {
-		if !offers[i].ok {
+	for i := range extensions {
+		if !extensions[i].ok {
 			continue
 		}
 		if best < 0 {
 			best = i
 			continue
 		}
-		adds, least := offers[i].tally.cost-tallies[i].cost, offers[best].tally.cost-tallies[best].cost
-		if adds < least || adds == least && offers[i].tally.left < offers[best].tally.left {
+		adds, least := extensions[i].workerShare.cost-shares[i].cost, extensions[best].workerShare.cost-shares[best].cost
+		if adds < least || adds == least && extensions[i].workerShare.leftover < extensions[best].workerShare.leftover {
 			best = i
 		}
 	}
 	return best
 }
 
-// oneMore returns the tally with one more member, if there is room.
-func (d *Dispatcher) oneMore(now unit.Instant, c candidate, t tally, need job.Resources, by room) offer {
-	if c.step.full(t.worker, t.members) || t.worker.onTrial() && len(t.worker.runs)+t.members > 0 {
-		return offer{}
+// withOneMore returns a worker's share with one more member, if there is room.
+func (d *Dispatcher) withOneMore(now unit.Instant, c candidate, share workerShare, need job.Resources, roomOf roomFunc) extension {
+	if c.step.full(share.worker, share.members) || share.worker.onTrial() && len(share.worker.runs)+share.members > 0 {
+		return extension{}
 	}
-	t.members++
+	share.members++
 	all := job.Resources{
-		CPU: need.CPU * job.MilliCPU(t.members), Memory: need.Memory * unit.Bytes(t.members), Accelerators: need.Accelerators * t.members,
+		CPU: need.CPU * job.MilliCPU(share.members), Memory: need.Memory * unit.Bytes(share.members), Accelerators: need.Accelerators * share.members,
 	}
-	free, victims, cost := by(now, c, t.worker, all)
+	free, victims, cost := roomOf(now, c, share.worker, all)
 	if !all.Fits(free) {
-		return offer{}
+		return extension{}
 	}
-	t.victims, t.cost = victims, cost
-	t.left = leftover(free.Sub(all), t.worker.Capacity) + t.extra
-	return offer{tally: t, ok: true}
+	share.victims, share.cost = victims, cost
+	share.leftover = leftover(free.Sub(all), share.worker.Capacity) + share.penalty
+	return extension{workerShare: share, ok: true}
 }
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -9,23 +9,26 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// pool is what a pass knows of the workers of one service. It is made anew in each pass, so that
-// the many tasks that wait need no walk over all workers each.
+// pool holds what a pass knows of the workers of one service. It is rebuilt in
+// each pass, so that not every waiting task has to walk over all workers.
 type pool struct {
-	// workers are those that new tasks may go to, by id; labelled those of them with a label,
-	// filled when it is asked for.
+	// workers are those that new tasks may be placed on, by id. labelled holds
+	// those with a label, and is filled on demand.
 	workers  []*worker
 	labelled map[string][]*worker
-	// most is, of each resource, the most that a worker has free as the pass begins.
-	most job.Resources
-	// spare is how many more empty workers less urgent work may take in this pass.
+	// maxFree is, for each resource, the most that any worker has free when
+	// the pass begins.
+	maxFree job.Resources
+	// spare is how many more empty workers less urgent work may take in this
+	// pass.
 	spare int
-	// usage is how much of the service's capacity was taken as the pass began: of the
-	// resource of which most is free.
+	// usage is the fraction of the service's capacity in use when the pass
+	// begins, for the resource of which most is free.
 	usage float64
 }
 
-// rackUse counts the usable workers of one rack and service, and those on which nothing runs.
+// rackUse counts the usable workers of one rack and service, and those on which
+// nothing runs.
 type rackUse struct{ all, empty int }
 
 // rackName names a rack of a service.
@@ -34,8 +37,8 @@
 	rack    id.Rack
 }
 
-// gather makes the pools of a pass.
-func (d *Dispatcher) gather(now unit.Instant) {
+// makePools makes the pools of a pass.
+func (d *Dispatcher) makePools(now unit.Instant) {
 	d.pools = map[id.Service]*pool{}
 	for _, r := range d.racks {
 		*r = rackUse{}
@@ -55,20 +58,20 @@
 	}
 	for s, p := range d.pools {
 		if d.policy.KeepEmpty {
-			p.spare -= d.keptEmpty(now, s, p)
+			p.spare -= d.reservedEmpty(now, s, p)
 		}
 		p.usage = d.usage(s)
 	}
 }
 
-// add takes a usable worker into the pool.
+// add adds a usable worker to the pool.
 func (p *pool) add(w *worker) {
 	w.pool = p
 	p.workers = append(p.workers, w)
 	free := w.free()
-	p.most.CPU = max(p.most.CPU, free.CPU)
-	p.most.Memory = max(p.most.Memory, free.Memory)
-	p.most.Accelerators = max(p.most.Accelerators, free.Accelerators)
+	p.maxFree.CPU = max(p.maxFree.CPU, free.CPU)
+	p.maxFree.Memory = max(p.maxFree.Memory, free.Memory)
+	p.maxFree.Accelerators = max(p.maxFree.Accelerators, free.Accelerators)
 	if w.empty() {
 		p.spare++
 	}
@@ -89,24 +92,25 @@
 	}
 }
 
-// keptEmpty returns how many empty workers of a service are kept for urgent work. Whole workers
-// are kept because urgent gangs ask for many accelerators of one rack; workers that are in use
-// already may be filled by anybody.
-func (d *Dispatcher) keptEmpty(now unit.Instant, service id.Service, p *pool) int {
-	most := 0
+// reservedEmpty returns how many empty workers of a service are reserved for
+// urgent work. Whole workers are reserved because urgent gangs ask for many
+// accelerators of one rack. Work of any priority may fill workers that are
+// already in use.
+func (d *Dispatcher) reservedEmpty(now unit.Instant, service id.Service, p *pool) int {
+	perWorker := 0
 	for _, w := range p.workers {
-		most = max(most, w.Capacity.Accelerators)
+		perWorker = max(perWorker, w.Capacity.Accelerators)
 	}
 	a := d.arrivals[service]
-	if a == nil || most == 0 {
+	if a == nil || perWorker == 0 {
 		return 0
 	}
-	kept := a.now(now) * reserveTime.Seconds() / float64(most)
-	return int(min(math.Ceil(kept), reserveMost*float64(len(p.workers))))
+	reserved := a.rateAt(now) * reserveHorizon.Seconds() / float64(perWorker)
+	return int(min(math.Ceil(reserved), maxReserveShare*float64(len(p.workers))))
 }
 
-// with returns the workers that carry a label; an empty one is carried by all.
-func (p *pool) with(label string) []*worker {
+// withLabel returns the workers that have a label, or all for an empty label.
+func (p *pool) withLabel(label string) []*worker {
 	if label == "" {
 		return p.workers
 	}
@@ -126,28 +130,29 @@
 	return found
 }
 
-// recount does what may change whether a worker is empty, and keeps the counts of the pass right.
-func (w *worker) recount(do func()) {
+// recount makes a change after which a worker may be empty or no longer empty,
+// and updates the counts of the pass.
+func (w *worker) recount(change func()) {
 	before := w.empty()
-	do()
+	change()
 	after := w.empty()
 	if w.pool == nil || before == after {
 		return
 	}
-	step := -1
+	delta := -1
 	if after {
-		step = 1
+		delta = 1
 	}
-	w.pool.spare += step
-	w.rackUse.empty += step
+	w.pool.spare += delta
+	w.rackUse.empty += delta
 }
 
-// hopeless reports whether no worker has room for even one task of a candidate, and nobody may
-// be stopped or room kept for it.
-func (d *Dispatcher) hopeless(now unit.Instant, c *candidate, p *pool) bool {
+// unplaceable reports whether no worker has room for even one task of a
+// candidate, and neither preemption nor a reservation is allowed for it.
+func (d *Dispatcher) unplaceable(now unit.Instant, c *candidate, p *pool) bool {
 	s := c.step
-	if s.claim != nil || s.job.spec.Priority == 0 || s.job.spec.Advice.Needed || s.step.Reserved().Fits(p.most) {
+	if s.claim != nil || s.job.spec.Priority == 0 || s.job.spec.Advice.Needed || s.step.Reserved().Fits(p.maxFree) {
 		return false
 	}
-	return c.late || d.claims >= mostWaitingClaims || !c.pressing(now)
+	return c.late || d.claims >= maxWaitingClaims || !c.pressing(now)
 }
--- a/core/dispatch/preempt.go
+++ b/core/dispatch/preempt.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// claimTime is how long room is kept for a step that others were stopped for: twice
-	// the time that a stop may take by default.
+	// claimTime is how long room is reserved for a step that other runs were
+	// stopped for: twice the time that a stop may take by default.
 	claimTime = 2 * time.Second
 	// stopCost is added for each run that is stopped, in core-seconds, so that
-	// few are stopped when little work is lost either way.
+	// among choices that lose little work the one with the fewest stops wins.
 	stopCost = 1
-	// shortestWait and longestWait bound how far ahead room is kept for a gang that
-	// nobody is stopped for; the time doubles in between. mostWaitingClaims bounds how
-	// many gangs that is done for at a time, because kept room lies idle.
-	shortestWait      = time.Second
-	longestWait       = 8 * time.Second
-	mostWaitingClaims = 2
-	// fewerPart is the part of the waiting tasks by which their number is lowered until
-	// there can be room for the rest, and fewerPause the pause between two such searches,
-	// which take longer than a pass.
-	fewerPart  = 4
-	fewerPause = 200 * time.Millisecond
+	// minHorizon and maxHorizon bound how far ahead room is reserved for a gang
+	// that no run is stopped for; the time doubles in between. maxWaitingClaims
+	// bounds how many gangs have such a reservation at a time, because reserved
+	// room lies idle.
+	minHorizon       = time.Second
+	maxHorizon       = 8 * time.Second
+	maxWaitingClaims = 2
+	// fewerDivisor sets by which part of the waiting tasks their number is
+	// lowered until there can be room for the rest. fewerInterval is the least
+	// time between two such searches, which take longer than a pass.
+	fewerDivisor  = 4
+	fewerInterval = 200 * time.Millisecond
 )
 
-// preempt stops work of lower priority for work that finds no room and can't wait, and
-// keeps the room for it until the stopped runs have ended. If that isn't enough, room
-// is kept where most of it will be free soonest.
+// preempt stops work of lower priority for urgent work that finds no room, and
+// reserves the room until the stopped runs have ended. For other work that must
+// start now, it reserves room where enough will be free soonest.
 func (d *Dispatcher) preempt(now unit.Instant, c candidate, fits []*worker) {
 	s := c.step
 	urgent := s.job.spec.Priority == 0
@@ -39,14 +40,14 @@
 		return
 	}
 	if !urgent {
-		d.wait(now, c, fits)
+		d.claimForGang(now, c, fits)
 		return
 	}
 	if !d.policy.Preempt {
 		return
 	}
 	chosen, ok := d.choosePreempted(now, c, fits)
-	if !ok && !s.step.Gang && now.Sub(s.triedFewer) >= fewerPause {
+	if !ok && !s.step.Gang && now.Sub(s.triedFewer) >= fewerInterval {
 		s.triedFewer = now
 		chosen, ok = d.chooseFewer(now, c, fits)
 	}
@@ -60,17 +61,18 @@
 	d.keep(now, c, chosen.workers, claimTime, "work of lower priority is stopped")
 }
 
-// choosePreempted finds room for all that waits of a step by stopping others, or reports
-// false.
+// choosePreempted finds room for all waiting tasks of a step by stopping
+// others, or reports false.
 func (d *Dispatcher) choosePreempted(now unit.Instant, c candidate, fits []*worker) (assignment, bool) {
-	chosen := d.chooseGang(now, c, fits, d.preemptible)
+	chosen := d.chooseGang(now, c, fits, d.preemptibleRoom)
 	return chosen, chosen.workers != nil && mayStopAll(chosen.victims...)
 }
 
-// chooseFewer does the same for as many of the tasks as there can be room for.
+// chooseFewer is choosePreempted for as many of the tasks as there can be room
+// for.
 func (d *Dispatcher) chooseFewer(now unit.Instant, c candidate, fits []*worker) (assignment, bool) {
 	for n := len(c.waiting); n > 1; {
-		n -= max(1, n/fewerPart)
+		n -= max(1, n/fewerDivisor)
 		c.waiting = c.waiting[:n]
 		if chosen, ok := d.choosePreempted(now, c, fits); ok {
 			return chosen, true
@@ -79,24 +81,25 @@
 	return assignment{}, false
 }
 
-// wait keeps room for a gang where enough of it will be free soonest, so that smaller
-// work doesn't take it bit by bit.
-func (d *Dispatcher) wait(now unit.Instant, c candidate, fits []*worker) {
+// claimForGang reserves room for a gang where enough of it will be free
+// soonest, so that smaller work doesn't take it bit by bit.
+func (d *Dispatcher) claimForGang(now unit.Instant, c candidate, fits []*worker) {
 	if !d.policy.KeepGangRoom || d.lastingWaits[c.step.job.spec.Service] {
 		return
 	}
-	for horizon := shortestWait; d.claims < mostWaitingClaims && horizon <= longestWait; horizon *= 2 {
+	for horizon := minHorizon; d.claims < maxWaitingClaims && horizon <= maxHorizon; horizon *= 2 {
 		chosen := d.chooseGang(now, c, fits, d.roomWithin(horizon))
 		if chosen.workers != nil {
 			d.claims++
-			d.keep(now, c, chosen.workers, horizon+claimTime, "waits for work that ends soon")
+			d.keep(now, c, chosen.workers, horizon+claimTime, "other work there is expected to end soon")
 			return
 		}
 	}
 }
 
-// roomWithin is the room that is free or is expected to be so within a time.
-func (d *Dispatcher) roomWithin(horizon time.Duration) room {
+// roomWithin returns the roomFunc of the capacity that is free or expected to
+// be free within a time.
+func (d *Dispatcher) roomWithin(horizon time.Duration) roomFunc {
 	return func(now unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 		free := w.free()
 		for _, r := range w.runs {
@@ -108,9 +111,10 @@
 	}
 }
 
-// preemptible is the room that is free or could be freed for urgent work. Runs that
-// are being stopped count as free: their room comes without another stop.
-func (d *Dispatcher) preemptible(now unit.Instant, c candidate, w *worker, need job.Resources) (job.Resources, []*run, float64) {
+// preemptibleRoom is the roomFunc of the capacity that is free or can be freed
+// for urgent work. Runs that are already being stopped count as free, since
+// their room needs no further stop.
+func (d *Dispatcher) preemptibleRoom(now unit.Instant, c candidate, w *worker, need job.Resources) (job.Resources, []*run, float64) {
 	free := w.free()
 	var others []*run
 	for _, r := range w.runs {
@@ -118,7 +122,8 @@
 		case r.state == runStopping:
 			free = free.Add(r.taken())
 		case r.step != nil && d.suspect(r.step, r.task.Index):
-			// Stopped, it would show nothing and use up one of the few starts that are left to its task.
+			// If a suspect is stopped, its run gives no evidence and uses up
+			// one of the few starts that are left to its task.
 		case r.step != nil && r.step.job.spec.Priority > c.step.job.spec.Priority && mayStopAll(r):
 			others = append(others, r)
 		}
@@ -131,16 +136,17 @@
 		costs[r] = d.lossOf(now, r)
 	}
 	slices.SortStableFunc(others, func(a, b *run) int { return cmp.Compare(costs[a], costs[b]) })
-	victims, cost := pick(others, costs, free, need)
+	victims, cost := pickVictims(others, costs, free, need)
 	for _, v := range victims {
 		free = free.Add(v.taken())
 	}
 	return free, victims, cost
 }
 
-// pick returns victims whose room, with what is free, is enough; those that turn out
-// to be needless are left out again, the dearest first.
-func pick(others []*run, costs map[*run]float64, free, need job.Resources) ([]*run, float64) {
+// pickVictims returns runs whose room is sufficient together with what is free.
+// Runs that turn out to be unnecessary are dropped again, the most expensive
+// first.
+func pickVictims(others []*run, costs map[*run]float64, free, need job.Resources) ([]*run, float64) {
 	var victims []*run
 	for _, r := range others {
 		if need.Fits(free) {
