--- a/internal/entry/assured_internal_test.go
+++ b/internal/entry/assured_internal_test.go
@@ -18,8 +18,9 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// storeScript answers the calls to a store one after the other, each after a while, and no more after the last. An empty
-// answer is lost.
+// storeScript answers the calls to a store with the given answers in turn, each
+// after a delay, and no call after the last one. An empty string stands for a
+// lost answer.
 type storeScript struct {
 	after   time.Duration
 	answers []string
@@ -42,7 +43,8 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body)), Header: http.Header{}, Request: req}, nil
 }
 
-// newAssured returns a host between a store and nobody else, whose decisions are taken as they come.
+// newAssured returns a host with a store and without other hosts, whose events
+// are handled as they arrive.
 func newAssured(ctx context.Context, store *storeScript) *Host {
 	h := &Host{
 		log: zap.NewNop(), metrics: newMetrics(), health: newStoreHealth(zap.NewNop()), self: "a#1", table: jobtable.New(), events: ring.New[event](events),
@@ -53,24 +55,26 @@
 	return h
 }
 
-// TestAssuredByWholeRead reads a page of the jobs that doesn't reach the end of the log.
+// TestAssuredByWholeRead reads a page of the jobs that doesn't reach the end of
+// the log, which must not renew the assurance.
 //
-// A page holds 1 MB at most. What stands behind it may be another host's claim, written long before the read left, so that
-// the page doesn't tell that nobody else was the owner then. It was taken for that.
+// A page holds 1 MB at most. The rest of the log may contain another host's
+// claim that was written long before the read was sent, so the page doesn't
+// show that no other host was the owner then.
 func TestAssuredByWholeRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		page := "\x00\x00\x00\x00\x00\x00\x00\x09" + "\x00\x00\x00\x00\x00\x00\x00\x00" + "\x00\x00\x00\x03\x01xy" // 1 record of 9
 		h := newAssured(ctx, &storeScript{after: 100 * time.Millisecond, answers: []string{`{"items":[],"end":0}`, page}})
-		begun := h.now()
+		loadSent := h.now()
 		go h.readJobs(ctx)
-		time.Sleep(900 * time.Millisecond) // with the pause behind a read that brought news
+		time.Sleep(900 * time.Millisecond) // includes the pause after a read that returned records
 		synctest.Wait()
 		if next := h.table.Next(); next != 1 {
-			t.Errorf("%d records were read", next)
+			t.Errorf("%d records were read, want 1", next)
 		}
-		if h.assured > begun {
-			t.Errorf("a read of 1 record of 9 assures as of %s after the load left", h.assured.Sub(begun))
+		if h.assured > loadSent {
+			t.Errorf("a read of 1 record of 9 assures as of %s after the load was sent", h.assured.Sub(loadSent))
 		}
 		cancel()
 		synctest.Wait()
@@ -79,15 +83,18 @@
 
 // TestAssuredByClaim claims at a store that answers after 900 ms.
 //
-// The answer tells that nobody had claimed later when the claim was written, and that may be as long ago as the claim left.
-// The new owner took the time of the answer, so that it granted leases for longer than 3 s after the claim of yet another host.
+// The answer shows only that no other host had claimed later when the claim was
+// written, which may have been right after it was sent. Counting the assurance
+// from the answer lets a new owner grant leases for longer than 3 s after
+// another host's claim.
 func TestAssuredByClaim(t *testing.T) {
-	// The claim, the record that fences earlier owners in the progress log, and what that log holds.
-	const claimed, closed, progress = `{"offset":0,"end":1}`, `{"offset":0,"end":1}`, `{"items":[],"end":1}`
+	// The answers to the claim, to the record that fences earlier owners in the
+	// progress log, and to the read of that log.
+	const claimed, fenced, progress = `{"offset":0,"end":1}`, `{"offset":0,"end":1}`, `{"items":[],"end":1}`
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		h := newAssured(ctx, &storeScript{after: 900 * time.Millisecond, answers: []string{claimed, closed, progress}})
-		left := h.now()
+		h := newAssured(ctx, &storeScript{after: 900 * time.Millisecond, answers: []string{claimed, fenced, progress}})
+		claimSent := h.now()
 		h.post(ctx, func(unit.Instant) {
 			h.loaded = true
 			h.claim(ctx)
@@ -97,8 +104,8 @@
 		if h.owner == nil {
 			t.Fatal("the host is not the owner")
 		}
-		if h.assured > left {
-			t.Errorf("assured as of %s after the claim left", h.assured.Sub(left))
+		if h.assured > claimSent {
+			t.Errorf("assured as of %s after the claim was sent", h.assured.Sub(claimSent))
 		}
 		h.owner.cancel()
 		cancel()
@@ -106,10 +113,13 @@
 	})
 }
 
-// TestAgreesBeforeLoaded asks a host that hasn't read the jobs yet, as one that was started a moment before an outage of the store.
+// TestAgreesBeforeLoaded asks a host that hasn't read the jobs yet, such as one
+// started just before a store outage, whether it agrees that another host is
+// the owner.
 //
-// It becomes the owner by nothing but reading its own claim, so that it agrees for now. It answered that another host is the owner, and
-// the owner withheld all leases until the outage was over.
+// A host can become the owner only by reading its own claim, so this one has to
+// agree. If it reports another owner instead, the owner withholds all leases
+// until the outage is over.
 func TestAgreesBeforeLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -124,25 +134,27 @@
 			t.Fatal(err)
 		}
 		if _, err := (watchTransport{h}).RoundTrip(req); err != nil {
-			t.Errorf("answered %v", err)
+			t.Errorf("the question was answered with an error: %v", err)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestAssuredAfterLostRead loses one read of the jobs while nothing is written, on an owner whose others don't answer.
+// TestAssuredAfterLostRead loses the answer to one read of the jobs while
+// nothing is written, on an owner that gets no answers from other hosts.
 //
-// An assurance holds for 3 s, so that one lost read in a row does no harm. From when the read before it left until the one after it was
-// answered it took 0.7 s, 1.7 s with the limit of the client, a pause and 0.7 s.
+// An assurance is valid for 3 s, so that a single lost read is harmless. From
+// sending the read before the lost one until the answer to the one after it, it
+// takes 0.7 s, 1.7 s until the client's timeout, a pause and 0.7 s.
 func TestAssuredAfterLostRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		none := strings.Repeat("\x00", 16)
-		h := newAssured(ctx, &storeScript{after: ownerWait, answers: []string{`{"items":[],"end":0}`, none, none, "", none, none}})
+		emptyPage := strings.Repeat("\x00", 16)
+		h := newAssured(ctx, &storeScript{after: ownerWait, answers: []string{`{"items":[],"end":0}`, emptyPage, emptyPage, "", emptyPage, emptyPage}})
 		h.metrics.owning.Store(true)
 		go h.readJobs(ctx)
-		oldest := time.Duration(0)
+		maxAge := time.Duration(0)
 		for range 500 {
 			time.Sleep(10 * time.Millisecond)
 			age, _ := ask(ctx, h, func(now unit.Instant) time.Duration {
@@ -151,10 +163,10 @@
 				}
 				return now.Sub(h.assured)
 			})
-			oldest = max(oldest, age)
+			maxAge = max(maxAge, age)
 		}
-		if oldest > 3*time.Second {
-			t.Errorf("the newest assurance was %s old", oldest)
+		if maxAge > 3*time.Second {
+			t.Errorf("the newest assurance was up to %s old", maxAge)
 		}
 		cancel()
 		synctest.Wait()
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -16,13 +16,15 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// maxBody bounds a job if the configuration names no bound.
+// maxBody is the maximum size of a submitted job if the configuration sets
+// none.
 const maxBody = 256 << 10
 
-// notLoaded stands for the number of waiting jobs while the table is not loaded.
+// notLoaded replaces the number of waiting jobs while the job table is not
+// loaded.
 const notLoaded = -1
 
-// pending answers how many jobs of a queue wait.
+// pending answers a request for the number of waiting jobs of a queue.
 func (f *front) pending(ctx context.Context, q *catalog.Queue) reply {
 	n, ok := ask(ctx, f.host, func(now unit.Instant) int {
 		if !f.host.loaded {
@@ -36,7 +38,7 @@
 	return reply{status: http.StatusOK, body: platform.PendingBody{Pending: n}}
 }
 
-// state answers how far a job is.
+// state answers a request for the state of a job.
 func (f *front) state(ctx context.Context, c *call) reply {
 	l, ok := f.find(ctx, c.job)
 	switch {
@@ -51,7 +53,8 @@
 	return reply{status: http.StatusOK, body: platform.StateBody{State: l.state}, why: string(l.state)}
 }
 
-// cancel ends a job for good. The answer is sent when its record is in the store.
+// cancel cancels a job. The answer is sent when the cancel record is in the
+// store.
 func (f *front) cancel(ctx context.Context, c *call) reply {
 	l, ok := f.find(ctx, c.job)
 	switch {
@@ -65,9 +68,9 @@
 	return f.store(ctx, f.records.CancelRecord(c.job), "cancelled")
 }
 
-// submit takes a job in. The answer is sent when its record is in the store. A job that
-// is known already is answered like one that is taken, so that clients may repeat the
-// call.
+// submit accepts a job. The answer is sent when the job's record is in the
+// store. A job that is already known gets the same status as a new one, so that
+// clients may retry the request.
 func (f *front) submit(ctx context.Context, c *call) reply {
 	limit := c.catalog.Limits.BodyBytes
 	if limit <= 0 {
@@ -96,7 +99,7 @@
 	if l.known {
 		return reply{status: http.StatusOK, why: "accepted before"}
 	}
-	fill(&spec, c.queue, c.customer)
+	applyQueueDefaults(&spec, c.queue, c.customer)
 	spec.Accepted = unit.At(time.Now())
 	rec, err := f.records.SpecRecord(c.job, spec)
 	if err != nil {
@@ -105,14 +108,16 @@
 	return f.store(ctx, rec, "accepted")
 }
 
-// fill adds what the queue's configuration says of its jobs.
-func fill(s *job.Spec, q *catalog.Queue, customer id.Customer) {
+// applyQueueDefaults sets the fields of a job that the configuration of its
+// queue determines.
+func applyQueueDefaults(s *job.Spec, q *catalog.Queue, customer id.Customer) {
 	s.Customer, s.Queue, s.Service = customer, q.Name, q.Service
 	s.Priority, s.MaxAttempts = q.Priority, q.MaxAttempts
 	s.Stretch, s.Target, s.Advice = q.Stretch, q.Target, q.Advice
 }
 
-// store writes a record and answers truly: refused only if it was surely not written.
+// store writes a record and returns the reply for the outcome. It reports a
+// refusal only if the record was definitely not written.
 func (f *front) store(ctx context.Context, rec jobtable.Record, done string) reply {
 	got, why := f.host.put(ctx, rec)
 	if got == stored {
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -16,22 +16,27 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// epochAt draws the epoch of a claim at an offset. The store takes two appends of one
-// writer, epoch and number for the same one, so two hosts that claim at the same offset
-// must not have the same epoch.
-func epochAt(at id.Offset) id.Epoch {
-	return id.Epoch(at+1)<<epochBits | id.Epoch(rand.Uint64N(1<<epochDrawBits))
+// drawEpoch returns a new epoch for a claim at an offset, with random low bits.
+// The store treats two appends with the same writer, epoch and sequence number
+// as one, so two hosts that claim at the same offset must not use the same
+// epoch.
+func drawEpoch(at id.Offset) id.Epoch {
+	return id.Epoch(at+1)<<epochOffsetShift | id.Epoch(rand.Uint64N(1<<epochRandomBits))
 }
 
 const (
-	// epochDrawBits is how many bits of an epoch are drawn, epochBits how many stand below the offset. What is drawn
-	// leaves room for all raises of one owner's fence. With the offset they stay below 2^53, which every JSON number keeps.
-	epochDrawBits = id.RaiseBits
-	epochBits     = id.RaiseBits + 1
+	// epochRandomBits is the number of random bits of an epoch, and
+	// epochOffsetShift the number of bits below the offset. The random part
+	// leaves room for every increase of one owner's fence. Together with the
+	// offset, an epoch stays below 2^53, which a JSON number represents
+	// exactly.
+	epochRandomBits  = id.RaiseBits
+	epochOffsetShift = id.RaiseBits + 1
 )
 
-// mayClaim reports whether this host is to claim, as far as its table says. An owner that was
-// fenced without a successor has to claim again itself: the others see that it lives.
+// mayClaim reports whether, by its own table, this host should claim the
+// ownership. An owner that was fenced without a successor has to claim again
+// itself, because the other hosts see that it is alive.
 func (h *Host) mayClaim(now unit.Instant) bool {
 	if !h.loaded || h.table.Former() || h.stopping.Load() || h.owner != nil || h.takeover != nil {
 		return false
@@ -40,8 +45,9 @@
 	return vacant || h.election.Claim(now)
 }
 
-// noteFormerLife notes that the ownership is vacant if the owner is an earlier life of this host: that
-// process has surely ended. The store would show it until its time to live is over.
+// noteFormerLife marks the ownership as vacant if the owner is an earlier
+// incarnation of this host, since that process has ended for certain. The store
+// would list it as a live host until its time to live expires.
 func (h *Host) noteFormerLife() {
 	o := h.table.Owner()
 	if o.Host != h.self && machineOf(o.Host) == h.settings.Host {
@@ -49,14 +55,15 @@
 	}
 }
 
-// prepareClaim reads what others have written lately, and then claims if that is still due.
-// Without it hosts that have not heard of each other's claims take the ownership in turns.
+// prepareClaim reads the latest records of other hosts, and claims if a claim
+// is still due afterwards. Without this read, hosts that have not yet read each
+// other's claims would take the ownership from one another in turn.
 func (h *Host) prepareClaim(ctx context.Context) {
 	h.claiming = true
 	go func() {
 		read := h.catchUp(ctx)
 		if !read {
-			pause(ctx, retryLeast+rand.N(retryLeast)) // a store that refuses at once would be asked on every pass
+			pause(ctx, retryLeast+rand.N(retryLeast)) // otherwise a store that refuses at once would be called on every pass
 		}
 		h.post(ctx, func(now unit.Instant) {
 			if !read || !h.mayClaim(now) {
@@ -68,12 +75,14 @@
 	}()
 }
 
-// claim asks the store to make this host the owner. The claim may follow records that this host
-// hasn't read: it becomes the owner when it reads its own claim, and has read all before that by
-// then. A moment in which nobody writes may not come while many hosts take in clients.
+// claim appends a record that makes this host the owner. The store may place
+// the claim behind records that this host hasn't read: the host becomes the
+// owner only when it reads its own claim, by which time it has read everything
+// before it. The claim doesn't wait until all records are read, because with
+// many hosts accepting jobs there may be no moment without new records.
 func (h *Host) claim(ctx context.Context) {
 	at := h.table.Next()
-	epoch := epochAt(at)
+	epoch := drawEpoch(at)
 	rec, err := h.table.OwnerRecord(jobtable.Owner{Host: h.self, Epoch: epoch})
 	if err != nil {
 		h.log.Error("claim-failed", zap.Error(err))
@@ -82,18 +91,19 @@
 	}
 	h.log.Info("claim", zap.Uint64("epoch", uint64(epoch)), zap.String("previous", string(h.table.Owner().Host)))
 	go func() {
-		left := h.now()
+		sent := h.now()
 		end, err := h.store.Append(ctx, platform.TopicJobs, []jobtable.Record{rec}, platform.Writer{Name: ownerWriter, Epoch: epoch, Seq: firstSeq})
 		h.post(ctx, func(now unit.Instant) {
 			if err == nil {
-				h.assure(left) // a later claim would have fenced it
+				h.assure(sent) // if another host had claimed later, the append would have been fenced
 			}
 			h.claimed(ctx, now, rec, end, err)
 		})
 	}()
 }
 
-// claimed takes in what became of a claim, which the log holds right before end.
+// claimed handles the result of a claim, which the log holds at the offset
+// before end.
 func (h *Host) claimed(ctx context.Context, now unit.Instant, rec jobtable.Record, end id.Offset, err error) {
 	if err != nil {
 		h.log.Info("claim-refused", zap.Uint64("applied", uint64(h.table.Next())), zap.Error(err))
@@ -102,23 +112,24 @@
 	}
 	if h.table.Next()+1 != end || h.stopping.Load() {
 		go h.catchUpAfterClaim(ctx)
-		return // there are records before it, or the reader overtook the answer
+		return // unread records precede the claim, or the reader has already applied it
 	}
 	h.claiming = false
 	h.applyJobs(now, []jobtable.Record{rec}, end-1)
 }
 
-// catchUpAfterClaim reads what a claim has missed. Until then another claim would miss it too.
+// catchUpAfterClaim reads the records that a claim has missed. Until then
+// another claim would miss them too.
 func (h *Host) catchUpAfterClaim(ctx context.Context) {
 	h.catchUp(ctx)
 	h.post(ctx, func(unit.Instant) { h.claiming = false })
 }
 
-// ownership makes the host the owner, or ends that, by what the table says.
+// ownership starts or ends this host's ownership according to the table.
 func (h *Host) ownership(now unit.Instant) {
 	o := h.table.Owner()
-	news := o.Epoch > h.newest
-	if news {
+	newClaim := o.Epoch > h.newest
+	if newClaim {
 		h.election.Claimed(now)
 		h.newest = o.Epoch
 	}
@@ -131,27 +142,29 @@
 	if h.owner == nil && h.takeover == nil && o.Host == h.self && o.Epoch != h.lost && !h.stopping.Load() {
 		h.beginTakeover(o.Epoch)
 	}
-	if o.Host == "" && o.Epoch > 0 && h.released != o.Epoch {
-		h.released = o.Epoch
+	if o.Host == "" && o.Epoch > 0 && h.releasedEpoch != o.Epoch {
+		h.releasedEpoch = o.Epoch
 		h.election.Released(now)
 	}
-	if news {
+	if newClaim {
 		h.followOwner()
 	}
 }
 
-// followOwner notes where the owner is reached, after a look at the group and as soon as a claim is read. By the next look alone, records
-// would go to a former owner, and nobody would watch the new one.
+// followOwner updates where the owner is reached, after each read of the group
+// of live hosts and as soon as a claim is read. If only reads of the group did
+// so, records would go to a former owner until the next one, and nobody would
+// watch the new owner.
 func (h *Host) followOwner() {
 	h.findGatherer()
 	h.findWatched()
 }
 
-// takeOver begins to schedule, from the state in the table.
+// takeOver starts scheduling from the state in the table.
 func (h *Host) takeOver(now unit.Instant, epoch id.Epoch) {
 	ctx, cancel := context.WithCancel(context.Background())
 	config := h.settings.Workers
-	config.MostWaits = mostWaits(h.settings)
+	config.MostWaits = maxWaitingRenewals(h.settings)
 	boxes := newOutboxes(config.MostWaits)
 	end := func() {
 		cancel()
@@ -162,7 +175,7 @@
 		jobs:     ownerLog{topic: platform.TopicJobs, seq: firstSeq},
 		progress: ownerLog{topic: platform.TopicProgress, seq: firstSeq},
 		listed:   map[id.WorkerName]id.Worker{}, rejected: map[id.WorkerName]uint64{},
-		reports: ring.New[dispatch.WaveReport](reportsWaiting),
+		reports: ring.New[dispatch.WaveReport](maxQueuedReports),
 	}
 	h.owner = o
 	h.election.Owned(now)
@@ -177,18 +190,19 @@
 		o.learn(now, j)
 	}
 	o.evacuate()
-	o.inform()
+	o.setOperatorReadTime()
 	for _, n := range slices.Sorted(maps.Keys(h.waves)) {
 		o.setWave(now, h.waves[n])
 	}
-	h.forgetProgress() // the dispatcher has it now
+	h.forgetProgress() // the dispatcher holds it from here on
 	go h.readServers(ctx, o)
-	go o.report(ctx)
+	go o.writeReports(ctx)
 	go o.followMachines(ctx)
 }
 
-// yield hands the ownership over to an abler host, if there is one and no append is under way. Until
-// the store has that, this host doesn't claim: it would find the place vacant.
+// yield hands the ownership over to a more able host, if there is one and no
+// append is in flight. Until the store has the release, this host doesn't
+// claim: it would find the ownership vacant.
 func (h *Host) yield(ctx context.Context, now unit.Instant) {
 	if h.owner == nil || h.stopping.Load() || !h.election.Yields(now) {
 		return
@@ -204,7 +218,7 @@
 	}()
 }
 
-// stepDown ends scheduling at once.
+// stepDown stops scheduling at once.
 func (h *Host) stepDown(why string) {
 	if h.owner == nil {
 		return
--- a/internal/entry/claim_internal_test.go
+++ b/internal/entry/claim_internal_test.go
@@ -16,30 +16,31 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// TestEpochsApart checks that no raise of an owner's fence reaches the epoch of the next claim.
+// TestEpochsApart checks that no increase of an owner's fence reaches the epoch
+// of the next claim.
 func TestEpochsApart(t *testing.T) {
 	for range 1000 {
-		if now, next := epochAt(7), epochAt(8); now+id.MostRaises >= next {
+		if now, next := drawEpoch(7), drawEpoch(8); now+id.MostRaises >= next {
 			t.Fatalf("epochs %d and %d are %d apart", now, next, next-now)
 		}
 	}
 }
 
-// TestLoadedLate checks that a host that loads the jobs after it has looked at the group doesn't claim
-// against an owner that the group shows.
+// TestLoadedLate checks that a host that has read the group of live hosts
+// before it loads the jobs doesn't claim against an owner that the group lists.
 //
-// Symptom: eight owners within 8 s after 41 hosts came back, all alive, some of them small hosts.
-// Sequence: the hosts look at the group every 120 ms while they load the jobs, which takes up to 8 s
-// over 10 Mbit/s; another host becomes the owner; a host has loaded, and claims at once. Cause: looks
-// before that compare the group with an owner that isn't known yet, and count as looks that miss it.
-// Figures: of 123 looks within 0.5 s all show 41 members, and 8 the owner that their host's table has.
+// Loading takes up to 8 s over 10 Mbit/s, while the host reads the group every
+// 120 ms. If reads from before the end of the load count as reads in which the
+// owner is missing, the host claims as soon as it has loaded: when 41 hosts
+// came back at once, this made eight of them owners within 8 s, although all
+// were alive.
 func TestLoadedLate(t *testing.T) {
 	for _, c := range []struct {
 		owner  id.Host
 		claims bool
 	}{
 		{"large#1", false},
-		{"dead#1", true}, // the group doesn't show it: it is claimed against at once
+		{"dead#1", true}, // the group doesn't list it, so the host claims at once
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			h := &Host{
@@ -63,12 +64,13 @@
 	}
 }
 
-// TestFirstClaim checks that the first claim of all is news to a host that has read the jobs before.
+// TestFirstClaim checks that a host that has read an empty jobs log treats the
+// first claim in it as a new claim.
 //
-// Three hosts that began together took the ownership one after the other, at 0.629, 0.870 and 1.011 s, each as the one before had just begun to
-// schedule: what a host had read before any claim counted as "nothing was read", so that the first claim was taken for one from before the host's
-// start, and the looks before it went on to count as looks that miss the owner. The lines: "jobs-loaded records=0" of all three, then "claim" of
-// each 240 and 140 ms after the one before, with the one before as "previous".
+// Otherwise the claim counts as older than the host's start, and earlier reads
+// of the group still count as reads in which the owner is missing. Three hosts
+// that started together thus took the ownership from one another within 0.4 s,
+// each just after the one before had begun to schedule.
 func TestFirstClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &Host{
@@ -93,11 +95,13 @@
 	})
 }
 
-// TestFollowsOwner checks that a host hands records to a new owner, and watches it, as soon as it has read its claim.
+// TestFollowsOwner checks that a host forwards records to a new owner, and
+// watches it, as soon as it has read the claim.
 //
-// On a store that had just become slow, hosts appended the records of their callers themselves for 0.3 s and more, each in a turn of its own:
-// "claim" at 1.011 s, "store-pace slow=true" at 1.174 s, calls accepted at 1.479 s, and nothing gathered. Where the owner takes records was looked
-// up at looks at the group only, the next of which waited for the slow store.
+// If this were updated only by reads of the group of live hosts, then on a
+// store that has just become slow hosts would append their callers' records one
+// after the other themselves, until the next read of the group is answered: for
+// 0.3 s and more.
 func TestFollowsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &Host{
@@ -112,20 +116,19 @@
 		}
 		h.applyJobs(h.now(), []jobtable.Record{rec}, 0)
 		if at := h.gatherer.Load(); at == nil || *at != "there" {
-			t.Errorf("records are handed to %v", at)
+			t.Errorf("records are forwarded to %v", at)
 		}
 		if w := h.watched.Load(); w == nil || w.owner != "a#1" {
-			t.Errorf("%v is watched", w)
+			t.Errorf("the watched owner is %v", w)
 		}
 	})
 }
 
-// TestClaimsPause checks that a host that is due to claim doesn't call a store that refuses again and
-// again without a pause.
+// TestClaimsPause checks that a host that should claim pauses between reads
+// that the store refuses at once.
 //
-// Symptom: hundreds of calls to a store that turns one host away. Sequence: the host is due to claim,
-// its read is refused at once, and the next pass, 5 ms later, begins anew. Cause: nothing paused after
-// a read that failed. Figures: 642 such reads in a day of 34 s with 8 hosts, 7,554 calls in all.
+// Without the pause every pass, 5 ms apart, begins such a read: hundreds of
+// calls to a store that refuses one host.
 func TestClaimsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -149,8 +152,9 @@
 	})
 }
 
-// TestYield checks that an owner that hands over to an abler host doesn't claim again while the
-// store hasn't answered, though nobody owns the scheduling then.
+// TestYield checks that an owner that hands over to a more able host doesn't
+// claim again until the store has answered, although nobody owns the scheduling
+// then.
 func TestYield(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &storeAnswer{silent: true}
@@ -169,11 +173,11 @@
 			t.Fatal("the owner has not handed over")
 		}
 		if !h.claiming {
-			t.Error("the host may claim again before the store has the hand-over")
+			t.Error("the host may claim again before the store has the release")
 		}
 		(<-h.events.C())(h.now())
 		if h.claiming {
-			t.Error("the host can't claim after the hand-over has ended")
+			t.Error("the host can't claim after the release has ended")
 		}
 	})
 }
--- a/internal/entry/counts_internal_test.go
+++ b/internal/entry/counts_internal_test.go
@@ -8,14 +8,13 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// TestCountsAreNotWalkedForEachCaller guards against callers that keep the answers of workers waiting.
+// TestCountsAreNotWalkedForEachCaller checks that callers who ask how many jobs
+// wait share one walk over the table.
 //
-// Symptom: an owner takes in its workers' answers seconds late while callers ask how many jobs wait.
-// Sequence: each such call walks over the whole table on the goroutine that takes the answers in; the
-// more jobs there are, the longer.
-// Cause: the walk was made for each call.
-// Settled by: 300 calls a second of 3.7 ms each, which is 10,000 jobs at a fifth of a core, beside passes
-// of 3.6 ms let an answer wait for 6.4 s in virtual time, 100 calls a second for 6 ms.
+// A walk takes place on the goroutine that handles workers' answers. With
+// 10,000 jobs on a fifth of a core a walk takes 3.7 ms: with a walk for each of
+// 300 calls a second, beside passes of 3.6 ms, an answer waited for 6.4 s in
+// virtual time, against 6 ms at 100 calls a second.
 func TestCountsAreNotWalkedForEachCaller(t *testing.T) {
 	const calls, every, queues = 3000, time.Second / 300, 2
 	walks := 0
@@ -27,12 +26,12 @@
 			walks++
 			return int(asked / unit.Instant(time.Millisecond))
 		})
-		if age := time.Duration(int(asked/unit.Instant(time.Millisecond))-got) * time.Millisecond; age > countAge {
-			t.Fatalf("a count is %v old, %v are allowed", age, countAge)
+		if age := time.Duration(int(asked/unit.Instant(time.Millisecond))-got) * time.Millisecond; age > maxCountAge {
+			t.Fatalf("a count is %v old, %v are allowed", age, maxCountAge)
 		}
 		now = now.Add(every)
 	}
-	if most := queues * (int(calls*every/countAge) + 1); walks > most {
+	if most := queues * (int(calls*every/maxCountAge) + 1); walks > most {
 		t.Errorf("%d walks for %d calls, want %d at most", walks, calls, most)
 	}
 }
--- a/internal/entry/deadconns.go
+++ b/internal/entry/deadconns.go
@@ -8,10 +8,11 @@
 	"curlewsill.org/curlewsill/internal/conntrack"
 )
 
-// peerKind says what is at the other end of a connection that this host opens.
+// peerKind is the kind of service at the other end of a connection that this
+// host opens.
 type peerKind string
 
-// The kinds.
+// The kinds of service.
 const (
 	toStore    peerKind = "store"
 	toWorkers  peerKind = "workers"
@@ -19,8 +20,9 @@
 	toMachines peerKind = "machines"
 )
 
-// deadConns returns what logs and counts connections of a kind that were found dead.
-func (m *metrics) deadConns(log *zap.Logger, kind peerKind) func(conntrack.Found) {
+// deadConnHandler returns a function that logs and counts connections of a kind
+// that were found dead.
+func (m *metrics) deadConnHandler(log *zap.Logger, kind peerKind) func(conntrack.Found) {
 	return func(f conntrack.Found) {
 		m.deadFound.WithLabelValues(string(kind), strconv.FormatBool(f.First)).Inc()
 		m.suspects.WithLabelValues(string(kind)).Add(float64(f.Closed))
--- a/internal/entry/decide.go
+++ b/internal/entry/decide.go
@@ -9,32 +9,35 @@
 )
 
 const (
-	// passEvery is the least time between two passes over the owner's state;
-	// what happens meanwhile is decided together.
-	passEvery = 5 * time.Millisecond
-	// idleEvery is the time between two passes when nothing happens.
-	idleEvery = 200 * time.Millisecond
-	// passShare times what a pass took is how long events are taken in before the next one.
-	// Without it a pass that takes longer than passEvery follows on every event, so that answers
-	// wait for seconds and leases run out.
-	passShare = 3
-	// longestPause bounds that: a pass in which the process stood still would else silence the
-	// owner, whose renewals leave in passes only, for three times as long, beyond the leases of 6 s.
-	// With a renewal that waits 2 s at its worker it is less than the 3.5 s after which a worker
-	// counts as silent.
-	longestPause = time.Second
+	// passInterval is the minimum time between two passes over the owner's
+	// state; events that arrive in between are handled by one pass.
+	passInterval = 5 * time.Millisecond
+	// idlePassInterval is the time between two passes when no events arrive.
+	idlePassInterval = 200 * time.Millisecond
+	// passRestFactor times the duration of a pass is how long events are
+	// handled before the next pass. Without this pause, a pass that takes
+	// longer than passInterval would follow every event, so that workers'
+	// answers would wait for seconds and leases would expire.
+	passRestFactor = 3
+	// maxPassRest limits that pause. If the process is stopped during a pass,
+	// the pause would otherwise last three times as long, and no renewals would
+	// be sent in it, because only passes send renewals: the leases of 6 s would
+	// expire. With a renewal that waits 2 s at its worker, this limit stays
+	// below the 3.5 s after which a worker counts as silent.
+	maxPassRest = time.Second
 )
 
-// decide applies events and passes over the state until ctx is done.
+// decide handles events and runs passes over the state until ctx is done.
 func (h *Host) decide(ctx context.Context) {
 	h.deciding.Store(true)
 	defer h.deciding.Store(false)
 	decideEach(ctx, h.events, h.now, func(now unit.Instant) { h.pass(ctx, now) })
 }
 
-// decideEach applies events as they come and makes a pass when one is due, until ctx is done.
+// decideEach handles events as they arrive and runs a pass when one is due,
+// until ctx is done.
 func decideEach(ctx context.Context, events *ring.Ring[event], now func() unit.Instant, pass func(unit.Instant)) {
-	timer := time.NewTimer(idleEvery)
+	timer := time.NewTimer(idlePassInterval)
 	defer timer.Stop()
 	next := now()
 	for {
@@ -52,17 +55,19 @@
 		began := now()
 		pass(began)
 		next = nextPass(began, now())
-		timer.Reset(idleEvery)
+		timer.Reset(idlePassInterval)
 	}
 }
 
-// nextPass returns when the pass after one that began and ended at these times is due.
+// nextPass returns when the pass is due that follows one with the given start
+// and end times.
 func nextPass(began, ended unit.Instant) unit.Instant {
-	rest := min(longestPause, passShare*ended.Sub(began))
-	return max(began.Add(passEvery), ended.Add(rest))
+	rest := min(maxPassRest, passRestFactor*ended.Sub(began))
+	return max(began.Add(passInterval), ended.Add(rest))
 }
 
-// pass does what is due.
+// pass runs the owner's scheduling pass, or claims the ownership if this host
+// should.
 func (h *Host) pass(ctx context.Context, now unit.Instant) {
 	h.noteSuspension()
 	h.ready.Store(h.loaded && h.catalog.Load() != nil && !h.stopping.Load())
--- a/internal/entry/evacuations.go
+++ b/internal/entry/evacuations.go
@@ -12,7 +12,8 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// takeEvacuation takes in a record that evacuates a failure domain, or takes that back.
+// takeEvacuation applies a record that evacuates a failure domain or revokes
+// its evacuation.
 func (h *Host) takeEvacuation(at id.Offset, r jobtable.Record) {
 	domain, evacuated, err := platform.DecodeEvacuation(r)
 	if err != nil {
@@ -20,12 +21,13 @@
 		return
 	}
 	if c, changed := h.evacuations.Apply(at, domain, evacuated); changed {
-		h.evacuated([]evacuation.Change{c})
+		h.evacuationsChanged([]evacuation.Change{c})
 	}
 }
 
-// takeEvacuations takes in all evacuations of the newest records of the operator's log, which ended at an offset.
-// What can't be read leaves its domain as it was.
+// takeEvacuations replaces the evacuations by those in the newest records of
+// the operator's log, which ended at an offset. A record that can't be decoded
+// leaves its domain unchanged.
 func (h *Host) takeEvacuations(end id.Offset, recs []jobtable.Record) {
 	var domains []id.Domain
 	for _, r := range recs {
@@ -41,17 +43,18 @@
 			domains = append(domains, domain)
 		}
 	}
-	h.evacuated(h.evacuations.Replace(end, domains))
+	h.evacuationsChanged(h.evacuations.Replace(end, domains))
 }
 
-// rejectEvacuation tells of a record that isn't understood.
+// rejectEvacuation logs and counts a record that can't be decoded.
 func (h *Host) rejectEvacuation(r jobtable.Record, err error) {
 	h.metrics.evacuationsRejected.Inc()
 	h.log.Error("evacuation-rejected", zap.String("key", r.Key), zap.Error(err))
 }
 
-// evacuated hands changes to the owner, if this host is it.
-func (h *Host) evacuated(changes []evacuation.Change) {
+// evacuationsChanged logs changes and passes them to the dispatcher if this
+// host is the owner.
+func (h *Host) evacuationsChanged(changes []evacuation.Change) {
 	if len(changes) == 0 {
 		return
 	}
@@ -64,36 +67,40 @@
 	}
 }
 
-// inform takes in that the operator's records are known as of a read that left at a time.
-func (h *Host) inform(left unit.Instant) {
-	h.informed = max(h.informed, left)
+// inform records that this host knows all operator records up to the time when
+// a read was sent.
+func (h *Host) inform(sent unit.Instant) {
+	h.operatorReadAt = max(h.operatorReadAt, sent)
 	if h.owner != nil {
-		h.owner.inform()
+		h.owner.setOperatorReadTime()
 	}
 }
 
-// evacuate hands the evacuated failure domains to the dispatcher and to the goroutines that send orders.
+// evacuate passes the evacuated failure domains to the dispatcher and to the
+// goroutines that send orders.
 func (o *owner) evacuate() {
 	o.core.Evacuate(o.host.evacuations.Domains())
-	o.setRules()
+	o.setStartRules()
 }
 
-// inform tells the same how new what the host knows is.
-func (o *owner) inform() {
-	o.core.Inform(o.host.informed)
-	o.setRules()
+// setOperatorReadTime passes the time of the newest read of the operator's
+// records to the dispatcher and to the goroutines that send orders.
+func (o *owner) setOperatorReadTime() {
+	o.core.Inform(o.host.operatorReadAt)
+	o.setStartRules()
 }
 
-// setRules sets which orders to start may leave from now on.
-func (o *owner) setRules() {
+// setStartRules sets which start orders may be sent from now on.
+func (o *owner) setStartRules() {
 	r := o.core.StartRules()
-	o.rules.Store(&r)
+	o.startRules.Store(&r)
 }
 
-// held returns the result of an order to start that may not leave any more: it has waited for its turn since it was decided. It returns
-// false if the order may leave.
+// held checks a start order just before it is sent, since it may have been
+// queued for a while. If the order may no longer be sent, held returns the
+// order's result and true, else false.
 func (o *owner) held(s dispatch.Start) (dispatch.StartResult, bool) {
-	why := o.rules.Load().Forbid(o.host.now(), s.Domain)
+	why := o.startRules.Load().Forbid(o.host.now(), s.Domain)
 	if why == "" {
 		return dispatch.StartResult{}, false
 	}
--- a/internal/entry/gather.go
+++ b/internal/entry/gather.go
@@ -13,25 +13,26 @@
 	"curlewsill.org/curlewsill/internal/relay"
 )
 
-// While the store is slow, hosts hand their records to the owner, which appends all that wait at
-// once. The store takes the appends to a topic one after the other: at 60 times its usual time
-// it takes three a second, which dozens of hosts with records of their own would wait for in vain.
+// While the store is slow, hosts forward their records to the owner, which
+// appends all queued records at once. The store handles the appends to a topic
+// one after the other: at 60 times its usual latency it completes three a
+// second, so dozens of hosts that append their own records would time out.
 
-// recordsBase is the address under which a host's own writer is called on the relay's path.
+// recordsBase is the URL of a host's own writer on the relay path.
 const recordsBase = "http://records"
 
-// recordCodec carries a record from a host to the owner.
+// recordCodec encodes a record for the way from a host to the owner.
 var recordCodec = codec.New[gathered]()
 
-// gathered is a record on its way to the owner.
+// gathered is a record that a host forwards to the owner.
 type gathered struct {
 	_     struct{} `cbor:",toarray"`
 	Key   string
 	Value []byte
 }
 
-// putByOwner gets a record into the store through the owner. It reports false if that isn't to be
-// tried, or nothing was sent.
+// putByOwner writes a record to the store through the owner. It reports false
+// if forwarding doesn't apply, or nothing was sent.
 func (h *Host) putByOwner(ctx context.Context, rec jobtable.Record) (outcome, string, bool) {
 	address := h.gatherer.Load()
 	if address == nil || !h.health.slow() || h.health.hanging() {
@@ -57,10 +58,11 @@
 	return unknownOutcome, "the owner says: " + string(why), true
 }
 
-// recordsTransport hands the records of other hosts to this one's writer.
+// recordsTransport passes records from other hosts to this host's writer.
 type recordsTransport struct{ host *Host }
 
-// RoundTrip implements http.RoundTripper. The answer's status is that of a client's call.
+// RoundTrip implements http.RoundTripper. The response has the status with
+// which a client's request would be answered.
 func (t recordsTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
@@ -76,7 +78,7 @@
 	return relay.Answer(req, got.status(), []byte(why)), nil
 }
 
-// status is the HTTP status that tells an outcome.
+// status returns the HTTP status for an outcome.
 func (o outcome) status() int {
 	switch o {
 	case stored:
@@ -88,8 +90,8 @@
 	return http.StatusGatewayTimeout
 }
 
-// findGatherer notes where the owner takes records, unless this host is the owner. It belongs to
-// the deciding goroutine.
+// findGatherer sets the address at which the owner accepts records, or none if
+// this host is the owner. Only the deciding goroutine may call it.
 func (h *Host) findGatherer() {
 	address, ok := h.peerAddresses[h.table.Owner().Host]
 	if !ok || h.owner != nil {
--- a/internal/entry/gather_internal_test.go
+++ b/internal/entry/gather_internal_test.go
@@ -16,12 +16,13 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// TestGatheredRecordWaits checks that the owner waits for a record of another host for the time that this host has left it.
+// TestGatheredRecordWaits checks that the owner waits for the append of a
+// forwarded record for as long as the forwarding host allows.
 //
-// Symptom: calls ended unknown while the store was slow, though their records got there in time. Sequence: a host hands a record to the owner with
-// 1 s, the part of its client's time that it may spend; the store takes 0.15 s an append, and the owner's process stands still for 0.3 s. Cause: the
-// owner took the same part of that second once more, 0.45 s. Settled by: "the owner says: the store has not answered in time", 0.45 s after the call
-// was made again.
+// The host already allows only a part of its client's time, 1 s. If the owner
+// used only a part of that second in turn, 0.45 s, then calls would end with an
+// unknown outcome although the store, slow and with a stall of the owner's
+// process in between, has their records in time.
 func TestGatheredRecordWaits(t *testing.T) {
 	for _, c := range []struct {
 		takes  time.Duration
@@ -33,13 +34,15 @@
 		{2 * time.Second, http.StatusGatewayTimeout},
 	} {
 		t.Run(c.takes.String(), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { handOver(t, c.takes, c.status) })
+			synctest.Test(t, func(t *testing.T) { forwardRecord(t, c.takes, c.status) })
 		})
 	}
 }
 
-// handOver hands one record to an owner whose store takes a time for an append, and checks its answer, which must come before the call's time is over.
-func handOver(t *testing.T, takes time.Duration, status int) {
+// forwardRecord forwards one record to an owner whose store needs the given
+// time for an append, and checks the answer, which must arrive before the
+// call's timeout.
+func forwardRecord(t *testing.T, takes time.Duration, status int) {
 	h := &Host{health: newStoreHealth(zap.NewNop()), metrics: newMetrics(), log: zap.NewNop()}
 	h.writer = newWriter(platform.NewStore("store", &http.Client{Transport: slowStore(takes)}), h.health, "w", zap.NewNop(), h.metrics)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -65,7 +68,7 @@
 	time.Sleep(takes)
 }
 
-// slowStore takes so long for each append.
+// slowStore is a store that needs the given time for each append.
 type slowStore time.Duration
 
 // RoundTrip implements http.RoundTripper.
--- a/internal/entry/health.go
+++ b/internal/entry/health.go
@@ -11,64 +11,68 @@
 )
 
 const (
-	// refusingAfter is for how long every call to the store must have been refused before it
-	// counts as one that takes nothing: a refusal for too many calls ends within one second's
-	// share of them, and one that restarts refuses for longer than this.
+	// refusingAfter is for how long the store must have refused every call
+	// before it counts as refusing. Refusals because of the limit on calls a
+	// second end sooner, and a restarting store refuses for longer than this.
 	refusingAfter = 150 * time.Millisecond
-	// hangingAfter is after which time without any answer a call counts as hanging. A slow
-	// store answers within 300 ms.
+	// hangingAfter is how long a call must have been without an answer, and no
+	// other call answered, before the store counts as hanging. A slow store
+	// answers within 300 ms.
 	hangingAfter = 400 * time.Millisecond
-	// mostUnanswered is how many calls in a row must end without an answer for the same. A store
-	// that loses three answers in ten loses so many in a row once in forty calls.
-	mostUnanswered = 3
-	// slowAfter is how long an answer takes at least from a store that counts as slow: ten times
-	// the usual time.
+	// maxUnanswered is how many calls in a row must end without an answer
+	// before the store counts as hanging. A store that loses 30% of its answers
+	// loses that many in a row about once in forty calls.
+	maxUnanswered = 3
+	// slowAfter is the latency from which on the store counts as slow: ten
+	// times the usual one.
 	slowAfter = 100 * time.Millisecond
 )
 
-// storeHealth is what a host's short calls to the store, those that don't wait there for news,
-// say of it. A call of a client that needs the store is refused at once while it takes nothing,
-// so that the client has time left for another host. It is safe for concurrent use.
+// storeHealth tracks the health of the store by the host's short calls to it,
+// that is, those that don't wait at the store for new records. While the store
+// accepts nothing, a client's request that needs it is refused at once, so that
+// the client has time left to try another host. It is safe for concurrent use.
 type storeHealth struct {
 	log *zap.Logger
 
 	mu sync.Mutex
-	// under holds when each call under way began, by its number.
-	under map[uint64]time.Time
-	next  uint64
-	// answered is when the last answer came, of whatever kind.
+	// inFlight holds the start time of each call in flight, by its number.
+	inFlight map[uint64]time.Time
+	next     uint64
+	// answered is when the last answer of any kind arrived.
 	answered time.Time
-	// refusedSince is when the first of the newest refusals in a row came; zero if the newest
-	// answer was another one.
+	// refusedSince is when the first refusal of the current unbroken series
+	// arrived; zero if the newest answer wasn't a refusal.
 	refusedSince time.Time
-	// unanswered counts the calls in a row that ended without an answer, unansweredSince is when
-	// the first of them did.
+	// unanswered counts the consecutive calls that ended without an answer;
+	// unansweredSince is when the first of them ended.
 	unanswered      int
 	unansweredSince time.Time
-	// took is how long the newest answer took.
-	took time.Duration
+	// latency is that of the newest answer.
+	latency time.Duration
 }
 
 func newStoreHealth(log *zap.Logger) *storeHealth {
-	return &storeHealth{log: log, under: map[uint64]time.Time{}}
+	return &storeHealth{log: log, inFlight: map[uint64]time.Time{}}
 }
 
-// begin notes a call that leaves now. The function that it returns takes what became of it.
+// begin records a call that is sent now. The caller passes the call's error to
+// the returned function.
 func (h *storeHealth) begin() func(error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.next++
 	n := h.next
-	h.under[n] = time.Now()
+	h.inFlight[n] = time.Now()
 	return func(err error) { h.end(n, err) }
 }
 
-// end notes what became of a call.
+// end records the result of a call.
 func (h *storeHealth) end(n uint64, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	began := h.under[n]
-	delete(h.under, n)
+	began := h.inFlight[n]
+	delete(h.inFlight, n)
 	now := time.Now()
 	if errors.Is(err, platform.ErrUnknown) {
 		if h.unanswered == 0 {
@@ -79,7 +83,7 @@
 	}
 	h.unanswered = 0
 	h.answered = now
-	h.learnPace(now.Sub(began))
+	h.noteLatency(now.Sub(began))
 	switch {
 	case !errors.Is(err, platform.ErrNotDone):
 		h.refusedSince = time.Time{}
@@ -88,30 +92,33 @@
 	}
 }
 
-// learnPace notes how long the newest answer took, and logs when that changes what is believed.
-func (h *storeHealth) learnPace(took time.Duration) {
-	was := h.took >= slowAfter
-	h.took = took
+// noteLatency records the latency of the newest answer, and logs a change
+// between slow and normal.
+func (h *storeHealth) noteLatency(took time.Duration) {
+	was := h.latency >= slowAfter
+	h.latency = took
 	if slow := took >= slowAfter; slow != was {
 		h.log.Info("store-pace", zap.Bool("slow", slow), zap.Duration("took", took))
 	}
 }
 
-// refusing reports whether the store has refused every call for a while.
+// refusing reports whether the store has refused every call for at least
+// refusingAfter.
 func (h *storeHealth) refusing() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.refusedSince.IsZero() && time.Since(h.refusedSince) >= refusingAfter
 }
 
-// slow reports whether the newest answer took long, or one has been awaited for as long.
+// slow reports whether the newest answer took at least slowAfter, or a call has
+// been in flight for that long.
 func (h *storeHealth) slow() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.took >= slowAfter {
+	if h.latency >= slowAfter {
 		return true
 	}
-	for _, began := range h.under {
+	for _, began := range h.inFlight {
 		if time.Since(began) >= slowAfter {
 			return true
 		}
@@ -119,16 +126,18 @@
 	return false
 }
 
-// hanging reports whether the store answers nothing: some call has waited long for its answer and
-// no other one has got one meanwhile, or several in a row have ended without one. A client's call
-// would then end unknown, after which many clients can't ask again.
+// hanging reports whether the store doesn't answer: some call has been in
+// flight for at least hangingAfter without another one being answered since it
+// began, or several calls in a row have ended without an answer. A client's
+// request would then end with an unknown outcome, after which many clients
+// can't retry.
 func (h *storeHealth) hanging() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.unanswered >= mostUnanswered && time.Since(h.unansweredSince) >= refusingAfter {
+	if h.unanswered >= maxUnanswered && time.Since(h.unansweredSince) >= refusingAfter {
 		return true
 	}
-	for _, began := range h.under {
+	for _, began := range h.inFlight {
 		if time.Since(began) >= hangingAfter && h.answered.Before(began) {
 			return true
 		}
--- a/internal/entry/health_internal_test.go
+++ b/internal/entry/health_internal_test.go
@@ -12,8 +12,9 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// TestStoreHealth plays short scripts in virtual time: a duration passes, begin starts a call, and
-// the other words end the oldest call under way; the last word of each says what the health is.
+// TestStoreHealth runs short scripts in virtual time: a duration lets that time
+// pass, begin starts a call, and the other words end the oldest call in flight
+// with that result. The last word of a script is the expected health.
 func TestStoreHealth(t *testing.T) {
 	outcomes := map[string]error{"done": nil, "refused": fmt.Errorf("store: %w", platform.ErrNotDone), "unanswered": platform.ErrUnknown}
 	for _, script := range []string{
@@ -38,7 +39,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			h := newStoreHealth(zap.NewNop())
-			var under []func(error)
+			var inFlight []func(error)
 			words := strings.Fields(script)
 			for _, word := range words[:len(words)-1] {
 				if d, err := time.ParseDuration(word); err == nil {
@@ -46,11 +47,11 @@
 					continue
 				}
 				if word == "begin" {
-					under = append(under, h.begin())
+					inFlight = append(inFlight, h.begin())
 					continue
 				}
-				under[0](outcomes[word])
-				under = under[1:]
+				inFlight[0](outcomes[word])
+				inFlight = inFlight[1:]
 			}
 			want := words[len(words)-1]
 			got := "well"
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -1,9 +1,11 @@
-// Package entry runs one entry host on the users' platform.
+// Package entry runs one entry host, which accepts jobs from clients on the
+// users' platform and can become the owner of scheduling.
 //
-// One goroutine decides: it owns the table of jobs, the configuration, the election
-// and, on the owner, the dispatcher. The others read and write the store, order
-// workers and answer clients; they hand their news to the deciding goroutine through
-// one bounded ring, which pushes back when it is full.
+// One goroutine, the deciding goroutine, owns the table of jobs, the
+// configuration, the election and, on the owner, the dispatcher. The other
+// goroutines read and write the store, send orders to workers and answer
+// clients; they pass events to the deciding goroutine through one bounded ring,
+// which blocks them when it is full.
 package entry
 
 import (
@@ -37,21 +39,24 @@
 )
 
 const (
-	// events is how many events may wait for the deciding goroutine.
+	// events is the capacity of the ring of events for the deciding goroutine.
 	events = 4096
-	// memoryShare is the part of the allowed memory that the runtime aims at.
+	// memoryShare is the part of the allowed memory that the runtime uses as
+	// its soft limit.
 	memoryShare = 0.6
-	// storeConns and workerConns bound the connections to the store and to each
-	// worker.
+	// storeConns and workerConns limit the number of connections to the store
+	// and to each worker.
 	storeConns  = 8
 	workerConns = 8
-	// adviceConns bounds those to the advice service, which takes one call at a time.
+	// adviceConns limits those to the advice service, which handles one call at
+	// a time.
 	adviceConns = 1
-	// machineConns bounds those to the service that takes machines down.
+	// machineConns limits those to the service that takes machines down.
 	machineConns = 2
 )
 
-// event is news for the deciding goroutine, which calls it.
+// event is a function that the deciding goroutine calls to handle one
+// occurrence.
 type event func(now unit.Instant)
 
 // Host is one entry host.
@@ -59,17 +64,18 @@
 	settings settings.Site
 	log      *zap.Logger
 	metrics  *metrics
-	// links are the connections from and to peers.
+	// links are the connections with peers, in both directions.
 	links *wslink.Links
-	// path and advicePath lead to the store and to the advice service, by this host and by
-	// its peers.
+	// path and advicePath carry calls to the store and to the advice service,
+	// directly or through peers.
 	path, advicePath *relay.Path
-	// recordsPath leads to the writers of peers; gatherer is where the owner takes records, nil
-	// if that isn't known or is this host.
+	// recordsPath carries records to the writers of peers. gatherer is the
+	// address at which the owner accepts records; nil if it is unknown or this
+	// host is the owner.
 	recordsPath *relay.Path
 	gatherer    atomic.Pointer[string]
-	// watchPath leads to what peers tell of the owner; watched is the owner if this host is to
-	// ask whether it lives, else nil.
+	// watchPath carries questions about the owner to peers. watched is the
+	// owner if this host is to check whether it is alive, else nil.
 	watchPath *relay.Path
 	watched   atomic.Pointer[watched]
 	// deciding is set while the deciding goroutine runs.
@@ -78,24 +84,25 @@
 	workers  *platform.Workers
 	advice   *platform.Advice
 	machines *platform.Machines
-	// self is unique for this life of the process.
+	// self is the name of this incarnation of the host.
 	self   id.Host
 	events *ring.Ring[event]
 	writer *writer
-	// health is what the short calls to the store say of it.
+	// health tracks the health of the store by the short calls to it.
 	health *storeHealth
 
 	listeners []net.Listener
-	// peers is the address on which peers are answered, with the port that was given if
-	// the settings left it open.
+	// peers is the address of the listener for peers, with the port that the
+	// system chose if the settings give none.
 	peers   string
 	servers []*http.Server
 
 	// catalog is the configuration in force; nil before the first.
 	catalog atomic.Pointer[catalog.Catalog]
-	// ready is what the balancer is told.
+	// ready is the readiness that the load balancer sees.
 	ready atomic.Bool
-	// room is for how many hosts the group has room, as far as this host has seen.
+	// room is the number of hosts that fit into the group, as last seen by this
+	// host.
 	room atomic.Int32
 	// standby is set while this host would be among the first to claim.
 	standby atomic.Bool
@@ -106,66 +113,77 @@
 	stopped  chan struct{}
 
 	clock Clock
-	// suspended is for how long the machine had been suspended when that was last looked at.
+	// suspended is the total time for which the machine had been suspended at
+	// the last check.
 	suspended time.Duration
-	// wake cuts the pause between two reads of the jobs short.
+	// wake ends the pause between two reads of the jobs early.
 	wake chan struct{}
 
-	// What follows belongs to the deciding goroutine; others reach it by ask and post.
-	// loaded is set once table holds the store's state.
+	// Only the deciding goroutine may use the fields below; other goroutines
+	// reach them by ask and post. loaded is set once table holds the store's
+	// state.
 	table  *jobtable.Table
 	loaded bool
-	// waves holds the waves of maintenance that the operator asks for.
+	// waves holds the maintenance waves that the operator has requested.
 	waves map[id.Wave]upkeep.Wave
-	// evacuations holds the failure domains that the operator has evacuated; informed is as of when all that the operator has
-	// written is known, 0 before it was first read.
-	evacuations evacuation.Set
-	informed    unit.Instant
-	election    *election.Election
-	// progress is how much of the progress log the table has.
+	// evacuations holds the failure domains that the operator has evacuated.
+	// operatorReadAt is the time up to which all operator records are known; 0
+	// before the first read.
+	evacuations    evacuation.Set
+	operatorReadAt unit.Instant
+	election       *election.Election
+	// progress is the position in the progress log up to which the table is
+	// complete.
 	progress progressAt
-	// owner is nil unless this host schedules; claiming is set while an append that
-	// is to make it the owner is under way, takeover from then on until it is.
+	// owner is nil unless this host schedules. claiming is set while an append
+	// that is to make this host the owner is in flight, and takeover from then
+	// on until the host is the owner.
 	owner    *owner
 	claiming bool
 	takeover *takeover
-	// newest is the epoch of the newest claim that was seen.
+	// newest is the epoch of the newest claim that this host has read.
 	newest id.Epoch
-	// lost is the last epoch under which this host gave up scheduling.
+	// lost is the last epoch whose owner has ended for certain: this host gave
+	// it up, or it was an earlier incarnation's.
 	lost id.Epoch
-	// watchers are told when a job ends.
+	// watchers are notified when a job ends.
 	watchers watchers
-	// peerAddresses holds where the other hosts of the newest look at the group listen for peers.
+	// peerAddresses holds the addresses at which the other hosts listen for
+	// peers, as of the newest read of the group of live hosts.
 	peerAddresses map[id.Host]string
-	// counts are told to callers.
+	// counts caches the numbers of waiting jobs that callers ask for.
 	counts counts
-	// released is the epoch whose owner gave it back.
-	released id.Epoch
-	// assured is as of when it is known that nobody else was the owner: a read of the jobs left then that told
-	// of no other, or all other hosts answered that they know of none.
+	// releasedEpoch is the newest epoch whose owner has released the ownership.
+	releasedEpoch id.Epoch
+	// assured is the newest time at which no other host is known to have been
+	// the owner: a read of the jobs that was sent then showed no other owner,
+	// or all other hosts answered that they know of none.
 	assured unit.Instant
-	// others are the other hosts that looks at the group have shown lately, by the names that all lives of a host share.
+	// others are the other hosts that recent reads of the group have returned,
+	// by the names that all incarnations of a host share.
 	others map[id.Host]otherHost
 }
 
-// Clock tells the time by which a host judges what it believes of others.
+// Clock provides the time by which a host ages its information about other
+// machines.
 type Clock interface {
-	// Now never jumps, and goes on while the machine is suspended.
+	// Now is monotonic, and advances while the machine is suspended.
 	Now() unit.Instant
-	// Suspended is for how long the machine was suspended up to now.
+	// Suspended returns the total time for which the machine has been
+	// suspended.
 	Suspended() time.Duration
 }
 
 // New returns a host whose listeners are open.
 func New(s settings.Site, clock Clock, log *zap.Logger) (*Host, error) {
 	debug.SetMemoryLimit(int64(float64(s.Memory) * memoryShare))
-	self, err := drawName(s.Host)
+	self, err := newHostName(s.Host)
 	if err != nil {
 		return nil, err
 	}
 	m := newMetrics()
 	client := func(kind peerKind, conns int) *http.Client {
-		return platform.NewHTTPClient(conns, m.deadConns(log, kind))
+		return platform.NewHTTPClient(conns, m.deadConnHandler(log, kind))
 	}
 	links := relay.NewLinks((&net.Dialer{}).DialContext, log)
 	path := relay.New("http://"+s.Store, relay.RouteStore, client(toStore, storeConns), links, log)
@@ -174,7 +192,7 @@
 		settings: s, log: log, metrics: m, self: self,
 		links: links, path: path, advicePath: advicePath,
 		store:    platform.NewStore(s.Store, &http.Client{Transport: path}),
-		workers:  platform.NewWorkers(platform.NewWorkerClient(workerConns, m.deadConns(log, toWorkers)), log),
+		workers:  platform.NewWorkers(platform.NewWorkerClient(workerConns, m.deadConnHandler(log, toWorkers)), log),
 		advice:   platform.NewAdvice(s.Advice, &http.Client{Transport: advicePath}, log),
 		machines: platform.NewMachines(s.Machines, s.Host, client(toMachines, machineConns), log),
 		events:   ring.New[event](events), stopped: make(chan struct{}),
@@ -193,30 +211,32 @@
 	return h, nil
 }
 
-// drawName returns a host's name for this life of the process.
-func drawName(host id.Host) (id.Host, error) {
+// newHostName returns a unique name for this incarnation of the host.
+func newHostName(host id.Host) (id.Host, error) {
 	var draw [4]byte
 	if _, err := rand.Read(draw[:]); err != nil {
 		return "", fmt.Errorf("entry: %w", err)
 	}
-	return id.Host(fmt.Sprintf("%s%s%08x", host, lifeMark, binary.BigEndian.Uint32(draw[:]))), nil
+	return id.Host(fmt.Sprintf("%s%s%08x", host, incarnationSeparator, binary.BigEndian.Uint32(draw[:]))), nil
 }
 
-// lifeMark stands between the name of a host's machine and the draw of its life.
-const lifeMark = "#"
+// incarnationSeparator separates the name of a host's machine from the random
+// suffix of the incarnation.
+const incarnationSeparator = "#"
 
-// machineOf returns the name that all lives of a host share.
-func machineOf(life id.Host) id.Host {
-	if i := strings.LastIndex(string(life), lifeMark); i >= 0 {
-		return life[:i]
+// machineOf returns the name that all incarnations of a host share.
+func machineOf(incarnation id.Host) id.Host {
+	if i := strings.LastIndex(string(incarnation), incarnationSeparator); i >= 0 {
+		return incarnation[:i]
 	}
-	return life
+	return incarnation
 }
 
-// now is the time by a clock that never jumps, and counts suspensions: what is believed of other machines ages meanwhile.
+// now returns the time of the host's clock. It is monotonic and includes
+// suspensions, during which information about other machines ages too.
 func (h *Host) now() unit.Instant { return h.clock.Now() }
 
-// post hands news to the deciding goroutine.
+// post passes an event to the deciding goroutine.
 func (h *Host) post(ctx context.Context, e event) bool { return h.events.Push(ctx, e) }
 
 // Run serves until ctx is done or Stop has finished.
@@ -240,7 +260,7 @@
 	go h.readOperator(ctx)
 	go h.keepMembership(ctx)
 	go h.watchOwner(ctx)
-	go h.seekAssurance(ctx)
+	go h.requestAssurance(ctx)
 	go h.decide(ctx)
 	select {
 	case <-ctx.Done():
@@ -250,11 +270,11 @@
 	return nil
 }
 
-// Metrics returns the address on which counters are served.
+// Metrics returns the address at which metrics are served.
 func (h *Host) Metrics() string { return h.listeners[2].Addr().String() }
 
-// Reload takes in that the settings may have changed. Addresses and names stay for
-// the life of the process.
+// Reload logs changed settings. Addresses and names stay as they are for the
+// lifetime of the process.
 func (h *Host) Reload(s settings.Site) {
 	h.log.Info("settings-reloaded", zap.String("host", string(s.Host)), zap.Bool("store_moved", s.Store != h.settings.Store))
 }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -16,95 +16,106 @@
 )
 
 const (
-	// freshOrders is how many orders of one kind may be under way that left within orderSettles.
-	// Workers answer within a few milliseconds, so 64 carry several thousand orders a second; all
-	// renewals of a new owner at once would leave the deciding goroutine no turn. What hangs for
-	// longer makes room for others.
-	freshOrders  = 64
-	orderSettles = 100 * time.Millisecond
-	// mostStarts and mostStops bound the goroutines for each kind of order. A window bounds the starts under way.
-	mostStarts = 512
-	mostStops  = 512
-	// renewalDescriptors and renewalMemory are the parts of the host's descriptors and memory for the renewals that wait for news, one for
-	// each worker that is at work; renewalBytes is what one takes: a goroutine, a connection and its buffers.
-	renewalDescriptors = 0.5
-	renewalMemory      = 0.25
-	renewalBytes       = 32 * unit.KiB
-	// startsEach, stopsEach and renewalsEach bound the orders under way to one worker. Together
-	// they are workerConns, so that none of them waits for another kind's connections.
-	startsEach   = 4
-	stopsEach    = 3
-	renewalsEach = workerConns - startsEach - stopsEach
-	// waitingOrders is how many orders of one kind may wait: more than there are tasks on 3,000 workers of 8 accelerators. One takes some 200 bytes.
-	waitingOrders = 1 << 15
+	// maxFreshOrders is how many orders of one kind may be in flight that were
+	// sent within freshOrderAge. Workers answer within a few milliseconds, so
+	// 64 are enough for several thousand orders a second. If a new owner sent
+	// all renewals at once, their goroutines would starve the deciding
+	// goroutine. Orders in flight for longer than freshOrderAge don't count.
+	maxFreshOrders = 64
+	freshOrderAge  = 100 * time.Millisecond
+	// maxStarts and maxStops limit the number of goroutines for each kind of
+	// order. The number of starts in flight is also limited by a window.
+	maxStarts = 512
+	maxStops  = 512
+	// renewalDescriptorShare and renewalMemoryShare are the parts of the host's
+	// file descriptors and memory for renewals that wait at workers for
+	// reports, one for each busy worker. renewalBytes is the memory for one of
+	// them: a goroutine, a connection and its buffers.
+	renewalDescriptorShare = 0.5
+	renewalMemoryShare     = 0.25
+	renewalBytes           = 32 * unit.KiB
+	// startsPerWorker, stopsPerWorker and renewalsPerWorker limit the orders in
+	// flight to one worker. Their sum is workerConns, so that no kind of order
+	// waitingRenewals for connections that another kind uses.
+	startsPerWorker   = 4
+	stopsPerWorker    = 3
+	renewalsPerWorker = workerConns - startsPerWorker - stopsPerWorker
+	// maxQueuedOrders is how many orders of one kind may be queued: more than
+	// there are tasks on 3,000 workers of 8 accelerators. One takes some 200
+	// bytes.
+	maxQueuedOrders = 1 << 15
 )
 
-// mostWaits returns how many renewals may wait for news at workers at a time.
-func mostWaits(s settings.Site) int {
-	byMemory := renewalMemory * float64(s.Memory) / float64(renewalBytes)
-	return int(min(renewalDescriptors*float64(s.Descriptors), byMemory))
+// maxWaitingRenewals returns how many renewals may wait at workers for reports
+// at the same time.
+func maxWaitingRenewals(s settings.Site) int {
+	byMemory := renewalMemoryShare * float64(s.Memory) / float64(renewalBytes)
+	return int(min(renewalDescriptorShare*float64(s.Descriptors), byMemory))
 }
 
-// outboxes hold the orders to workers that wait for their turn, so that renewals and stops never wait
-// behind starts.
+// outboxes hold the queued orders to workers, by kind, so that renewals and
+// stops never wait behind starts.
 type outboxes struct {
 	starts, stops, renewals *outbox.Box[id.Worker]
 }
 
-// newOutboxes returns empty ones, for so many renewals that wait for news.
-func newOutboxes(waits int) outboxes {
+// newOutboxes returns empty outboxes, for the given number of renewals that
+// wait at workers.
+func newOutboxes(waitingRenewals int) outboxes {
 	box := func(all, each int) *outbox.Box[id.Worker] {
-		return outbox.New[id.Worker](outbox.Limits{Waiting: waitingOrders, Fresh: freshOrders, All: all, Settles: orderSettles, Each: each})
+		return outbox.New[id.Worker](outbox.Limits{Waiting: maxQueuedOrders, Fresh: maxFreshOrders, All: all, Settles: freshOrderAge, Each: each})
 	}
 	return outboxes{
-		starts: box(mostStarts, startsEach), stops: box(mostStops, stopsEach), renewals: box(waits+freshOrders, renewalsEach),
+		starts: box(maxStarts, startsPerWorker), stops: box(maxStops, stopsPerWorker), renewals: box(waitingRenewals+maxFreshOrders, renewalsPerWorker),
 	}
 }
 
-// close drops what waits.
+// close drops the queued orders.
 func (b outboxes) close() {
 	b.starts.Close()
 	b.stops.Close()
 	b.renewals.Close()
 }
 
-// handOut sends what the dispatcher has decided: a worker has at most one renewal and one
-// order for each of its runs under way, a host one question to the advice service, and a wave as
-// many orders as it may take machines down.
-func (o *owner) handOut(ctx context.Context) {
+// sendOrders sends the orders that the dispatcher has decided. In flight there
+// are at most one renewal to each worker, one order for each run, one question
+// to the advice service, and for each wave as many orders as it may take
+// machines down.
+func (o *owner) sendOrders(ctx context.Context) {
 	orders := o.core.Take()
-	o.deliver(ctx, orders)
+	o.enqueueOrders(ctx, orders)
 	for _, x := range orders.Asks {
 		go o.send(ctx, "ask", func() (fleet.Verdict, event) { return o.askAdvice(ctx, x) })
 	}
 	for _, x := range orders.Upkeeps {
 		go o.send(ctx, "upkeep", func() (fleet.Verdict, event) { return o.takeDown(ctx, x) })
 	}
-	o.offer(orders.Reports)
+	o.queueReports(orders.Reports)
 }
 
-// deliver queues the orders to workers.
-func (o *owner) deliver(ctx context.Context, orders dispatch.Orders) {
+// enqueueOrders queues the orders to workers.
+func (o *owner) enqueueOrders(ctx context.Context, orders dispatch.Orders) {
 	for _, x := range orders.Stops {
-		o.queue(ctx, o.boxes.stops, "stop", x.Worker, o.stop(ctx, x), o.stopped(dispatch.StopResult{Stop: x}))
+		o.enqueue(ctx, o.boxes.stops, "stop", x.Worker, o.stop(ctx, x), o.stopped(dispatch.StopResult{Stop: x}))
 	}
 	for _, x := range orders.Paces {
-		o.queue(ctx, o.boxes.stops, "pace", x.Worker, o.pace(ctx, x), o.paced(dispatch.PaceResult{Pace: x}))
+		o.enqueue(ctx, o.boxes.stops, "pace", x.Worker, o.pace(ctx, x), o.paced(dispatch.PaceResult{Pace: x}))
 	}
 	for _, x := range orders.Renews {
-		o.queue(ctx, o.boxes.renewals, "renew", x.Worker, o.renew(ctx, x), o.renewed(dispatch.RenewResult{Renew: x, Sent: o.host.now()}))
+		o.enqueue(ctx, o.boxes.renewals, "renew", x.Worker, o.renew(ctx, x), o.renewed(dispatch.RenewResult{Renew: x, Sent: o.host.now()}))
 	}
 	for _, x := range orders.Starts {
-		o.queue(ctx, o.boxes.starts, "start", x.Worker, o.start(ctx, x), o.started(dispatch.StartResult{Start: x}))
+		o.enqueue(ctx, o.boxes.starts, "start", x.Worker, o.start(ctx, x), o.started(dispatch.StartResult{Start: x}))
 	}
 }
 
-// sender makes the call for an order. It returns the verdict, and what hands the result to the
-// dispatcher.
-type sender func() (fleet.Verdict, event)
+// orderCall makes the call for an order. It returns the verdict, and an event
+// that passes the result to the dispatcher.
+type orderCall func() (fleet.Verdict, event)
 
-// queue puts an order into a box. If that is full, the order's result is that its fate is unknown.
-func (o *owner) queue(ctx context.Context, box *outbox.Box[id.Worker], kind string, to id.Worker, by sender, unknown event) {
+// enqueue puts an order into a box. If the box is full, the order counts as one
+// whose outcome is unknown.
+func (o *owner) enqueue(ctx context.Context, box *outbox.Box[id.Worker], kind string, to id.Worker, by orderCall, unknown event) {
 	if !box.Put(to, func() { o.send(ctx, kind, by) }) {
 		o.host.metrics.ordersDropped.Inc()
 		o.host.log.Warn("order-dropped", zap.String("kind", kind), zap.String("worker", string(to)))
@@ -112,8 +123,9 @@
 	}
 }
 
-// start sends an order to start, unless it may not leave any more.
-func (o *owner) start(ctx context.Context, s dispatch.Start) sender {
+// start returns the call that sends a start order, unless the order may not be
+// sent any more.
+func (o *owner) start(ctx context.Context, s dispatch.Start) orderCall {
 	return func() (fleet.Verdict, event) {
 		res, held := o.held(s)
 		if !held {
@@ -123,26 +135,29 @@
 	}
 }
 
-// started hands the result of an order to start to the dispatcher.
+// started returns the event that passes the result of a start order to the
+// dispatcher.
 func (o *owner) started(res dispatch.StartResult) event {
 	return func(now unit.Instant) { o.core.Started(now, res) }
 }
 
-// stop sends an order to stop.
-func (o *owner) stop(ctx context.Context, s dispatch.Stop) sender {
+// stop returns the call that sends a stop order.
+func (o *owner) stop(ctx context.Context, s dispatch.Stop) orderCall {
 	return func() (fleet.Verdict, event) {
 		res := o.host.workers.Stop(ctx, s)
 		return res.Verdict, o.stopped(res)
 	}
 }
 
-// stopped hands the result of an order to stop to the dispatcher.
+// stopped returns the event that passes the result of a stop order to the
+// dispatcher.
 func (o *owner) stopped(res dispatch.StopResult) event {
 	return func(now unit.Instant) { o.core.Stopped(now, res) }
 }
 
-// renew sends a renewal; what is told in its answer is as of when that left, or later.
-func (o *owner) renew(ctx context.Context, r dispatch.Renew) sender {
+// renew returns the call that sends a renewal. The report in the answer is as
+// of the time of sending or later.
+func (o *owner) renew(ctx context.Context, r dispatch.Renew) orderCall {
 	return func() (fleet.Verdict, event) {
 		sent := o.host.now()
 		v, report := o.host.workers.Renew(ctx, r)
@@ -150,25 +165,28 @@
 	}
 }
 
-// renewed hands the result of a renewal to the dispatcher.
+// renewed returns the event that passes the result of a renewal to the
+// dispatcher.
 func (o *owner) renewed(res dispatch.RenewResult) event {
 	return func(now unit.Instant) { o.core.Renewed(now, res) }
 }
 
-// pace sends an order on a run's speed.
-func (o *owner) pace(ctx context.Context, p dispatch.Pace) sender {
+// pace returns the call that sends an order to change a run's speed.
+func (o *owner) pace(ctx context.Context, p dispatch.Pace) orderCall {
 	return func() (fleet.Verdict, event) {
 		res := o.host.workers.Pace(ctx, p)
 		return res.Verdict, o.paced(res)
 	}
 }
 
-// paced hands the result of an order on a run's speed to the dispatcher.
+// paced returns the event that passes the result of such an order to the
+// dispatcher.
 func (o *owner) paced(res dispatch.PaceResult) event {
 	return func(now unit.Instant) { o.core.Paced(now, res) }
 }
 
-// askAdvice asks the advice service. Tickets count from the question at the earliest.
+// askAdvice asks the advice service for permits. Their validity counts from the
+// time of sending, the earliest at which the service can have issued them.
 func (o *owner) askAdvice(ctx context.Context, q dispatch.Ask) (fleet.Verdict, event) {
 	sent := o.host.now()
 	v, permits, valid := o.host.advice.Ask(ctx, q)
@@ -176,22 +194,24 @@
 	return v, func(now unit.Instant) { o.core.Advised(now, res) }
 }
 
-// takeDown orders a machine down.
+// takeDown orders a machine to be taken down.
 func (o *owner) takeDown(ctx context.Context, u dispatch.Upkeep) (fleet.Verdict, event) {
 	v := o.host.machines.Upkeep(ctx, u)
 	return v, func(now unit.Instant) { o.core.Upkept(now, dispatch.UpkeepResult{Upkeep: u, Verdict: v}) }
 }
 
-// send makes one call, counts it by its verdict, and hands its result to the dispatcher.
+// send makes one call, counts it by its verdict, and passes its result to the
+// dispatcher.
 func (o *owner) send(ctx context.Context, kind string, order func() (fleet.Verdict, event)) {
 	began := time.Now()
 	verdict, take := order()
 	o.host.metrics.order(kind, began, verdict.String())
-	o.answered(ctx, take)
+	o.postIfOwner(ctx, take)
 }
 
-// answered hands news to the dispatcher, if this owner is still in office then.
-func (o *owner) answered(ctx context.Context, take event) {
+// postIfOwner posts an event that the deciding goroutine drops if this owner is
+// no longer in office.
+func (o *owner) postIfOwner(ctx context.Context, take event) {
 	o.host.post(ctx, func(now unit.Instant) {
 		if o.host.owner == o {
 			take(now)
@@ -199,8 +219,8 @@
 	})
 }
 
-// tell logs and counts what was decided.
-func (o *owner) tell() {
+// logDecisions logs and counts the dispatcher's decisions.
+func (o *owner) logDecisions() {
 	for _, n := range o.core.Notes() {
 		if n.Event == dispatch.EventViolated {
 			o.host.metrics.faults.Inc()
@@ -210,7 +230,8 @@
 	}
 }
 
-// noteFields returns the fields of a decision that are set.
+// noteFields returns the log fields of a decision, without those that are
+// unset.
 func noteFields(n dispatch.Note) []zap.Field {
 	var fields []zap.Field
 	if n.Job != "" {
--- a/internal/entry/overload_internal_test.go
+++ b/internal/entry/overload_internal_test.go
@@ -23,39 +23,42 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// recordSize is the size of each record of a sharedStore, pageSize that of its largest answer, a tenth of the platform's.
+// recordSize is the size of each record of a sharedStore, and pageSize that of
+// its largest answer, a tenth of the platform's.
 const (
 	recordSize = 1000
 	pageSize   = 100 * recordSize
 )
 
-// sharedStore has one log. All answers share what it gives in a second, one after the other; what is given to a reader that has left is spent, too.
+// sharedStore is a store with one log. Its answers are sent one after the other
+// and share its bandwidth; an answer to a reader that has given up uses
+// bandwidth too.
 type sharedStore struct {
-	// gives is in bytes a second.
-	gives float64
-	// keeps is how many bytes the newest records of all keys take.
-	keeps int
+	// bandwidth is in bytes a second.
+	bandwidth float64
+	// snapshotBytes is the size of the newest records of all keys.
+	snapshotBytes int
 
 	mu sync.Mutex
-	// free is when the store is done with the answers that it was asked for.
-	free time.Time
-	// first and end are the offsets of what it keeps.
+	// busyUntil is when the store will have sent all answers requested so far.
+	busyUntil time.Time
+	// first and end are the offsets between which the store keeps records.
 	first, end int
-	// grown is closed when the log grows, and made anew.
+	// grown is closed when the log grows, and then replaced.
 	grown chan struct{}
 }
 
-// write adds records for a time, so many bytes a second.
-func (s *sharedStore) write(lasts time.Duration, rate float64) {
+// write appends records for the given time, at a rate in bytes a second.
+func (s *sharedStore) write(duration time.Duration, rate float64) {
 	const every = 10 * time.Millisecond
-	owed := 0.0
-	for range int(lasts / every) {
+	pendingRecords := 0.0
+	for range int(duration / every) {
 		time.Sleep(every)
-		owed += rate * every.Seconds() / recordSize
+		pendingRecords += rate * every.Seconds() / recordSize
 		s.mu.Lock()
-		if owed >= 1 {
-			s.end += int(owed)
-			owed -= float64(int(owed))
+		if pendingRecords >= 1 {
+			s.end += int(pendingRecords)
+			pendingRecords -= float64(int(pendingRecords))
 			close(s.grown)
 			s.grown = make(chan struct{})
 		}
@@ -70,8 +73,8 @@
 	s.first = s.end
 }
 
-// ends returns where the log ends.
-func (s *sharedStore) ends() int {
+// endOffset returns the end of the log.
+func (s *sharedStore) endOffset() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.end
@@ -82,7 +85,7 @@
 	q := req.URL.Query()
 	if req.URL.Path == "/log-newest" {
 		s.mu.Lock()
-		value := strings.Repeat("A", s.keeps/4*4) // base64
+		value := strings.Repeat("A", s.snapshotBytes/4*4) // base64
 		body := fmt.Sprintf(`{"items":[{"PrivateKey":"k","Value":%q,"offset":0}],"end":%d}`, value, s.end)
 		s.mu.Unlock()
 		return s.answer(req, http.StatusOK, body)
@@ -112,7 +115,7 @@
 	}
 }
 
-// page returns an answer with so many records.
+// page returns an answer with the given number of records.
 func page(end, first, records int) string {
 	b := binary.BigEndian.AppendUint64(nil, uint64(end))
 	b = binary.BigEndian.AppendUint64(b, uint64(first))
@@ -121,17 +124,17 @@
 	return string(b) + strings.Repeat(string(record), records)
 }
 
-// answer gives an answer in its turn.
+// answer sends an answer after the earlier ones.
 func (s *sharedStore) answer(req *http.Request, status int, body string) (*http.Response, error) {
 	s.mu.Lock()
 	start := time.Now()
-	if s.free.After(start) {
-		start = s.free
+	if s.busyUntil.After(start) {
+		start = s.busyUntil
 	}
-	takes := time.Duration(float64(len(body)) / s.gives * float64(time.Second))
-	s.free = start.Add(takes)
+	transferTime := time.Duration(float64(len(body)) / s.bandwidth * float64(time.Second))
+	s.busyUntil = start.Add(transferTime)
 	s.mu.Unlock()
-	if !pause(req.Context(), time.Until(start)+takes) {
+	if !pause(req.Context(), time.Until(start)+transferTime) {
 		return nil, req.Context().Err()
 	}
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body)), Header: http.Header{}, Request: req}, nil
@@ -143,21 +146,22 @@
 	next int
 }
 
-// at returns how far it is.
-func (f *follower) at() int {
+// position returns the offset up to which the follower has read.
+func (f *follower) position() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next
 }
 
-// reach notes how far it is.
-func (f *follower) reach(next id.Offset) {
+// advance sets the offset up to which the follower has read.
+func (f *follower) advance(next id.Offset) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next = int(next)
 }
 
-// follow follows the log until ctx is done. Short calls of the host are answered all the time.
+// follow follows the log until ctx is done, while the host's short calls are
+// always answered.
 func (f *follower) follow(ctx context.Context, path *relay.Path) {
 	h := &Host{
 		log: zap.NewNop(), health: newStoreHealth(zap.NewNop()), clock: newTestClock(),
@@ -169,31 +173,35 @@
 		}
 	}()
 	t := &tail{host: h, topic: platform.TopicJobs, wait: func() time.Duration { return jobsWait }, pause: func() time.Duration { return jobsPause }}
-	t.whole = func(_ []jobtable.Record, end id.Offset) { f.reach(end) }
-	t.more = func(recs []jobtable.Record, from id.Offset) { f.reach(from + id.Offset(len(recs))) }
+	t.whole = func(_ []jobtable.Record, end id.Offset) { f.advance(end) }
+	t.more = func(recs []jobtable.Record, from id.Offset) { f.advance(from + id.Offset(len(recs))) }
 	t.run(ctx)
 }
 
-// TestOverload plays the scripts of testdata/overload: hosts follow a log of a store that gives less than all of them ask for.
+// TestOverload runs the scripts of testdata/overload: hosts
+// follow the log of a store with less bandwidth than all of them need.
 //
-//	hosts N             so many hosts follow the log
-//	gives BYTES         what the store gives in a second, to all together
-//	keeps BYTES         what the newest records of all keys take
-//	write D BYTES       so many bytes a second are written for a time
+//	hosts N             number of hosts that follow the log
+//	gives BYTES         bandwidth of the store in bytes a second, shared by all hosts
+//	keeps BYTES         size of the newest records of all keys
+//	write D BYTES       append the given number of bytes a second for the duration D
 //	compact             the store drops its history
-//	current D           each host has all that the log had that long ago
+//	current D           wait for D, then check that each host has read all that the
+//	                    log held before
 //
-// On a site of 147 hosts reads came up to 1.8 s late as work began. Each was given up after a second beyond its wait, "context deadline exceeded", and
-// made anew, with a second copy through a peer; the store went on to give what nobody took. What was written fell to a tenth within five seconds,
-// and at the end of the day no host had caught up.
+// With 147 hosts, reads took up to 1.8 s longer than usual when work began. Each
+// reader timed out after 1 s and repeated its read, with a second copy through a
+// peer, while the store still sent the answers that nobody awaited any more.
+// Although the rate of writes fell to a tenth within five seconds, no host caught
+// up.
 func TestOverload(t *testing.T) {
 	scripttest.EachIn(t, "overload", func(t *testing.T, text string) {
-		synctest.Test(t, func(t *testing.T) { playOverload(t, text) })
+		synctest.Test(t, func(t *testing.T) { runOverloadScript(t, text) })
 	})
 }
 
-// playOverload plays one script.
-func playOverload(t *testing.T, text string) {
+// runOverloadScript runs one script.
+func runOverloadScript(t *testing.T, text string) {
 	ctx, cancel := context.WithCancel(t.Context())
 	store := &sharedStore{grown: make(chan struct{})}
 	links := relay.NewLinks((&net.Dialer{}).DialContext, zap.NewNop())
@@ -207,24 +215,24 @@
 		case "hosts":
 			hosts = make([]*follower, int(amount(t, f[1])))
 		case "gives":
-			store.gives = amount(t, f[1])
+			store.bandwidth = amount(t, f[1])
 			for i := range hosts {
 				hosts[i] = &follower{}
 				path := relay.New("http://store", relay.RouteStore, &http.Client{Transport: store}, links, zap.NewNop())
 				go hosts[i].follow(ctx, path)
 			}
 		case "keeps":
-			store.keeps = int(amount(t, f[1]))
+			store.snapshotBytes = int(amount(t, f[1]))
 		case "write":
 			store.write(period(t, f[1]), amount(t, f[2]))
 		case "compact":
 			store.compact()
 		case "current":
-			end := store.ends()
+			end := store.endOffset()
 			time.Sleep(period(t, f[1]))
 			behind := 0
 			for _, h := range hosts {
-				if h.at() < end {
+				if h.position() < end {
 					behind++
 				}
 			}
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -20,50 +20,55 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// ownerWriter is the name under which owners write; their epochs tell them apart. firstSeq is the number of an owner's first append to each log,
+// ownerWriter is the writer name that all owners use; their epochs distinguish
+// them. firstSeq is the sequence number of an owner's first append to each log,
 // its claim.
 const (
 	ownerWriter = "owner"
 	firstSeq    = 1
 )
 
-// ownerLog is a log of the store that the owner writes.
+// ownerLog is a log in the store that the owner writes.
 type ownerLog struct {
 	topic platform.Topic
-	// seq is the number of the last append under the owner's epoch.
+	// seq is the sequence number of the last append under the owner's epoch.
 	seq uint64
 }
 
-// writer identifies the append of a number.
+// writer identifies the append with a sequence number.
 func (l ownerLog) writer(e id.Epoch, seq uint64) platform.Writer {
 	return platform.Writer{Name: ownerWriter, Epoch: e, Seq: seq}
 }
 
-// owner is a host's part as the owner of scheduling. It belongs to the deciding
-// goroutine, which also calls it with the results of orders.
+// owner is the state of a host that owns the scheduling. Only the deciding
+// goroutine may use it; the results of orders reach it through that goroutine
+// too.
 type owner struct {
 	host  *Host
 	epoch id.Epoch
 	core  *dispatch.Dispatcher
-	// cancel ends what the owner does in other goroutines; orders that wait are dropped.
+	// cancel stops the owner's other goroutines and drops queued orders.
 	cancel context.CancelFunc
-	// boxes hold the orders to workers that wait for their turn.
+	// boxes hold the queued orders to workers.
 	boxes outboxes
-	// jobs is the log that every host follows, progress the one for the next owner.
+	// jobs is the log that every host follows; progress holds what the next
+	// owner also needs.
 	jobs, progress ownerLog
-	// writing is set while an append is under way.
+	// writing is set while an append is in flight.
 	writing bool
-	// rules say which orders to start may still leave.
-	rules atomic.Pointer[dispatch.StartRules]
-	// reports wait to be written for the operator.
+	// startRules determine which start orders may still be sent.
+	startRules atomic.Pointer[dispatch.StartRules]
+	// reports are queued to be appendResult for the operator.
 	reports *ring.Ring[dispatch.WaveReport]
-	// listed holds the lives of workers in the platform's list, one under each name.
+	// listed holds the incarnation of each worker in the platform's list, by
+	// the worker's name.
 	listed map[id.WorkerName]id.Worker
-	// rejected holds the entries of that list that were left out, by a digest of what was last written.
+	// rejected holds the workers whose entry in that list is rejected, with a
+	// digest of the rejected value.
 	rejected map[id.WorkerName]uint64
 }
 
-// learn takes in what the table says of a job.
+// learn updates a job in the dispatcher from the table.
 func (o *owner) learn(now unit.Instant, j id.Job) {
 	e := o.host.table.Get(j)
 	if e == nil || e.Spec == nil {
@@ -75,29 +80,29 @@
 	}
 }
 
-// configure takes in the guarantees of a configuration.
+// configure applies the guarantees of a configuration.
 func (o *owner) configure(c *catalog.Catalog) {
 	for _, cust := range c.Customers {
 		o.core.Guarantee(cust.Name, cust.Guaranteed)
 	}
 }
 
-// listAll takes in the whole list of workers.
+// listAll replaces the list of workers.
 func (o *owner) listAll(now unit.Instant, recs []jobtable.Record) {
-	there := map[id.WorkerName]bool{}
+	present := map[id.WorkerName]bool{}
 	for _, r := range recs {
-		there[id.WorkerName(r.Key)] = len(r.Value) > 0
+		present[id.WorkerName(r.Key)] = len(r.Value) > 0
 	}
 	for w := range o.listed {
-		if !there[w] {
+		if !present[w] {
 			o.unlist(now, w)
 		}
 	}
-	maps.DeleteFunc(o.rejected, func(w id.WorkerName, _ uint64) bool { return !there[w] })
+	maps.DeleteFunc(o.rejected, func(w id.WorkerName, _ uint64) bool { return !present[w] })
 	o.list(now, recs)
 }
 
-// list takes in changed entries of the list of workers.
+// list applies changed entries of the list of workers.
 func (o *owner) list(now unit.Instant, recs []jobtable.Record) {
 	for _, r := range recs {
 		name := id.WorkerName(r.Key)
@@ -108,24 +113,25 @@
 		}
 		l, err := platform.DecodeListing(r.Key, r.Value)
 		if err != nil {
-			o.reject(now, r, err)
+			o.rejectListing(now, r, err)
 			continue
 		}
 		delete(o.rejected, name)
-		if before, known := o.listed[name]; known && before != l.ID {
-			o.core.Unlist(now, before) // whether it is over, answers tell
+		if previous, known := o.listed[name]; known && previous != l.ID {
+			o.core.Unlist(now, previous) // its answers show whether that incarnation has ended
 		}
 		o.listed[name] = l.ID
 		o.core.List(now, l)
 	}
 }
 
-// digestSeed is that of all digests of rejected entries of this process.
+// digestSeed is the seed for all digests of rejected entries in this process.
 var digestSeed = maphash.MakeSeed()
 
-// reject takes in an entry of the list of workers that isn't a worker's own: the worker of that name gets no tasks until it has written its
-// entry again. What runs there goes on by its answers and leases. Each such entry is told once, however often it is read.
-func (o *owner) reject(now unit.Instant, r jobtable.Record, err error) {
+// rejectListing handles an invalid entry of the list of workers: the worker of
+// that name gets no tasks until it writes a valid one. Its runs continue by its
+// answers and leases. An entry is logged once, however often it is read.
+func (o *owner) rejectListing(now unit.Instant, r jobtable.Record, err error) {
 	name := id.WorkerName(r.Key)
 	o.unlist(now, name)
 	digest := maphash.Bytes(digestSeed, r.Value)
@@ -137,7 +143,7 @@
 	o.host.log.Error("listing-rejected", zap.String("worker", r.Key), zap.Error(err))
 }
 
-// unlist takes in that the list has no entry of a worker any more.
+// unlist handles the removal of a worker's entry from the list.
 func (o *owner) unlist(now unit.Instant, name id.WorkerName) {
 	life, known := o.listed[name]
 	if !known {
@@ -147,21 +153,22 @@
 	o.core.Unlist(now, life)
 }
 
-// pass decides what is due and hands out what follows.
+// pass runs one scheduling pass and sends the resulting orders.
 func (o *owner) pass(ctx context.Context, now unit.Instant) {
 	o.core.SetAdvisers(o.host.advicePath.Ways())
 	o.core.Assure(o.host.assured)
 	o.core.Pass(now, unit.At(time.Now()))
 	o.flush(ctx)
-	o.handOut(ctx)
+	o.sendOrders(ctx)
 	o.host.metrics.inPlace.Store(int64(o.core.InPlace()))
-	o.tell()
+	o.logDecisions()
 	if o.core.Fenced() {
 		o.host.stepDown("a worker has seen a later epoch")
 	}
 }
 
-// flush writes what must be in the store before more can be done.
+// flush appends the records that the store must hold previous the decisions in
+// them take effect.
 func (o *owner) flush(ctx context.Context) {
 	if o.writing || o.host.stopping.Load() {
 		return
@@ -179,29 +186,30 @@
 		return
 	}
 	o.writing = true
-	appends := []func() written{o.append(ctx, &o.progress, b.Progress), o.append(ctx, &o.jobs, b.Jobs)}
+	appends := []func() appendResult{o.append(ctx, &o.progress, b.Progress), o.append(ctx, &o.jobs, b.Jobs)}
 	go func() {
 		w := writeAll(appends)
 		o.host.post(ctx, func(now unit.Instant) { o.flushed(ctx, now, b, w) })
 	}()
 }
 
-// written is what became of appends: when the oldest of the tries that were answered left, and the first error.
-type written struct {
-	left unit.Instant
+// appendResult is the result of one or more appends: when the oldest of the
+// successful attempts was sent, and the first error.
+type appendResult struct {
+	sent unit.Instant
 	err  error
 }
 
-// writeAll makes appends to different logs at the same time.
-func writeAll(appends []func() written) written {
-	out := make(chan written, len(appends))
+// writeAll makes appends to different logs concurrently.
+func writeAll(appends []func() appendResult) appendResult {
+	out := make(chan appendResult, len(appends))
 	for _, do := range appends {
 		go func() { out <- do() }()
 	}
-	all := written{left: math.MaxInt64}
+	all := appendResult{sent: math.MaxInt64}
 	for range appends {
 		w := <-out
-		all.left = min(all.left, w.left)
+		all.sent = min(all.sent, w.sent)
 		if all.err == nil {
 			all.err = w.err
 		}
@@ -209,45 +217,47 @@
 	return all
 }
 
-// append numbers an append to a log and returns what makes it. Nothing is appended where there are no records.
-func (o *owner) append(ctx context.Context, l *ownerLog, recs []jobtable.Record) func() written {
+// append assigns the sequence number of an append to a log and returns the
+// function that makes it. Without records, that function does nothing.
+func (o *owner) append(ctx context.Context, l *ownerLog, recs []jobtable.Record) func() appendResult {
 	if len(recs) == 0 {
-		return func() written { return written{left: math.MaxInt64} }
+		return func() appendResult { return appendResult{sent: math.MaxInt64} }
 	}
 	l.seq++
 	topic, w := l.topic, l.writer(o.epoch, l.seq)
-	return func() written {
-		left, err := o.persist(ctx, topic, recs, w)
-		return written{left: left, err: err}
+	return func() appendResult {
+		sent, err := o.persist(ctx, topic, recs, w)
+		return appendResult{sent: sent, err: err}
 	}
 }
 
-// persist repeats an append until it is done, or until this host is not the owner any
-// more. It returns when the last try left.
+// persist repeats an append until it succeeds, can't succeed any more, or this
+// host is no longer the owner. It returns when the last attempt was sent.
 func (o *owner) persist(ctx context.Context, topic platform.Topic, recs []jobtable.Record, w platform.Writer) (unit.Instant, error) {
 	var bk backoff
 	dep := dependency{log: o.host.log, name: "store append " + string(topic)}
 	for ctx.Err() == nil {
-		began, left := time.Now(), o.host.now()
+		began, sent := time.Now(), o.host.now()
 		_, err := o.host.store.Append(ctx, topic, recs, w)
 		o.host.metrics.storeCall("append", began, err)
 		dep.note(err)
 		if settled(err) {
-			return left, err
+			return sent, err
 		}
 		bk.wait(ctx, began)
 	}
 	return 0, ctx.Err()
 }
 
-// settled reports whether an append was done, or can't be done by repeating it.
+// settled reports whether an append has succeeded, or failed so that a retry
+// can't succeed.
 func settled(err error) bool {
 	return err == nil || errors.Is(err, platform.ErrFenced) || errors.Is(err, platform.ErrSequence) || errors.Is(err, platform.ErrInvalid)
 }
 
-// flushed takes in what became of an append of flush. One that can't be repeated ends the
-// ownership: the records may lack what the next decisions rest on.
-func (o *owner) flushed(ctx context.Context, now unit.Instant, b dispatch.Batch, w written) {
+// flushed handles the result of the appends of flush. A permanent failure ends
+// the ownership: the records that the next decisions rely on may be missing.
+func (o *owner) flushed(ctx context.Context, now unit.Instant, b dispatch.Batch, w appendResult) {
 	o.writing = false
 	if o.host.owner != o {
 		return
@@ -256,9 +266,9 @@
 		o.host.stepDown(w.err.Error())
 		return
 	}
-	o.host.assure(w.left) // a later claim would have fenced the append
+	o.host.assure(w.sent) // if another host had claimed later, the append would have been fenced
 	o.core.Assure(o.host.assured)
 	o.core.Committed(now, b)
-	o.handOut(ctx)
+	o.sendOrders(ctx)
 	o.flush(ctx)
 }
--- a/internal/entry/pending.go
+++ b/internal/entry/pending.go
@@ -6,30 +6,33 @@
 	"curlewsill.org/curlewsill/core/jobtable"
 )
 
-// The states of a pending record. One that the store has surely refused is queued again until
-// the next try leaves.
+// The states of a pending record. A record that the store has definitely
+// refused is queued again until the next attempt is sent.
 const (
 	writeQueued int32 = iota
 	writeSent
 	writeWithdrawn
 )
 
-// pending is a record on its way to the store.
+// pending is a record that is being written to the store.
 type pending struct {
 	record jobtable.Record
 	state  atomic.Int32
-	// hurried is set once the record's call wants to be refused as soon as that is true.
+	// hurried is set once the caller wants a refusal as soon as it is certain,
+	// instead of further attempts.
 	hurried atomic.Bool
-	// done receives nil once the record is in the store, errNotWritten if it
-	// surely isn't.
+	// done receives nil once the record is in the store, and errNotWritten if
+	// it is definitely not.
 	done chan error
 }
 
-// withdraw takes a record back that has not left, or was surely refused each time. It reports
-// whether that was so.
+// withdraw cancels a record that hasn't been sent, or that the store has
+// definitely refused each time. It reports whether it succeeded.
 func (p *pending) withdraw() bool { return p.state.CompareAndSwap(writeQueued, writeWithdrawn) }
 
-// giveUp ends the waiting for a record. What is known by then goes first: a host that has stood still finds both at once.
+// giveUp stops waiting for a record. A result that is already there takes
+// precedence: after a stall of the process, the result and the timeout are
+// there at the same time.
 func (p *pending) giveUp() (outcome, string) {
 	select {
 	case err := <-p.done:
--- a/internal/entry/stall_internal_test.go
+++ b/internal/entry/stall_internal_test.go
@@ -10,40 +10,38 @@
 	"curlewsill.org/curlewsill/internal/ring"
 )
 
-// TestStalledPassDoesNotSilenceTheOwner guards against an owner that sends nothing for long after its
-// process stood still.
+// TestStalledPassDoesNotSilenceTheOwner checks that an owner sends renewals
+// again soon after its process has been stopped during a pass.
 //
-// Symptom: leases of sound workers run out after their owner stood still for a time that the leases
-// would have outlasted.
-// Sequence: the process stands still for 2 s while a pass is under way. The pass counts as one of 2 s,
-// so that the next one is put off by three times that. News keep coming, each puts the timer back, and
-// renewals leave in passes only: for 8 s in all none does, with leases of 6 s.
-// Cause: the pause after a pass had no upper bound.
-// Settled by: the longest time between two passes here, 6 s without the bound.
+// If the process is stopped for 2 s, the pass counts as one of 2 s, and without
+// an upper bound the next one follows three times that later, since each event
+// resets the timer. Only passes send renewals, so that none is sent for 8 s in
+// all, and the leases of healthy workers, 6 s long, expire.
 func TestStalledPassDoesNotSilenceTheOwner(t *testing.T) {
 	const (
-		passCost   = time.Millisecond
-		stall      = 2 * time.Second
-		stalled    = 100 // the number of the pass that stands still
-		eventEvery = time.Second / 350
-		day        = 20 * time.Second
-		// mostPause and a renewal that waits 2 s at its worker are less than the 3.5 s after
-		// which a worker counts as silent and its lease is no longer renewed.
-		mostPause = time.Second
+		passCost     = time.Millisecond
+		stall        = 2 * time.Second
+		stalled      = 100 // the number of the pass in which the process is stopped
+		eventEvery   = time.Second / 350
+		testDuration = 20 * time.Second
+		// maxPause and a renewal that waits 2 s at its worker sum up to less
+		// than the 3.5 s after which a worker counts as silent and its lease is
+		// no longer renewed.
+		maxPause = time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), day)
+		ctx, cancel := context.WithTimeout(t.Context(), testDuration)
 		defer cancel()
 		start := time.Now()
 		now := func() unit.Instant { return unit.At(start).Add(time.Since(start)) }
-		news := ring.New[event](events)
+		answers := ring.New[event](events)
 		go func() {
 			for pause(ctx, eventEvery) {
-				news.Push(ctx, func(unit.Instant) {})
+				answers.Push(ctx, func(unit.Instant) {})
 			}
 		}()
 		passes, ended, longest := 0, now(), time.Duration(0)
-		decideEach(ctx, news, now, func(began unit.Instant) {
+		decideEach(ctx, answers, now, func(began unit.Instant) {
 			longest = max(longest, began.Sub(ended))
 			passes++
 			if passes == stalled {
@@ -52,8 +50,8 @@
 			time.Sleep(passCost)
 			ended = now()
 		})
-		if longest > mostPause {
-			t.Errorf("no pass for %v after one that stood still for %v, want %v at most", longest, stall, mostPause)
+		if longest > maxPause {
+			t.Errorf("no pass for %v after one that was stopped for %v, want %v at most", longest, stall, maxPause)
 		}
 	})
 }
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -12,20 +12,22 @@
 )
 
 const (
-	// stopNotice is how long a stopping host still takes connections: the
-	// balancer asks each second and gives up after two misses.
+	// stopNotice is how long a stopping host still accepts connections: the
+	// load balancer checks the readiness each second and removes the host after
+	// two failed checks.
 	stopNotice = 2500 * time.Millisecond
-	// stopMargin is kept of the grace for the process to end.
+	// stopMargin is the part of the grace period that is reserved for the
+	// process to exit.
 	stopMargin = 700 * time.Millisecond
-	// handOverTime bounds the handing over of the ownership.
-	handOverTime = time.Second
-	// handOverLook is the pause between two looks whether the last append has ended,
-	// which takes about 10 ms.
-	handOverLook = 5 * time.Millisecond
+	// handOverTimeout is the time limit for handing over the ownership.
+	handOverTimeout = time.Second
+	// handOverPollInterval is the pause between two checks whether the last
+	// append has ended, which takes about 10 ms.
+	handOverPollInterval = 5 * time.Millisecond
 )
 
-// Stop begins a planned stop: the ownership is handed over, what was read is
-// answered, and Run returns.
+// Stop begins a planned stop: the host hands the ownership over, answers the
+// requests that it has read, and Run returns.
 func (h *Host) Stop() {
 	h.stopOnce.Do(func() {
 		h.log.Info("stopping", zap.String("host", string(h.self)))
@@ -54,16 +56,17 @@
 	h.log.Info("stop-ended", zap.Int("links", h.links.Open()))
 }
 
-// handOver gives the ownership back, so that another host claims it at once, and leaves
-// the group of live hosts.
+// handOver releases the ownership, so that another host claims it at once, and
+// leaves the group of live hosts.
 func (h *Host) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverTime)
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	for {
 		r, ok := ask(ctx, h, func(unit.Instant) retired { return h.retire("planned stop") })
 		if ok && r.busy {
-			// No new append begins while the host is stopping; this one ends soon.
-			if !pause(ctx, handOverLook) {
+			// A stopping host begins no new append, so the current one ends
+			// soon.
+			if !pause(ctx, handOverPollInterval) {
 				break
 			}
 			continue
@@ -78,15 +81,18 @@
 	}
 }
 
-// retired is what became of the host's ownership at a planned stop.
+// retired is the result of an attempt to give up the ownership.
 type retired struct {
-	// owner was in office until now; nil if there was none, or if it is busy.
+	// owner was in office until now; nil if this host wasn't the owner, or
+	// couldn't give up the ownership yet.
 	owner *owner
-	// busy is set while an append of the owner is under way, or the host is about to become it.
+	// busy is set while an append of the owner is in flight, or the host is
+	// about to become the owner.
 	busy bool
 }
 
-// retire ends scheduling for a reason, unless an append is under way.
+// retire ends scheduling for the given reason, unless an append is in flight or
+// a takeover is in progress.
 func (h *Host) retire(why string) retired {
 	o := h.owner
 	switch {
@@ -101,7 +107,7 @@
 	return retired{owner: o}
 }
 
-// release writes that nobody is the owner.
+// release writes a record that nobody is the owner.
 func (h *Host) release(ctx context.Context, o *owner) {
 	rec, err := jobtable.New().OwnerRecord(jobtable.Owner{Epoch: o.epoch + 1})
 	if err == nil {
--- a/internal/entry/suspend.go
+++ b/internal/entry/suspend.go
@@ -6,16 +6,19 @@
 	"go.uber.org/zap"
 )
 
-// leastSuspension is how long a suspension must be to be told: readings of the two clocks that it shows by are
-// microseconds apart, more where a process is kept waiting between them.
-const leastSuspension = 100 * time.Millisecond
+// minSuspension is the shortest suspension that is logged. A suspension shows
+// as a difference between two clocks, whose readings are microseconds apart, or
+// more if the process is not scheduled between them.
+const minSuspension = 100 * time.Millisecond
 
-// noteSuspension tells of a suspension of the machine since the last look. What follows from it follows from the time that has passed: leases
-// aren't extended on an assurance from before, and peers that can't have answered meanwhile are asked again.
+// noteSuspension logs and counts a suspension of the machine since the last
+// call. The consequences follow from the time that has passed: leases aren't
+// extended on an assurance from before, and peers that couldn't answer
+// meanwhile are asked again.
 func (h *Host) noteSuspension() {
 	s := h.clock.Suspended()
 	lasted := s - h.suspended
-	if lasted < leastSuspension {
+	if lasted < minSuspension {
 		return
 	}
 	h.suspended = s
--- a/internal/entry/suspend_internal_test.go
+++ b/internal/entry/suspend_internal_test.go
@@ -16,7 +16,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// testClock is Go's steady clock, which synctest controls, and the suspensions that a test makes up.
+// testClock is Go's monotonic clock, which synctest controls, plus simulated
+// suspensions.
 type testClock struct {
 	start     time.Time
 	suspended time.Duration
@@ -32,9 +33,11 @@
 
 // TestOwnerSuspended suspends the machine of an owner for 10 s.
 //
-// Go's steady clock stands still while a machine is suspended. An owner that measures by it how old its assurance is, that nobody else has
-// become the owner, goes on extending leases and starting tasks by what it knew before, although another host may have
-// claimed in the meantime: 0.2 s after the last assurance by that clock it was 10.2 s, of the 3 s for which one holds.
+// Go's monotonic clock stops while a machine is suspended. An owner that
+// measures the age of its assurance by that clock would go on extending leases
+// and starting tasks after a suspension, although another host may have claimed
+// meanwhile: an assurance that seems 0.2 s old is 10.2 s old, and one is valid
+// for 3 s.
 func TestOwnerSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOwnerOf(t, &hangingWorkers{under: map[string]int{}})
@@ -58,7 +61,7 @@
 		o.core.AddJob(o.host.now(), "j", &jobtable.Entry{Spec: spec})
 		pass()
 		if b, some, err := o.core.Flush(); some || err != nil {
-			t.Errorf("%d records were decided after the suspension, %v", len(b.Jobs)+len(b.Progress), err)
+			t.Errorf("%d records were decided on an assurance from before the suspension, %v", len(b.Jobs)+len(b.Progress), err)
 		}
 		withheld := false
 		for _, n := range o.core.Notes() {
@@ -68,9 +71,9 @@
 			t.Error("leases are extended after the suspension")
 		}
 		if lines.FilterMessage("suspended").Len() != 1 {
-			t.Errorf("%d lines tell of the suspension", lines.FilterMessage("suspended").Len())
+			t.Errorf("%d log lines for the suspension, want 1", lines.FilterMessage("suspended").Len())
 		}
-		o.host.assure(o.host.now()) // a read of the jobs after it
+		o.host.assure(o.host.now()) // as by a read of the jobs after the suspension
 		pass()
 		if _, some, err := o.core.Flush(); !some || err != nil {
 			t.Error("nothing is decided after a new assurance", err)
--- a/internal/entry/waits_internal_test.go
+++ b/internal/entry/waits_internal_test.go
@@ -10,12 +10,14 @@
 	"curlewsill.org/curlewsill/internal/settings"
 )
 
-// TestMostWaits derives how many renewals may wait for news at workers from a host's limits, by testdata/waits/renewals.txt: descriptors, memory in
-// MiB, and the number.
+// TestMaxWaitingRenewals checks how many renewals may wait at workers for reports, by a
+// host's limits. Each line of testdata/waits/renewals.txt has the descriptors,
+// the memory in MiB, and the expected number.
 //
-// It was 1,024 on every host. On 1,100 workers the renewals of 76 had to wait for the others' wait to end, up to 2 s, and what ended there was
-// heard of as late; on 3,000 workers it would have been so for two in three.
-func TestMostWaits(t *testing.T) {
+// A fixed limit of 1,024 was too low: on 1,100 workers the renewals of 76 had
+// to wait up to 2 s until others returned, so that ends on those workers were
+// learned late; on 3,000 workers it would have been two in three.
+func TestMaxWaitingRenewals(t *testing.T) {
 	scripttest.EachLine(t, "waits/renewals.txt", func(f []string) {
 		var n [3]int
 		for i := range n {
@@ -24,7 +26,7 @@
 				t.Fatal(err)
 			}
 		}
-		if got := mostWaits(settings.Site{Descriptors: n[0], Memory: unit.Bytes(n[1]) * unit.MiB}); got != n[2] {
+		if got := maxWaitingRenewals(settings.Site{Descriptors: n[0], Memory: unit.Bytes(n[1]) * unit.MiB}); got != n[2] {
 			t.Errorf("%s: got %d", strings.Join(f, " "), got)
 		}
 	})
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -17,29 +17,36 @@
 	"curlewsill.org/curlewsill/internal/relay"
 )
 
-// The first hosts in rank ask the owner itself whether it lives. The store shows a dead owner for
-// a second and more; this shows it within about 0.3 s. What follows from the answers is decided in
-// core/election.
+// The first hosts in rank, the watchers, ask the owner itself whether it is
+// alive. The store lists a dead owner for a second or more; asking detects its
+// death within about 0.3 s. core/election decides what follows from the
+// answers.
 
 const (
-	// watchBase is the address under which a host's own answers are called on the relay's path.
+	// watchBase is the URL under which the relay path calls a host's own
+	// watchTransport.
 	watchBase = "http://watch"
-	// askEvery is the pause between two questions to the owner: eight a second from each of four
-	// watchers cost it little. askSoon is the pause while it is missed.
-	askEvery = 120 * time.Millisecond
-	askSoon  = 40 * time.Millisecond
-	// askWait is how long the owner may take to answer. A way takes a few milliseconds; an owner
-	// that is busy answers within some 50 ms.
-	askWait = 150 * time.Millisecond
-	// askAgainWait is the same for a question after one without an answer, which goes on a new link.
-	askAgainWait = 200 * time.Millisecond
-	// witnessWait is how long the other watchers may take. One that is dead too doesn't answer.
-	witnessWait = 100 * time.Millisecond
-	// watchLook is the pause of a host that doesn't watch, until it looks whether it is to.
-	watchLook = 500 * time.Millisecond
+	// ownerQueryInterval is the pause between two questions to the owner: eight
+	// a second from each of four watchers are a small load for it.
+	// missedQueryInterval is the pause while the owner doesn't answer.
+	ownerQueryInterval  = 120 * time.Millisecond
+	missedQueryInterval = 40 * time.Millisecond
+	// ownerQueryTimeout is how long the owner may take to answer. The network
+	// takes a few milliseconds, and a busy owner answers within some 50 ms.
+	ownerQueryTimeout = 150 * time.Millisecond
+	// retryQueryTimeout is the same for a question that follows an unanswered
+	// one and is sent on a new link.
+	retryQueryTimeout = 200 * time.Millisecond
+	// watcherQueryTimeout is how long the other watchers may take. One that is
+	// dead too doesn't answer.
+	watcherQueryTimeout = 100 * time.Millisecond
+	// watchCheckInterval is the pause between two checks of a host that isn't a
+	// watcher whether it has become one.
+	watchCheckInterval = 500 * time.Millisecond
 )
 
-// question asks a host about the owner. To the owner itself it asks whether it lives.
+// question asks a host about the owner. Sent to the owner itself, it asks
+// whether it is alive.
 type question struct {
 	_     struct{} `cbor:",toarray"`
 	Owner id.Host
@@ -48,16 +55,19 @@
 // presence answers a question.
 type presence struct {
 	_ struct{} `cbor:",toarray"`
-	// Host is the life that answers.
+	// Host is the incarnation that answers.
 	Host id.Host
-	// Misses is set if that host has had no answer from the owner for a while.
+	// Misses is set if that host has had no answer from the owner for some
+	// time.
 	Misses bool
 }
 
-// errOtherOwner reports a question about a host that isn't the owner, as far as this host knows.
+// errOtherOwner is returned for a question about a host that, as far as this
+// host knows, isn't the owner.
 var errOtherOwner = errors.New("entry: another host is the owner")
 
-// errNotDeciding reports a host that has ended, or hasn't begun yet.
+// errNotDeciding is returned by a host whose deciding goroutine has ended, or
+// hasn't started yet.
 var errNotDeciding = errors.New("entry: the host decides nothing")
 
 var (
@@ -65,7 +75,7 @@
 	presences = codec.New[presence]()
 )
 
-// watched is whom a host asks whether it lives, and who else does.
+// watched is the owner that this host watches, and the other watchers.
 type watched struct {
 	owner   id.Host
 	address string
@@ -73,8 +83,8 @@
 	others []string
 }
 
-// findWatched notes whom this host watches: nobody unless it is one of the owner's watchers. It
-// belongs to the deciding goroutine.
+// findWatched sets the owner that this host watches, or nil if this host isn't
+// one of the owner's watchers. Only the deciding goroutine may call it.
 func (h *Host) findWatched() {
 	owner := h.table.Owner().Host
 	address := h.peerAddresses[owner]
@@ -92,25 +102,27 @@
 	h.watched.Store(w)
 }
 
-// watchOwner asks the owner whether it lives while this host is one of its watchers.
+// watchOwner repeatedly asks the owner whether it is alive, while this host is
+// one of its watchers.
 func (h *Host) watchOwner(ctx context.Context) {
-	wait, limit := watchLook, askWait
+	wait, limit := watchCheckInterval, ownerQueryTimeout
 	for pause(ctx, wait) {
 		w := h.watched.Load()
 		if w == nil || h.stopping.Load() {
-			wait = watchLook
+			wait = watchCheckInterval
 			continue
 		}
 		if h.askOwner(ctx, w, limit) {
-			wait, limit = askEvery, askWait
+			wait, limit = ownerQueryInterval, ownerQueryTimeout
 		} else {
-			wait, limit = askSoon, askAgainWait
+			wait, limit = missedQueryInterval, retryQueryTimeout
 		}
 	}
 }
 
-// askOwner asks the owner once, and the other watchers if it is missed. It reports whether the owner
-// has answered within the limit.
+// askOwner asks the owner once, and also the other watchers if the owner has
+// not answered for some time. It reports whether the owner has answered within
+// the limit.
 func (h *Host) askOwner(ctx context.Context, w *watched, limit time.Duration) bool {
 	answer, err := h.askPeer(ctx, w.address, w.owner, limit)
 	switch {
@@ -136,12 +148,13 @@
 	return false
 }
 
-// askWatchers returns how many of the other watchers miss the owner as well.
+// askWatchers returns how many of the other watchers get no answer from the
+// owner either.
 func (h *Host) askWatchers(ctx context.Context, w *watched) int {
 	answers := make(chan bool, len(w.others))
 	for _, o := range w.others {
 		go func() {
-			answer, err := h.askPeer(ctx, o, w.owner, witnessWait)
+			answer, err := h.askPeer(ctx, o, w.owner, watcherQueryTimeout)
 			answers <- err == nil && answer.Misses
 		}()
 	}
@@ -169,11 +182,12 @@
 	return presences.Decode(raw)
 }
 
-// watchTransport answers the questions of other hosts.
+// watchTransport answers other hosts' questions about the owner.
 type watchTransport struct{ host *Host }
 
-// RoundTrip implements http.RoundTripper. A host that is asked about itself answers at once: an
-// owner whose deciding goroutine is busy keeps its office.
+// RoundTrip implements http.RoundTripper. A host that is asked about itself
+// answers at once, without the deciding goroutine: an owner stays in office
+// while that goroutine is busy.
 func (t watchTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if !t.host.deciding.Load() {
 		return nil, errNotDeciding
@@ -191,7 +205,7 @@
 	if q.Owner != t.host.self {
 		known, _ := ask(req.Context(), t.host, func(now unit.Instant) bool {
 			p.Misses = t.host.election.Witness(now, q.Owner)
-			return !t.host.loaded || t.host.table.Owner().Host == q.Owner // it owns nothing before it has read the jobs
+			return !t.host.loaded || t.host.table.Owner().Host == q.Owner // before this host has read the jobs it can't be the owner
 		})
 		if !known {
 			return nil, errOtherOwner
--- a/internal/entry/waves.go
+++ b/internal/entry/waves.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// reportsWaiting is how many reports on waves may wait for the store: two for each of
-	// more waves than an operator starts at a time.
-	reportsWaiting = 256
-	// machinesPause is the pause between two reads of the list of machines while a wave has
-	// some whose worker isn't known. The platform takes some 60 such calls a second.
-	machinesPause = 500 * time.Millisecond
+	// maxQueuedReports is how many reports on waves may wait to be written to
+	// the store: two for each of more waves than an operator starts at a time.
+	maxQueuedReports = 256
+	// machineListInterval is the pause between two reads of the list of
+	// machines while a wave has machines whose worker is unknown. The platform
+	// handles some 60 such calls a second.
+	machineListInterval = 500 * time.Millisecond
 )
 
-// takeWave takes in that the operator asks for a wave of maintenance.
+// takeWave applies the operator's request for a maintenance wave.
 func (h *Host) takeWave(ctx context.Context, value []byte) {
 	w, err := platform.DecodeWave(value)
 	if err != nil {
@@ -38,16 +39,18 @@
 	})
 }
 
-// setWave hands a wave to the dispatcher, which knows by the time of day how old it is.
+// setWave passes a wave to the dispatcher, with the wall-clock time, by which
+// the dispatcher computes the wave's age.
 func (o *owner) setWave(now unit.Instant, w upkeep.Wave) {
 	o.core.SetWave(now, unit.At(time.Now()), w)
 }
 
-// followMachines tells the dispatcher which workers are lives of which machines, as long as
-// that is asked for, until ctx is done. The list of workers may say it too.
+// followMachines passes to the dispatcher which workers run on which machines,
+// while the dispatcher needs that, until ctx is done. The list of workers may
+// contain it too.
 func (o *owner) followMachines(ctx context.Context) {
 	dep := dependency{log: o.host.log, name: "list of machines"}
-	for pause(ctx, machinesPause) {
+	for pause(ctx, machineListInterval) {
 		wanted, ok := ask(ctx, o.host, func(unit.Instant) bool { return o.core.MachinesWanted() })
 		if !ok || !wanted || o.host.settings.Machines == "" {
 			continue
@@ -58,13 +61,13 @@
 		}
 		dep.note(err)
 		if err == nil {
-			o.answered(ctx, func(now unit.Instant) { o.core.SetLives(now, lives) })
+			o.postIfOwner(ctx, func(now unit.Instant) { o.core.SetLives(now, lives) })
 		}
 	}
 }
 
-// offer hands reports on waves to the one who writes them.
-func (o *owner) offer(reports []dispatch.WaveReport) {
+// queueReports queues reports on waves for writeReports.
+func (o *owner) queueReports(reports []dispatch.WaveReport) {
 	for _, r := range reports {
 		if !o.reports.Offer(r) {
 			o.host.log.Error("report-dropped", zap.Int("wave", int(r.Wave)), zap.Bool("finished", r.Finished))
@@ -72,9 +75,9 @@
 	}
 }
 
-// report writes the reports on waves for the operator, one after the other, until ctx is
-// done or a later owner has written.
-func (o *owner) report(ctx context.Context) {
+// writeReports writes the queued reports on waves for the operator one after
+// the other, until ctx is done or a later owner has written.
+func (o *owner) writeReports(ctx context.Context) {
 	seq := uint64(0)
 	for {
 		select {
@@ -102,7 +105,7 @@
 	}
 }
 
-// writeReport repeats an append until it is done, or can't be.
+// writeReport repeats an append until it succeeds, or can't succeed any more.
 func (o *owner) writeReport(ctx context.Context, rec jobtable.Record, w platform.Writer) error {
 	var b backoff
 	for {
