--- a/internal/entry/assure.go
+++ b/internal/entry/assure.go
@@ -27,9 +27,9 @@
 	// store, so the newest answered read may have been sent 1 s ago.
 	readStaleAfter = 1800 * time.Millisecond
 	// absentHostRetention is how long a host that has left the group of live
-	// hosts still has to confirm. If it doesn't return, only the assurance
-	// during a store outage is lost, and without one, leases of 6 s still
-	// survive an outage of 9 s.
+	// hosts must still confirm. If it doesn't return, only the assurance during
+	// a store outage is lost, and without one, leases of 6 s still survive an
+	// outage of 9 s.
 	absentHostRetention = 30 * time.Second
 )
 
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -166,12 +166,12 @@
 	config := h.settings.Workers
 	config.MostWaits = maxWaitingRenewals(h.settings)
 	boxes := newOutboxes(config.MostWaits)
-	end := func() {
+	cancelAll := func() {
 		cancel()
 		boxes.close()
 	}
 	o := &owner{
-		host: h, epoch: epoch, core: dispatch.New(config, h.settings.Policy, epoch, h.table), cancel: end, boxes: boxes,
+		host: h, epoch: epoch, core: dispatch.New(config, h.settings.Policy, epoch, h.table), cancel: cancelAll, boxes: boxes,
 		jobs:     ownerLog{topic: platform.TopicJobs, seq: firstSeq},
 		progress: ownerLog{topic: platform.TopicProgress, seq: firstSeq},
 		listed:   map[id.WorkerName]id.Worker{}, rejected: map[id.WorkerName]uint64{},
--- a/internal/entry/decide.go
+++ b/internal/entry/decide.go
@@ -19,7 +19,7 @@
 	// longer than passInterval would follow every event, so that workers'
 	// answers would wait for seconds and leases would expire.
 	passRestFactor = 3
-	// maxPassRest limits that pause. If the process is stopped during a pass,
+	// maxPassRest limits that pause. If the process stalls during a pass,
 	// the pause would otherwise last three times as long, and no renewals would
 	// be sent in it, because only passes send renewals: the leases of 6 s would
 	// expire. With a renewal that waits 2 s at its worker, this limit stays
--- a/internal/entry/health.go
+++ b/internal/entry/health.go
@@ -95,9 +95,9 @@
 // noteLatency records the latency of the newest answer, and logs a change
 // between slow and normal.
 func (h *storeHealth) noteLatency(took time.Duration) {
-	was := h.latency >= slowAfter
+	wasSlow := h.latency >= slowAfter
 	h.latency = took
-	if slow := took >= slowAfter; slow != was {
+	if slow := took >= slowAfter; slow != wasSlow {
 		h.log.Info("store-pace", zap.Bool("slow", slow), zap.Duration("took", took))
 	}
 }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -36,7 +36,7 @@
 	renewalBytes           = 32 * unit.KiB
 	// startsPerWorker, stopsPerWorker and renewalsPerWorker limit the orders in
 	// flight to one worker. Their sum is workerConns, so that no kind of order
-	// waitingRenewals for connections that another kind uses.
+	// waits for connections that another kind uses.
 	startsPerWorker   = 4
 	stopsPerWorker    = 3
 	renewalsPerWorker = workerConns - startsPerWorker - stopsPerWorker
@@ -115,8 +115,8 @@
 
 // enqueue puts an order into a box. If the box is full, the order counts as one
 // whose outcome is unknown.
-func (o *owner) enqueue(ctx context.Context, box *outbox.Box[id.Worker], kind string, to id.Worker, by orderCall, unknown event) {
-	if !box.Put(to, func() { o.send(ctx, kind, by) }) {
+func (o *owner) enqueue(ctx context.Context, box *outbox.Box[id.Worker], kind string, to id.Worker, call orderCall, unknown event) {
+	if !box.Put(to, func() { o.send(ctx, kind, call) }) {
 		o.host.metrics.ordersDropped.Inc()
 		o.host.log.Warn("order-dropped", zap.String("kind", kind), zap.String("worker", string(to)))
 		unknown(o.host.now())
@@ -202,19 +202,19 @@
 
 // send makes one call, counts it by its verdict, and passes its result to the
 // dispatcher.
-func (o *owner) send(ctx context.Context, kind string, order func() (fleet.Verdict, event)) {
+func (o *owner) send(ctx context.Context, kind string, call func() (fleet.Verdict, event)) {
 	began := time.Now()
-	verdict, take := order()
+	verdict, result := call()
 	o.host.metrics.order(kind, began, verdict.String())
-	o.postIfOwner(ctx, take)
+	o.postIfOwner(ctx, result)
 }
 
 // postIfOwner posts an event that the deciding goroutine drops if this owner is
 // no longer in office.
-func (o *owner) postIfOwner(ctx context.Context, take event) {
+func (o *owner) postIfOwner(ctx context.Context, e event) {
 	o.host.post(ctx, func(now unit.Instant) {
 		if o.host.owner == o {
-			take(now)
+			e(now)
 		}
 	})
 }
--- a/internal/entry/overload_internal_test.go
+++ b/internal/entry/overload_internal_test.go
@@ -178,8 +178,8 @@
 	t.run(ctx)
 }
 
-// TestOverload runs the scripts of testdata/overload: hosts
-// follow the log of a store with less bandwidth than all of them need.
+// TestOverload runs the scripts of testdata/overload: hosts follow
+// the log of a store that has less bandwidth than all of them need.
 //
 //	hosts N             number of hosts that follow the log
 //	gives BYTES         bandwidth of the store in bytes a second, shared by all hosts
@@ -213,23 +213,23 @@
 		}
 		switch f[0] {
 		case "hosts":
-			hosts = make([]*follower, int(amount(t, f[1])))
+			hosts = make([]*follower, int(parseFloat(t, f[1])))
 		case "gives":
-			store.bandwidth = amount(t, f[1])
+			store.bandwidth = parseFloat(t, f[1])
 			for i := range hosts {
 				hosts[i] = &follower{}
 				path := relay.New("http://store", relay.RouteStore, &http.Client{Transport: store}, links, zap.NewNop())
 				go hosts[i].follow(ctx, path)
 			}
 		case "keeps":
-			store.snapshotBytes = int(amount(t, f[1]))
+			store.snapshotBytes = int(parseFloat(t, f[1]))
 		case "write":
-			store.write(period(t, f[1]), amount(t, f[2]))
+			store.write(parseDuration(t, f[1]), parseFloat(t, f[2]))
 		case "compact":
 			store.compact()
 		case "current":
 			end := store.endOffset()
-			time.Sleep(period(t, f[1]))
+			time.Sleep(parseDuration(t, f[1]))
 			behind := 0
 			for _, h := range hosts {
 				if h.position() < end {
@@ -248,7 +248,7 @@
 	synctest.Wait()
 }
 
-func amount(t *testing.T, s string) float64 {
+func parseFloat(t *testing.T, s string) float64 {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		t.Fatal(err)
@@ -256,7 +256,7 @@
 	return x
 }
 
-func period(t *testing.T, s string) time.Duration {
+func parseDuration(t *testing.T, s string) time.Duration {
 	d, err := time.ParseDuration(s)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -58,7 +58,7 @@
 	writing bool
 	// startRules determine which start orders may still be sent.
 	startRules atomic.Pointer[dispatch.StartRules]
-	// reports are queued to be appendResult for the operator.
+	// reports are queued to be written for the operator.
 	reports *ring.Ring[dispatch.WaveReport]
 	// listed holds the incarnation of each worker in the platform's list, by
 	// the worker's name.
@@ -145,12 +145,12 @@
 
 // unlist handles the removal of a worker's entry from the list.
 func (o *owner) unlist(now unit.Instant, name id.WorkerName) {
-	life, known := o.listed[name]
+	incarnation, known := o.listed[name]
 	if !known {
 		return
 	}
 	delete(o.listed, name)
-	o.core.Unlist(now, life)
+	o.core.Unlist(now, incarnation)
 }
 
 // pass runs one scheduling pass and sends the resulting orders.
@@ -167,7 +167,7 @@
 	}
 }
 
-// flush appends the records that the store must hold previous the decisions in
+// flush appends the records that the store must hold before the decisions in
 // them take effect.
 func (o *owner) flush(ctx context.Context) {
 	if o.writing || o.host.stopping.Load() {
--- a/internal/entry/stall_internal_test.go
+++ b/internal/entry/stall_internal_test.go
@@ -11,17 +11,17 @@
 )
 
 // TestStalledPassDoesNotSilenceTheOwner checks that an owner sends renewals
-// again soon after its process has been stopped during a pass.
+// again soon after its process has stalled during a pass.
 //
-// If the process is stopped for 2 s, the pass counts as one of 2 s, and without
-// an upper bound the next one follows three times that later, since each event
+// If the process stalls for 2 s, the pass counts as one of 2 s, and without an
+// upper bound the pause after it is three times as long, since each event
 // resets the timer. Only passes send renewals, so that none is sent for 8 s in
 // all, and the leases of healthy workers, 6 s long, expire.
 func TestStalledPassDoesNotSilenceTheOwner(t *testing.T) {
 	const (
 		passCost     = time.Millisecond
 		stall        = 2 * time.Second
-		stalled      = 100 // the number of the pass in which the process is stopped
+		stalled      = 100 // the number of the pass in which the process stalls
 		eventEvery   = time.Second / 350
 		testDuration = 20 * time.Second
 		// maxPause and a renewal that waits 2 s at its worker sum up to less
@@ -51,7 +51,7 @@
 			ended = now()
 		})
 		if longest > maxPause {
-			t.Errorf("no pass for %v after one that was stopped for %v, want %v at most", longest, stall, maxPause)
+			t.Errorf("no pass for %v after one that stalled for %v, want %v at most", longest, stall, maxPause)
 		}
 	})
 }
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -44,15 +44,15 @@
 	defer cancel()
 	h.handOver(ctx)
 	pause(ctx, min(stopNotice, time.Until(end)/2))
-	var all sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	for i, s := range h.servers {
-		all.Go(func() {
+		shutdowns.Go(func() {
 			if err := s.Shutdown(ctx); err != nil {
 				h.log.Warn("stop-incomplete", zap.String("listener", h.listeners[i].Addr().String()), zap.Error(err))
 			}
 		})
 	}
-	all.Wait()
+	shutdowns.Wait()
 	h.log.Info("stop-ended", zap.Int("links", h.links.Open()))
 }
 
--- a/internal/entry/waits_internal_test.go
+++ b/internal/entry/waits_internal_test.go
@@ -10,9 +10,9 @@
 	"curlewsill.org/curlewsill/internal/settings"
 )
 
-// TestMaxWaitingRenewals checks how many renewals may wait at workers for reports, by a
-// host's limits. Each line of testdata/waits/renewals.txt has the descriptors,
-// the memory in MiB, and the expected number.
+// TestMaxWaitingRenewals checks how many renewals may wait at workers for
+// reports, by a host's limits. Each line of testdata/waits/renewals.txt has the
+// descriptors, the memory in MiB, and the expected number.
 //
 // A fixed limit of 1,024 was too low: on 1,100 workers the renewals of 76 had
 // to wait up to 2 s until others returned, so that ends on those workers were
--- a/internal/entry/waves.go
+++ b/internal/entry/waves.go
@@ -55,13 +55,13 @@
 		if !ok || !wanted || o.host.settings.Machines == "" {
 			continue
 		}
-		lives, err := o.host.machines.List(ctx)
+		incarnations, err := o.host.machines.List(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		dep.note(err)
 		if err == nil {
-			o.postIfOwner(ctx, func(now unit.Instant) { o.core.SetLives(now, lives) })
+			o.postIfOwner(ctx, func(now unit.Instant) { o.core.SetLives(now, incarnations) })
 		}
 	}
 }
