--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -115,8 +115,8 @@
 
 // enqueue puts an order into a box. If the box is full, the order counts as one
 // whose outcome is unknown.
-func (o *owner) enqueue(ctx context.Context, box *outbox.Box[id.Worker], kind string, to id.Worker, call orderCall, unknown event) {
-	if !box.Put(to, func() { o.send(ctx, kind, call) }) {
+func (o *owner) enqueue(ctx context.Context, box *outbox.Box[id.Worker], kind string, to id.Worker, makeCall orderCall, unknown event) {
+	if !box.Put(to, func() { o.send(ctx, kind, makeCall) }) {
 		o.host.metrics.ordersDropped.Inc()
 		o.host.log.Warn("order-dropped", zap.String("kind", kind), zap.String("worker", string(to)))
 		unknown(o.host.now())
@@ -202,9 +202,9 @@
 
 // send makes one call, counts it by its verdict, and passes its result to the
 // dispatcher.
-func (o *owner) send(ctx context.Context, kind string, call func() (fleet.Verdict, event)) {
+func (o *owner) send(ctx context.Context, kind string, makeCall func() (fleet.Verdict, event)) {
 	began := time.Now()
-	verdict, result := call()
+	verdict, result := makeCall()
 	o.host.metrics.order(kind, began, verdict.String())
 	o.postIfOwner(ctx, result)
 }
