--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -59,7 +59,7 @@
 // occurrence.
 type event func(now unit.Instant)
 
-// Host is one entry host.
+// Host is one entry host: it serves clients, and schedules while it is the owner.
 type Host struct {
 	settings settings.Site
 	log      *zap.Logger
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -54,8 +54,8 @@
 	// jobs is the log that every host follows; progress holds what the next
 	// owner also needs.
 	jobs, progress ownerLog
-	// writing is set while an append is in flight.
-	writing bool
+	// appendInFlight is set while an append is in flight.
+	appendInFlight bool
 	// startRules determine which start orders may still be sent.
 	startRules atomic.Pointer[dispatch.StartRules]
 	// reports are queued to be written for the operator.
@@ -170,7 +170,7 @@
 // flush appends the records that the store must hold before the decisions in
 // them take effect.
 func (o *owner) flush(ctx context.Context) {
-	if o.writing || o.host.stopping.Load() {
+	if o.appendInFlight || o.host.stopping.Load() {
 		return
 	}
 	b, some, err := o.core.Flush()
@@ -185,7 +185,7 @@
 		o.core.Committed(o.host.now(), b)
 		return
 	}
-	o.writing = true
+	o.appendInFlight = true
 	appends := []func() appendResult{o.append(ctx, &o.progress, b.Progress), o.append(ctx, &o.jobs, b.Jobs)}
 	go func() {
 		w := writeAll(appends)
@@ -258,7 +258,7 @@
 // flushed handles the result of the appends of flush. A permanent failure ends
 // the ownership: the records that the next decisions rely on may be missing.
 func (o *owner) flushed(ctx context.Context, now unit.Instant, b dispatch.Batch, w appendResult) {
-	o.writing = false
+	o.appendInFlight = false
 	if o.host.owner != o {
 		return
 	}
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -100,7 +100,7 @@
 		return retired{busy: true}
 	case o == nil:
 		return retired{}
-	case o.writing:
+	case o.appendInFlight:
 		return retired{busy: true}
 	}
 	h.stepDown(why)
