--- a/core/gang/gang.go
+++ b/core/gang/gang.go
@@ -1,11 +1,13 @@
-// Package gang carries one placement of one job through its leases.
+// Package gang manages the leases of one placement of one job.
 //
-// A gang is the set of tasks of a job, one on each worker of its block. Its life
-// is the lease chart: the owner asks every worker for a gated task, commits the
-// placement to the log once all were granted, and opens the gates only when it has
-// read the commit back. Leases are renewed for all members or for none: as soon as
-// one member has not answered for a grace period, the others aren't renewed
-// either, so they stop within one term even if the owner can't reach them.
+// A gang is the set of tasks of a job, one on each worker of its block. Its
+// states are those of lease.chart: the owner asks every worker to create a
+// gated task, which holds its accelerators but doesn't run yet. Once all
+// workers have granted that, the owner commits the placement to the log, and it
+// opens the gates only when it has read the commit back. Leases are renewed for
+// all members or for none: as soon as one member has not answered for a grace
+// period, no lease of the gang is renewed, so all tasks stop within one term
+// even if the owner can't reach their workers.
 package gang
 
 import (
@@ -20,30 +22,31 @@
 	"curlewsill.org/curlewsill/core/worker"
 )
 
-// The times of a lease.
+// Durations of a lease.
 const (
-	// Term is how long a task goes on without renewal.
+	// Term is how long a task keeps running without renewal.
 	Term = 10 * time.Second
-	// Renewal is how often a worker is synced while it holds a task.
+	// Renewal is the interval at which the owner syncs with a worker that holds
+	// a task.
 	Renewal = 3 * time.Second
-	// Grace is how old the oldest answer of a member may be for the gang to be
-	// renewed.
+	// Grace is the maximum age of a member's last answer: if any member's is
+	// older, the gang is not renewed.
 	Grace = 8 * time.Second
-	// AskTimeout bounds the time until all members have granted.
+	// AskTimeout bounds the time until all members have granted their leases.
 	AskTimeout = 6 * time.Second
 	// Margin is added to Term before a silent member counts as stopped. It
-	// covers the drift of two clocks over one term.
+	// covers the drift between two clocks over one term.
 	Margin = time.Second
-	// Takeover bounds how long an earlier owner may go on renewing after a new
-	// one was accepted: it stops when it has heard of neither the log nor a peer
-	// for this long.
+	// Takeover bounds how long an earlier owner may continue to renew leases
+	// after a new owner was accepted. It stops renewing when it has received
+	// nothing from either the log or a peer for this long.
 	Takeover = 30 * time.Second
 )
 
-// State is a state of the lease chart.
+// State is a state of lease.chart.
 type State string
 
-// Event is an event of the lease chart.
+// Event is an event of lease.chart.
 type Event string
 
 // The states of the chart.
@@ -63,7 +66,7 @@
 	Superseded Event = "superseded"
 )
 
-// The events that the gang finds by itself.
+// The events that the gang derives from its members' states and from the time.
 const (
 	granted Event = "granted"
 	denied  Event = "denied"
@@ -79,14 +82,16 @@
 // Member is the part of a gang on one worker.
 type Member struct {
 	Worker id.Worker
-	// Mask has a bit for each accelerator of the worker that the task uses.
+	// Mask has a bit for each of the worker's accelerators that the task uses.
 	Mask uint64
-	// State is the last state reported; empty until the first report.
+	// State is the last reported state; empty until the first report.
 	State worker.TaskState
-	// heard is when the worker last answered, and clock what its clock showed.
+	// heard is when the worker last answered, and clock the time on its own
+	// clock in that answer.
 	heard unit.Instant
 	clock time.Duration
-	// lapse is when a silent worker has surely stopped the task.
+	// lapse is the time after which a silent worker has stopped the task for
+	// certain, because its lease has expired.
 	lapse unit.Instant
 }
 
@@ -98,24 +103,26 @@
 	Block   block.Block
 	Cell    record.Cell
 	Home    block.Block
-	// Members is in the order of the block and never empty.
+	// Members is in the order of the accelerators in the block and never empty.
 	Members []Member
-	// State follows the lease chart.
+	// State is the current state in lease.chart.
 	State State
-	// Outcome and Reason say how the placement ended; set from Stopping on.
+	// Outcome and Reason describe how the placement ended. They are set on the
+	// transition to Stopping.
 	Outcome record.Outcome
 	Reason  string
-	// started is when the current state was entered.
-	started unit.Instant
-	// committed is set when the log accepted the placement.
+	// stateSince is when the current state was entered.
+	stateSince unit.Instant
+	// committed is set once the log has accepted the placement.
 	committed bool
 }
 
-// New returns a gang that begins to ask for its leases.
+// New returns a gang in the state Asking, in which it asks its workers for
+// leases.
 func New(now unit.Instant, p record.Place, j record.Job, members []Member) *Gang {
 	g := &Gang{
 		Job: j, Attempt: p.Attempt, Lease: p.Lease, Block: p.Block, Cell: p.Cell, Home: p.Home,
-		Members: members, State: leaseChart.Start(), started: now,
+		Members: members, State: leaseChart.Start(), stateSince: now,
 	}
 	for i := range g.Members {
 		g.Members[i].heard = now
@@ -124,7 +131,8 @@
 	return g
 }
 
-// Adopt returns a gang for a placement that an earlier owner committed.
+// Adopt returns an open gang for a placement that an earlier owner committed.
+// Its leases count as running for as long as that owner may have renewed them.
 func Adopt(now unit.Instant, p record.Place, j record.Job, members []Member) *Gang {
 	g := New(now, p, j, members)
 	g.State, g.committed = Open, true
@@ -134,35 +142,38 @@
 	return g
 }
 
-// Committed reports whether the log holds the placement.
+// Committed reports whether the log has accepted the placement.
 func (g *Gang) Committed() bool { return g.committed }
 
-// Commit notes that the log accepted the placement although the gang is stopping
-// already, so its end must be written down.
+// Commit notes that the log accepted the placement although the gang is already
+// stopping. The end of the placement must then be recorded in the log.
 func (g *Gang) Commit() { g.committed = true }
 
-// Apply moves the gang along the lease chart. An event that the state doesn't
-// allow comes too late to matter and is dropped.
+// Apply makes the transition of lease.chart for the event. An event that the
+// current state doesn't allow is ignored: it arrived after the gang had left
+// the state that it concerns.
 func (g *Gang) Apply(now unit.Instant, ev Event) {
 	to, err := leaseChart.Next(g.State, ev)
 	if err != nil {
 		return
 	}
-	g.State, g.started = to, now
+	g.State, g.stateSince = to, now
 	if ev == Accepted {
 		g.committed = true
 	}
 }
 
-// End makes the gang stop with the given outcome, if it has none yet.
-func (g *Gang) End(now unit.Instant, ev Event, o record.Outcome, reason string) {
+// End applies the event, which stops the gang, and sets the outcome and the
+// reason unless an outcome is set already.
+func (g *Gang) End(now unit.Instant, ev Event, outcome record.Outcome, reason string) {
 	if g.Outcome == "" {
-		g.Outcome, g.Reason = o, reason
+		g.Outcome, g.Reason = outcome, reason
 	}
 	g.Apply(now, ev)
 }
 
-// Report takes in what a worker says of the gang's task on it.
+// Report records the state that a worker reported for the gang's task on it. A
+// final state is never overwritten.
 func (g *Gang) Report(now unit.Instant, w id.Worker, clock time.Duration, st worker.TaskState) {
 	for i := range g.Members {
 		m := &g.Members[i]
@@ -176,7 +187,8 @@
 	}
 }
 
-// Heard notes that a worker answered and that its task is as it reported before.
+// Heard notes that a worker answered and that the state of its task hasn't
+// changed since its last report.
 func (g *Gang) Heard(now unit.Instant, w id.Worker, clock time.Duration) {
 	for i := range g.Members {
 		if m := &g.Members[i]; m.Worker == w {
@@ -185,8 +197,8 @@
 	}
 }
 
-// Step looks at the members and the time, and moves the gang on if they ask for
-// it.
+// Step applies the events that follow from the members' states and the current
+// time.
 func (g *Gang) Step(now unit.Instant) {
 	switch g.State {
 	case Asking:
@@ -199,18 +211,18 @@
 }
 
 func (g *Gang) stepAsking(now unit.Instant) {
-	all := true
+	allGranted := true
 	for _, m := range g.Members {
 		if m.State.Ended() && m.State != "" {
 			g.End(now, denied, record.Requeued, "worker "+string(m.Worker)+" answered "+string(m.State))
 			return
 		}
-		all = all && m.State == worker.Gated
+		allGranted = allGranted && m.State == worker.Gated
 	}
 	switch {
-	case all:
+	case allGranted:
 		g.Apply(now, granted)
-	case now.Sub(g.started) > AskTimeout:
+	case now.Sub(g.stateSince) > AskTimeout:
 		g.End(now, timeout, record.Requeued, "not every worker granted a lease in time")
 	}
 }
@@ -225,11 +237,11 @@
 			g.End(now, broken, record.Failed, "the task on worker "+string(m.Worker)+" failed")
 			return
 		case worker.Stopped, worker.Missing, worker.Denied:
-			g.lose(now, "worker "+string(m.Worker)+" reports the task as "+string(m.State))
+			g.endPartlyRun(now, "worker "+string(m.Worker)+" reports the task as "+string(m.State))
 			return
 		}
 		if m.State != worker.Exited && now.Sub(m.heard) > Grace {
-			g.lose(now, "worker "+string(m.Worker)+" is silent")
+			g.endPartlyRun(now, "worker "+string(m.Worker)+" is silent")
 			return
 		}
 	}
@@ -238,34 +250,36 @@
 	}
 }
 
-// lose ends a gang whose tasks may have run in part.
-func (g *Gang) lose(now unit.Instant, reason string) {
-	o := record.Requeued
+// endPartlyRun ends a gang whose tasks may have run in part. Its job is
+// requeued, or counts as lost if it must run at most once.
+func (g *Gang) endPartlyRun(now unit.Instant, reason string) {
+	outcome := record.Requeued
 	if g.Job.Once {
-		o = record.Lost
+		outcome = record.Lost
 	}
-	g.End(now, broken, o, reason)
+	g.End(now, broken, outcome, reason)
 }
 
-// stepStopping waits until each member confirmed that it stopped or its lease has
-// surely lapsed. Only then may the accelerators be used again.
+// stepStopping waits until each member has confirmed that it stopped or its
+// lease has lapsed for certain. Only then may the accelerators be used again.
 func (g *Gang) stepStopping(now unit.Instant) {
-	last := stopped
+	ev := stopped
 	for _, m := range g.Members {
 		switch {
 		case m.State.Ended() && m.State != "":
 		case now > m.lapse:
-			last = lapsed
+			ev = lapsed
 		default:
 			return
 		}
 	}
-	g.Apply(now, last)
+	g.Apply(now, ev)
 }
 
-// Want returns what the worker should hold for this gang, and whether it should
-// hold anything. A renewal counts from the worker's last answer, by the worker's own
-// clock, so it is worth the same however late it arrives.
+// Want returns the task that the worker should hold for this gang, and false if
+// it should hold none. A renewal counts from the worker's last answer, by the
+// worker's own clock, so a delay of the message that carries it doesn't extend
+// the lease.
 func (g *Gang) Want(now unit.Instant, w id.Worker) (worker.Want, bool) {
 	if g.State == Stopping || g.State == Released {
 		return worker.Want{}, false
@@ -291,7 +305,8 @@
 	return worker.Want{}, false
 }
 
-// Silent reports whether an open gang has a member that was not heard of lately.
+// Silent reports whether an open gang has a member that still runs and has not
+// answered for longer than Grace.
 func (g *Gang) Silent(now unit.Instant) bool {
 	if g.State != Open {
 		return false
@@ -304,8 +319,8 @@
 	return false
 }
 
-// renewable reports whether every member that still runs has answered this owner,
-// and lately.
+// renewable reports whether every member that still runs has answered this
+// owner, the last time within Grace.
 func (g *Gang) renewable(now unit.Instant) bool {
 	for _, m := range g.Members {
 		if m.State != worker.Exited && (m.clock == 0 || now.Sub(m.heard) > Grace) {
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -1,8 +1,15 @@
-// Package inventory is the map of all accelerators as the owner of scheduling sees them:
-// which workers answer, what gangs hold, and where guaranteed blocks are or could be.
+// Package inventory is the scheduling owner's map of all accelerators: which of
+// them have a worker that answers, which are held by gangs, and where
+// guaranteed blocks are or could be placed.
 //
-// Everything is a 64-bit mask for each rack and is kept up to date as gangs come and
-// go, so a question costs a few shifts for each rack and never a walk over gangs.
+// A cell is one block of a guarantee, and the home of a cell in use is the
+// block in which the gangs that use it run. A firm part of a rack is a home or
+// is held by a gang that must not be repeated; it can't be reclaimed for a
+// guarantee.
+//
+// Each rack has 64-bit masks that are kept up to date as gangs come and go, so
+// a query costs a few bit operations for each rack and never an iteration over
+// gangs.
 package inventory
 
 import (
@@ -16,148 +23,157 @@
 	"curlewsill.org/curlewsill/core/witness"
 )
 
-// Holding is what one gang holds.
+// Holding describes what one gang holds.
 type Holding struct {
 	Customer id.Customer
 	Block    block.Block
-	// Cell and Home are those of a gang that uses a guarantee.
+	// Cell and Home are set for a gang that uses a guarantee: its cell and the
+	// home of that cell.
 	Cell record.Cell
 	Home block.Block
-	// Once and Urgent are the job's marks.
+	// Once and Urgent are copied from the job: it must run at most once; it is
+	// urgent.
 	Once, Urgent bool
 }
 
 // Firm reports whether the gang can't be preempted.
 func (h Holding) Firm() bool { return h.Once || h.Cell.Guarantee != "" }
 
-// Rack is the map of one rack. A bit stands for an accelerator.
+// Rack is the map of one rack. In its masks, each bit stands for an
+// accelerator.
 type Rack struct {
 	ID     id.Rack
 	Config config.Rack
-	// Usable has the accelerators that exist and are not drained, and Live those
-	// of them whose worker answers.
+	// Usable has the accelerators that exist and are not drained; Live has
+	// those of them whose worker answers.
 	Usable, Live uint64
-	// Busy has those that gangs hold, Leaving those of them whose gang was told to
-	// stop, Pinned those whose gang can't be preempted, Urgent those whose gang is
-	// urgent.
+	// Busy has the accelerators held by gangs. Of these, Leaving has those
+	// whose gang is stopping, Pinned those whose gang can't be preempted, and
+	// Urgent those whose gang is urgent.
 	Busy, Leaving, Pinned, Urgent uint64
-	// Firm has the homes of cells in use and the gangs that must not be repeated.
+	// Firm has the homes of the cells in use and the accelerators of gangs that
+	// must not be repeated.
 	Firm uint64
-	// Spare has the places of the cells that are not in use.
+	// Spare has the accelerators at which the cells that are not in use have
+	// their places.
 	Spare uint64
-	// kept and keptFirm are set aside until the next Begin.
-	kept, keptFirm uint64
+	// reserved and reservedFirm have what Keep reserved until the next Begin:
+	// the blocks and the homes of their cells.
+	reserved, reservedFirm uint64
 }
 
-// Taken returns what nothing new may be placed on.
-func (r *Rack) Taken() uint64 { return r.Busy | r.kept }
+// Taken returns the accelerators on which nothing new may be placed.
+func (r *Rack) Taken() uint64 { return r.Busy | r.reserved }
 
-// Staying returns what gangs hold that were not told to stop, or is set aside.
-func (r *Rack) Staying() uint64 { return r.Busy&^r.Leaving | r.kept }
+// Staying returns the accelerators that are reserved or held by gangs that are
+// not stopping.
+func (r *Rack) Staying() uint64 { return r.Busy&^r.Leaving | r.reserved }
 
-// Guarded returns the places of all guaranteed blocks.
-func (r *Rack) Guarded() uint64 { return r.Spare | r.Firm | r.keptFirm }
+// Guarded returns the accelerators that guaranteed blocks need: the places of
+// the unused cells and everything firm.
+func (r *Rack) Guarded() uint64 { return r.Spare | r.Firm | r.reservedFirm }
 
-// home is the place of a cell in use.
-type home struct {
+// cellHome is the home of a cell in use.
+type cellHome struct {
 	block block.Block
-	// gangs is how many gangs use the cell; 0 for one that is only set aside.
+	// gangs is how many gangs use the cell.
 	gangs int
 }
 
 // Inventory is the map of all racks. It is not safe for concurrent use.
 type Inventory struct {
-	// Racks is in ascending order of ids. The caller may read its elements.
+	// Racks is in ascending order of IDs. The caller may read its elements.
 	Racks []Rack
 
-	at       map[id.Rack]int
-	holdings map[id.Job]Holding
-	homes    map[record.Cell]home
-	kept     map[record.Cell]block.Block
-	held     map[id.Customer]int
-	spare    witness.Witness
-	stale    bool
-	risk     bool
-	// room grows whenever something was freed that a waiting job might use.
-	room uint64
+	rackIndex     map[id.Rack]int
+	holdings      map[id.Job]Holding
+	homes         map[record.Cell]cellHome
+	reservedHomes map[record.Cell]block.Block
+	heldBy        map[id.Customer]int
+	unusedPlaces  witness.Witness
+	placesStale   bool
+	atRisk        bool
+	// freed grows whenever something was freed that a waiting job might use.
+	freed uint64
 }
 
 // New returns a map without racks.
 func New() *Inventory {
 	return &Inventory{
-		at: map[id.Rack]int{}, holdings: map[id.Job]Holding{}, homes: map[record.Cell]home{},
-		kept: map[record.Cell]block.Block{}, held: map[id.Customer]int{}, stale: true,
+		rackIndex: map[id.Rack]int{}, holdings: map[id.Job]Holding{}, homes: map[record.Cell]cellHome{},
+		reservedHomes: map[record.Cell]block.Block{}, heldBy: map[id.Customer]int{}, placesStale: true,
 	}
 }
 
-// Configure takes over the racks of a configuration. Gangs stay where they are.
+// Configure applies the racks of a configuration. Gangs keep what they hold.
 func (f *Inventory) Configure(c config.Config) {
 	live := map[id.Rack]uint64{}
 	for i := range f.Racks {
 		live[f.Racks[i].ID] = f.Racks[i].Live
 	}
-	f.Racks, f.at = nil, map[id.Rack]int{}
+	f.Racks, f.rackIndex = nil, map[id.Rack]int{}
 	for _, k := range config.Sorted(c.Racks) {
-		f.at[k] = len(f.Racks)
+		f.rackIndex[k] = len(f.Racks)
 		usable := state.Usable(c, k)
 		f.Racks = append(f.Racks, Rack{ID: k, Config: c.Racks[k], Usable: usable, Live: live[k] & usable})
 	}
 	for _, h := range f.holdings {
-		f.mark(h)
+		f.markHolding(h)
 	}
-	f.stale = true
-	f.room++
+	f.placesStale = true
+	f.freed++
 }
 
 // Rack returns the map of a rack, or nil.
 func (f *Inventory) Rack(k id.Rack) *Rack {
-	if i, ok := f.at[k]; ok {
+	if i, ok := f.rackIndex[k]; ok {
 		return &f.Racks[i]
 	}
 	return nil
 }
 
-// SetLive says which accelerators of a rack have a worker that answers.
+// SetLive sets which accelerators of a rack have a worker that answers.
 func (f *Inventory) SetLive(k id.Rack, live uint64) {
 	r := f.Rack(k)
 	if r == nil || r.Live == live&r.Usable {
 		return
 	}
 	if live&r.Usable&^r.Live != 0 {
-		f.room++
+		f.freed++
 	}
-	r.Live, f.stale = live&r.Usable, true
+	r.Live, f.placesStale = live&r.Usable, true
 }
 
-// Room returns a number that has grown if anything was freed since it was asked last.
-func (f *Inventory) Room() uint64 { return f.room }
+// Room returns a number that grows whenever something is freed that a waiting
+// job might use.
+func (f *Inventory) Room() uint64 { return f.freed }
 
 // Held returns how many accelerators a customer's gangs hold.
-func (f *Inventory) Held(c id.Customer) int { return f.held[c] }
+func (f *Inventory) Held(c id.Customer) int { return f.heldBy[c] }
 
-// Home returns where a cell is, if it is in use or set aside.
+// Home returns the home of a cell that is in use or reserved, or false.
 func (f *Inventory) Home(c record.Cell) (block.Block, bool) {
-	if b, ok := f.kept[c]; ok {
+	if b, ok := f.reservedHomes[c]; ok {
 		return b, true
 	}
 	h, ok := f.homes[c]
 	return h.block, ok
 }
 
-// Add notes what a gang holds. The block must be free.
+// Add records what a gang holds. The block must be free.
 func (f *Inventory) Add(j id.Job, h Holding) {
 	f.holdings[j] = h
-	f.held[h.Customer] += h.Block.Size
+	f.heldBy[h.Customer] += h.Block.Size
 	if h.Cell.Guarantee != "" {
 		x := f.homes[h.Cell]
-		f.homes[h.Cell] = home{h.Home, x.gangs + 1}
+		f.homes[h.Cell] = cellHome{h.Home, x.gangs + 1}
 	}
-	f.mark(h)
-	f.stale = f.stale || h.Firm()
+	f.markHolding(h)
+	f.placesStale = f.placesStale || h.Firm()
 }
 
-// mark sets the bits of a holding.
-func (f *Inventory) mark(h Holding) {
+// markHolding sets the bits of a holding in the masks of its rack.
+func (f *Inventory) markHolding(h Holding) {
 	r := f.Rack(h.Block.Rack)
 	if r == nil {
 		return
@@ -177,7 +193,7 @@
 	}
 }
 
-// Leave notes that a gang was told to stop.
+// Leave records that a gang is stopping.
 func (f *Inventory) Leave(j id.Job) {
 	h, ok := f.holdings[j]
 	if !ok {
@@ -188,16 +204,16 @@
 	}
 }
 
-// Remove notes that a gang holds nothing any more.
+// Remove records that a gang no longer holds anything.
 func (f *Inventory) Remove(j id.Job) {
 	h, ok := f.holdings[j]
 	if !ok {
 		return
 	}
 	delete(f.holdings, j)
-	f.held[h.Customer] -= h.Block.Size
-	f.room++
-	f.stale = f.stale || h.Firm()
+	f.heldBy[h.Customer] -= h.Block.Size
+	f.freed++
+	f.placesStale = f.placesStale || h.Firm()
 	if r := f.Rack(h.Block.Rack); r != nil {
 		m := h.Block.Mask()
 		r.Busy &^= m
@@ -208,11 +224,12 @@
 			r.Firm &^= m
 		}
 	}
-	f.leaveHome(h)
+	f.releaseHome(h)
 }
 
-// leaveHome gives up a cell's home when its last gang is gone.
-func (f *Inventory) leaveHome(h Holding) {
+// releaseHome removes one gang from the home of its cell, and the home with the
+// last one.
+func (f *Inventory) releaseHome(h Holding) {
 	if h.Cell.Guarantee == "" {
 		return
 	}
@@ -227,49 +244,52 @@
 	}
 }
 
-// Keep sets a block aside for a gang that waits for others to stop, with the home of
-// its cell if it has one, until the next Begin.
+// Keep reserves a block until the next Begin for a gang that waits for others
+// to stop, and the home h of its cell if it has one.
 func (f *Inventory) Keep(b block.Block, cell record.Cell, h block.Block) {
 	if r := f.Rack(b.Rack); r != nil {
-		r.kept |= b.Mask()
+		r.reserved |= b.Mask()
 		if cell.Guarantee != "" {
-			r.keptFirm |= h.Mask()
-			f.kept[cell] = h
-			f.stale = true
+			r.reservedFirm |= h.Mask()
+			f.reservedHomes[cell] = h
+			f.placesStale = true
 		}
 	}
 }
 
-// Begin forgets what was set aside and brings the places of unused cells up to date.
-// Agreed is the standing witness of the state, of which it moves as little as it can.
+// Begin drops all reservations and updates the places of the unused cells.
+// Agreed is the state's current witness; as few of its places as possible
+// change.
 func (f *Inventory) Begin(c config.Config, agreed witness.Witness) {
-	if len(f.kept) > 0 {
-		f.stale = true
-		clear(f.kept)
+	if len(f.reservedHomes) > 0 {
+		f.placesStale = true
+		clear(f.reservedHomes)
 	}
 	for i := range f.Racks {
-		f.Racks[i].kept, f.Racks[i].keptFirm = 0, 0
+		f.Racks[i].reserved, f.Racks[i].reservedFirm = 0, 0
 	}
 	f.Refresh(c, agreed)
 }
 
-// Refresh finds the places of unused cells anew if something has changed.
+// Refresh recomputes the places of the unused cells if anything changed that
+// they depend on.
 func (f *Inventory) Refresh(c config.Config, agreed witness.Witness) {
-	if !f.stale {
+	if !f.placesStale {
 		return
 	}
-	f.stale = false
-	w, err := f.find(c, agreed, func(r *Rack) uint64 { return r.Live })
-	f.risk = err != nil
+	f.placesStale = false
+	w, err := f.findPlaces(c, agreed, func(r *Rack) uint64 { return r.Live })
+	f.atRisk = err != nil
 	if err != nil {
-		// Lost workers took the room. Plan as if they were back, and say so.
-		w, _ = f.find(c, agreed, func(r *Rack) uint64 { return r.Usable })
+		// The accelerators of lost workers are needed. Plan as if these workers
+		// were back, and report that guarantees are at risk.
+		w, _ = f.findPlaces(c, agreed, func(r *Rack) uint64 { return r.Usable })
 	}
 	f.setSpare(w)
 }
 
 func (f *Inventory) setSpare(w witness.Witness) {
-	f.spare = w
+	f.unusedPlaces = w
 	for i := range f.Racks {
 		f.Racks[i].Spare = 0
 	}
@@ -280,21 +300,23 @@
 	}
 }
 
-// AtRisk reports whether some guaranteed block has no place on live workers.
-func (f *Inventory) AtRisk() bool { return f.risk }
+// AtRisk reports whether some guaranteed block has no place on workers that
+// answer.
+func (f *Inventory) AtRisk() bool { return f.atRisk }
 
-// Spare returns the place of a cell that is not in use.
+// Spare returns the place of a cell that is not in use, or false.
 func (f *Inventory) Spare(c record.Cell) (block.Block, bool) {
-	b, ok := f.spare[c]
+	b, ok := f.unusedPlaces[c]
 	return b, ok
 }
 
-// find looks for a place for each cell that is neither in use nor set aside.
-func (f *Inventory) find(c config.Config, old witness.Witness, usable func(*Rack) uint64) (witness.Witness, error) {
+// findPlaces returns a place for each cell that is neither in use nor reserved.
+// It changes as few places of old as possible.
+func (f *Inventory) findPlaces(c config.Config, old witness.Witness, usable func(*Rack) uint64) (witness.Witness, error) {
 	rooms := make([]witness.Room, len(f.Racks))
 	for i := range f.Racks {
 		r := &f.Racks[i]
-		rooms[i] = witness.Room{Rack: r.ID, Free: usable(r) &^ (r.Firm | r.keptFirm)}
+		rooms[i] = witness.Room{Rack: r.ID, Free: usable(r) &^ (r.Firm | r.reservedFirm)}
 	}
 	var needs []witness.Need
 	for _, k := range config.Sorted(c.Guarantees) {
@@ -309,14 +331,15 @@
 	return witness.Keep(rooms, old, needs)
 }
 
-// Clears reports whether every unused cell would still have a place on live workers if
-// a gang that can't be preempted took b, and moves the places if so.
+// Clears reports whether every unused cell would still have a place on workers
+// that answer if a gang that can't be preempted took b. If so, it adopts these
+// places.
 func (f *Inventory) Clears(c config.Config, b block.Block) bool {
 	r := f.Rack(b.Rack)
-	was := r.Firm
+	firmBefore := r.Firm
 	r.Firm |= b.Mask()
-	w, err := f.find(c, f.spare, func(r *Rack) uint64 { return r.Live })
-	r.Firm = was
+	w, err := f.findPlaces(c, f.unusedPlaces, func(r *Rack) uint64 { return r.Live })
+	r.Firm = firmBefore
 	if err != nil {
 		return false
 	}
@@ -324,8 +347,9 @@
 	return true
 }
 
-// CouldClear reports whether a gang of the size that can't be preempted could be placed
-// on empty racks so that every guarantee still has a place.
+// CouldClear reports whether a gang of the given size that can't be preempted
+// could be placed on otherwise empty racks such that every guarantee still has
+// a place.
 func CouldClear(c config.Config, size int) bool {
 	empty := New()
 	empty.Configure(c)
@@ -335,7 +359,7 @@
 	}
 	for i := range empty.Racks {
 		r := &empty.Racks[i]
-		// The first start of the size leaves the longest run behind.
+		// The first possible start leaves the longest run of free accelerators.
 		starts := block.Starts(r.Usable, size)
 		if starts == 0 {
 			continue
