--- a/core/block/block.go
+++ b/core/block/block.go
@@ -1,9 +1,9 @@
 // Package block describes sets of adjacent accelerators.
 //
-// Accelerators are adjacent when they are consecutive in one rack. A rack has at
-// most 64 of them, numbered from 0 in the order of its workers, so any set of
-// accelerators of a rack is one 64-bit mask and the search for room is a matter
-// of shifts.
+// Accelerators are adjacent when they are consecutive in one rack. A rack has
+// at most 64 of them, numbered from 0 in the order of its workers, so any set
+// of accelerators of a rack fits into one 64-bit mask, and free runs are found
+// with shift operations.
 package block
 
 import (
@@ -13,13 +13,14 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// MaxSize is the number of accelerators of the largest rack, and so the size of
-// the largest gang.
+// MaxSize is the number of accelerators in the largest possible rack, and
+// therefore the size of the largest possible gang.
 const MaxSize = 64
 
 // Block is a run of adjacent accelerators.
 type Block struct {
-	// Rack holds the whole block; a block never spans two racks.
+	// Rack is the rack that contains the whole block; a block never spans two
+	// racks.
 	Rack id.Rack `cbor:"1,keyasint" json:"rack"`
 	// Start is the first accelerator; 0 <= Start < MaxSize.
 	Start int `cbor:"2,keyasint" json:"start"`
@@ -27,7 +28,7 @@
 	Size int `cbor:"3,keyasint" json:"size"`
 }
 
-// Mask returns the accelerators of b as bits of its rack.
+// Mask returns the accelerators of b as bits of its rack's mask.
 func (b Block) Mask() uint64 { return Run(b.Start, b.Size) }
 
 // Overlaps reports whether b and o share an accelerator.
@@ -45,7 +46,7 @@
 	return fmt.Sprintf("%s[%d:%d)", b.Rack, b.Start, b.Start+b.Size)
 }
 
-// Run returns a mask of size bits from start upwards.
+// Run returns a mask of size consecutive bits from start upwards.
 func Run(start, size int) uint64 {
 	if size >= MaxSize {
 		return ^uint64(0) << start
@@ -53,15 +54,15 @@
 	return (uint64(1)<<size - 1) << start
 }
 
-// Starts returns the positions at which a run of size free bits begins.
-// Bits set in free are free accelerators.
+// Starts returns the positions at which a run of size free accelerators begins,
+// as a mask. A bit set in free stands for a free accelerator.
 func Starts(free uint64, size int) uint64 {
-	// After each round, bit i stands for a run of have free bits from i upwards.
-	have := 1
-	for have < size {
-		step := min(have, size-have)
+	// Here, bit i is set if length consecutive bits from i upwards are free.
+	length := 1
+	for length < size {
+		step := min(length, size-length)
 		free &= free >> step
-		have += step
+		length += step
 	}
 	return free
 }
@@ -76,8 +77,8 @@
 	return n
 }
 
-// RunAt returns the whole run of set bits in free that contains bit i, as a mask.
-// It returns 0 if bit i is not set.
+// RunAt returns the entire run of set bits in free that contains bit i, as a
+// mask. It returns 0 if bit i is not set.
 func RunAt(free uint64, i int) uint64 {
 	if free>>i&1 == 0 {
 		return 0
--- a/core/block/block_test.go
+++ b/core/block/block_test.go
@@ -18,7 +18,7 @@
 	return gopter.NewProperties(gopter.DefaultTestParametersWithSeed(seed))
 }
 
-// starts is Starts by trying every position.
+// starts computes Starts by testing every position.
 func starts(free uint64, size int) uint64 {
 	var out uint64
 	for s := 0; s+size <= block.MaxSize; s++ {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// longest is LongestRun by counting.
+// longest computes LongestRun by counting.
 func longest(free uint64) int {
 	best, n := 0, 0
 	for i := range block.MaxSize {
@@ -42,20 +42,21 @@
 	return best
 }
 
-// TestRuns compares the shifts with plain counting.
+// TestRuns compares the functions on bit masks with implementations that test
+// or count single bits.
 func TestRuns(t *testing.T) {
 	p := properties()
 	size := gen.IntRange(1, block.MaxSize)
-	p.Property("starts are the positions of free runs", prop.ForAll(
+	p.Property("Starts returns all positions of free runs", prop.ForAll(
 		func(free uint64, size int) bool { return block.Starts(free, size) == starts(free, size) },
 		gen.UInt64(), size))
-	p.Property("dense masks have the same starts", prop.ForAll(
+	p.Property("Starts returns all positions of free runs in dense masks", prop.ForAll(
 		func(a, b, c uint64, size int) bool { return block.Starts(a|b|c, size) == starts(a|b|c, size) },
 		gen.UInt64(), gen.UInt64(), gen.UInt64(), size))
-	p.Property("the longest run is the longest", prop.ForAll(
+	p.Property("LongestRun returns the length of the longest run", prop.ForAll(
 		func(a, b uint64) bool { return block.LongestRun(a|b) == longest(a|b) },
 		gen.UInt64(), gen.UInt64()))
-	p.Property("a run around a bit is whole", prop.ForAll(
+	p.Property("RunAt returns the entire run around a bit", prop.ForAll(
 		func(a, b uint64, i int) bool {
 			free := a | b
 			r := block.RunAt(free, i)
@@ -64,8 +65,8 @@
 			}
 			n := bits.OnesCount64(r)
 			low := bits.TrailingZeros64(r)
-			edge := (low == 0 || free>>(low-1)&1 == 0) && (low+n == 64 || free>>(low+n)&1 == 0)
-			return r == block.Run(low, n) && r&^free == 0 && r>>i&1 == 1 && edge
+			bounded := (low == 0 || free>>(low-1)&1 == 0) && (low+n == 64 || free>>(low+n)&1 == 0)
+			return r == block.Run(low, n) && r&^free == 0 && r>>i&1 == 1 && bounded
 		},
 		gen.UInt64(), gen.UInt64(), gen.IntRange(0, 63)))
 	p.TestingRun(t)
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -1,8 +1,8 @@
 // Package place chooses blocks for gangs.
 //
-// A policy sees the free accelerators of each rack and proposes where a gang should
-// go. Whether the proposal may be taken is decided elsewhere: a policy knows
-// nothing of guarantees, leases or customers.
+// A policy gets the free accelerators of each rack and proposes where a gang
+// should be placed. Whether the proposal is accepted is decided elsewhere: a
+// policy knows nothing of guarantees, leases or customers.
 package place
 
 import (
@@ -14,39 +14,41 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// Room is what one rack offers.
+// Room describes the free accelerators of one rack.
 type Room struct {
 	Rack id.Rack
-	// Free has a bit for each accelerator that the gang could have at once.
+	// Free has a bit for each accelerator that the gang could take at once.
 	Free uint64
-	// Avoid has a bit for each accelerator that is better left alone, because a
-	// guarantee or a large job is expected to need it.
+	// Avoid has a bit for each accelerator that should be left free if
+	// possible, because a guarantee or a large job is expected to need it.
 	Avoid uint64
 }
 
-// Policy proposes blocks. Choose returns the block for a gang of the given size, and
-// false if no rack holds it. Rooms are in a fixed order. Demand lists the sizes of gangs
-// that wait or are guaranteed.
+// Policy proposes blocks. Choose returns the block for a gang of the given
+// size, and false if no rack has enough adjacent free accelerators. Rooms must
+// always be in the same order. Demand lists the sizes of the gangs that wait or
+// are guaranteed.
 type Policy interface {
 	Name() string
 	Choose(rooms []Room, size int, demand []int) (block.Block, bool)
 }
 
-// Scorer rates the cut of size accelerators at start out of a rack. The lowest
-// cost wins; the first of equals.
+// Scorer returns the cost of taking size accelerators of a rack from start
+// upwards. The position with the lowest cost is chosen; of equal ones, the
+// first.
 type Scorer func(r Room, start, size int, demand []int) int
 
-type scored struct {
+type scorePolicy struct {
 	name string
 	cost Scorer
 }
 
-// New returns the policy that takes the cheapest start under cost.
-func New(name string, cost Scorer) Policy { return scored{name, cost} }
+// New returns the policy that takes the position with the lowest cost.
+func New(name string, cost Scorer) Policy { return scorePolicy{name, cost} }
 
-func (p scored) Name() string { return p.name }
+func (p scorePolicy) Name() string { return p.name }
 
-func (p scored) Choose(rooms []Room, size int, demand []int) (block.Block, bool) {
+func (p scorePolicy) Choose(rooms []Room, size int, demand []int) (block.Block, bool) {
 	var best block.Block
 	lowest, found := 0, false
 	for _, r := range rooms {
@@ -60,20 +62,21 @@
 	return best, found
 }
 
-// FirstFit takes the first start of the first rack that holds the gang.
+// FirstFit takes the first position in the first rack that has room for the
+// gang.
 func FirstFit() Policy {
 	return New("first-fit", func(Room, int, int, []int) int { return 0 })
 }
 
-// BestFit cuts the gang out of the shortest run of free accelerators.
+// BestFit takes a position in the shortest run of free accelerators.
 func BestFit() Policy {
 	return New("best-fit", func(r Room, start, _ int, _ []int) int {
 		return bits.OnesCount64(block.RunAt(r.Free, start))
 	})
 }
 
-// Buddy places a gang only at multiples of its size, rounded up to a power of two,
-// and prefers the smallest buddy block that is wholly free.
+// Buddy places a gang only at multiples of its size, rounded up to a power of
+// two, and prefers the smallest aligned buddy block that is entirely free.
 func Buddy() Policy {
 	return New("buddy", func(r Room, start, size int, _ []int) int {
 		unit := 1 << bits.Len(uint(size-1))
@@ -91,35 +94,39 @@
 	})
 }
 
-// Weights of Packing. They were chosen on recorded traces; see docs/design.
+// Weights of Packing: for each accelerator to be avoided, for each accelerator
+// of an entirely free buddy block that is broken, and for each accelerator of a
+// gang that isn't aligned. See docs/design.
 const (
-	costAvoid = 12
-	costBreak = 6
-	costOdd   = 1
+	costAvoid     = 12
+	costBreak     = 6
+	costUnaligned = 1
 )
 
-// Packing is the policy of the product. It charges a start for each larger buddy
-// block that the gang would break, for accelerators better left alone, and for a
-// start that isn't a multiple of the size. Small gangs so end up in racks that are
-// broken already.
+// Packing is the policy used in production. It charges a position for each
+// entirely free buddy block that the gang would break, for accelerators to be
+// avoided, for a start that isn't a multiple of the size rounded up to a power
+// of two and, with little weight, for the length of the run of free
+// accelerators. Small gangs are therefore placed in racks that are already
+// fragmented.
 func Packing() Policy {
 	return New("curlewsill", func(r Room, start, size int, _ []int) int {
 		m := block.Run(start, size)
 		cost := costAvoid * bits.OnesCount64(m&r.Avoid)
 		if start%(1<<bits.Len(uint(size-1))) != 0 {
-			cost += costOdd * size
+			cost += costUnaligned * size
 		}
 		for unit := 2; unit <= block.MaxSize; unit *= 2 {
-			cost += costBreak * broken(r.Free, start, size, unit)
+			cost += costBreak * brokenAccelerators(r.Free, start, size, unit)
 		}
 		return cost + bits.OnesCount64(block.RunAt(r.Free, start))/8
 	})
 }
 
-// broken counts the accelerators of aligned blocks of the given size that are free now
-// and would be cut by the run m of the given start and size. Only the blocks at its
-// two ends can be.
-func broken(free uint64, start, size, unit int) int {
+// brokenAccelerators counts the accelerators in entirely free aligned blocks of
+// unit accelerators that a gang of the given start and size would take only in
+// part. Only the blocks at its two ends can be such blocks.
+func brokenAccelerators(free uint64, start, size, unit int) int {
 	m := block.Run(start, size)
 	first := start / unit * unit
 	last := (start + size - 1) / unit * unit
@@ -136,26 +143,28 @@
 	return n
 }
 
-// Weights of Expected. One accelerator that the sizes in demand lose weighs expectedUnit.
+// Weights of Expected. Each accelerator that a size in demand can no longer use
+// weighs expectedUnit; the sum is averaged over the sizes.
 const (
 	expectedUnit  = 64
 	expectedAvoid = 8
 )
 
-// Servable returns how many of the free accelerators of a rack gangs of size n could
-// use.
+// Servable returns how many of the free accelerators of a rack could be used by
+// gangs of size n.
 func Servable(free uint64, n int) int {
-	got := 0
+	usable := 0
 	for free != 0 {
 		run := block.RunAt(free, bits.TrailingZeros64(free))
-		got += bits.OnesCount64(run) / n * n
+		usable += bits.OnesCount64(run) / n * n
 		free &^= run
 	}
-	return got
+	return usable
 }
 
-// Expected takes the start that costs the sizes in demand the fewest accelerators (after
-// FGD, ATC 2023): for each size, those that it could use before and can't afterwards.
+// Expected takes the position that costs the sizes in demand the fewest
+// accelerators (after FGD, ATC 2023): for each size, it counts those that the
+// size could use before the placement but not after it.
 func Expected() Policy {
 	return New("expected", func(r Room, start, size int, demand []int) int {
 		m := block.Run(start, size)
--- a/core/plan/describe.go
+++ b/core/plan/describe.go
@@ -9,31 +9,31 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// describe returns the lines of a diff for one change: the object marked as added (+),
-// changed (~) or removed (-), and below it the facts that come and go. A change that
-// changes nothing has no lines.
+// describe returns the lines of a diff for one change: the object, marked as
+// added (+), changed (~) or removed (-), and below it its properties that are
+// added or removed. A change without effect has no lines.
 func describe(c config.Config, ch config.Change) []string {
 	switch {
 	case ch.SetCustomer != nil:
-		return compare("customer", ch.SetCustomer.ID, c.Customers, *ch.SetCustomer, customerFacts)
+		return diffObject("customer", ch.SetCustomer.ID, c.Customers, *ch.SetCustomer, customerProperties)
 	case ch.SetGuarantee != nil:
-		return compare("guarantee", ch.SetGuarantee.ID, c.Guarantees, *ch.SetGuarantee, guaranteeFacts)
+		return diffObject("guarantee", ch.SetGuarantee.ID, c.Guarantees, *ch.SetGuarantee, guaranteeProperties)
 	case ch.SetRack != nil:
-		return compare("rack", ch.SetRack.ID, c.Racks, *ch.SetRack, rackFacts)
+		return diffObject("rack", ch.SetRack.ID, c.Racks, *ch.SetRack, rackProperties)
 	case ch.SetService != nil:
-		return compare("service", ch.SetService.ID, c.Services, *ch.SetService, serviceFacts)
+		return diffObject("service", ch.SetService.ID, c.Services, *ch.SetService, serviceProperties)
 	}
 	return []string{"- " + strings.TrimPrefix(ch.String(), "delete ")}
 }
 
-// compare returns the diff of one object.
-func compare[K ~string, V any](kind string, key K, have map[K]V, want V, facts func(V) []string) []string {
+// diffObject returns the diff of one object.
+func diffObject[K ~string, V any](kind string, key K, have map[K]V, want V, properties func(V) []string) []string {
 	var before []string
 	mark := "+"
 	if old, ok := have[key]; ok {
-		before, mark = facts(old), "~"
+		before, mark = properties(old), "~"
 	}
-	after := facts(want)
+	after := properties(want)
 	var lines []string
 	for _, f := range before {
 		if !slices.Contains(after, f) {
@@ -51,7 +51,7 @@
 	return append([]string{fmt.Sprintf("%s %s %s", mark, kind, key)}, lines...)
 }
 
-func customerFacts(c config.Customer) []string {
+func customerProperties(c config.Customer) []string {
 	quota := "no quota"
 	if c.Quota > 0 {
 		quota = fmt.Sprintf("quota %d accelerators", c.Quota)
@@ -59,11 +59,11 @@
 	return []string{fmt.Sprintf("weight %d", c.Weight), quota}
 }
 
-func guaranteeFacts(g config.Guarantee) []string {
+func guaranteeProperties(g config.Guarantee) []string {
 	return []string{fmt.Sprintf("customer %s", g.Customer), fmt.Sprintf("%d x %d adjacent accelerators", g.Count, g.Size)}
 }
 
-func rackFacts(r config.Rack) []string {
+func rackProperties(r config.Rack) []string {
 	out := []string{fmt.Sprintf("domain %s", r.Domain)}
 	for _, w := range r.Workers {
 		f := fmt.Sprintf("worker %s: %d accelerators, %d cores, %d MiB", w.ID, w.Accelerators, w.Cores, w.Memory/unit.MiB)
@@ -75,7 +75,7 @@
 	return out
 }
 
-func serviceFacts(s config.Service) []string {
+func serviceProperties(s config.Service) []string {
 	out := []string{
 		fmt.Sprintf("%d slots", s.Slots), fmt.Sprintf("%d connections", s.Connections), fmt.Sprintf("timeout %s", s.Timeout),
 	}
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -1,9 +1,11 @@
-// Package plan shows what a set of changes would do before anything happens.
+// Package plan shows the effects of a set of configuration changes before they
+// are applied.
 //
-// A plan is drawn upon the configuration in force. Its id is a hash of its changes
-// and of that configuration's offset, so it needs to be stored nowhere: whoever
-// confirms it sends it back whole, and a plan that was altered no longer has its id.
-// The log accepts a confirmed plan only while its basis is in force.
+// A plan is based on the configuration in force. Its ID is a hash of its
+// changes and of that configuration's offset in the log, so plans need not be
+// stored: whoever confirms a plan sends all of it back, and the ID of a plan
+// that was altered no longer matches. The log accepts a confirmed plan only
+// while the configuration on which it is based is still in force.
 package plan
 
 import (
@@ -19,34 +21,34 @@
 	"curlewsill.org/curlewsill/core/state"
 )
 
-// ErrAltered reports a plan whose id doesn't belong to its changes and basis.
+// ErrAltered reports a plan whose ID doesn't match its changes and basis.
 var ErrAltered = errors.New("plan: id does not match")
 
-// Plan is an operator's intent and its effects.
+// Plan is a set of changes that an operator intends, with their effects.
 type Plan struct {
 	// ID is a hash of Basis and Changes.
 	ID id.Plan `json:"id"`
-	// Basis is the offset of the configuration that the plan was drawn upon.
+	// Basis is the offset of the configuration on which the plan is based.
 	Basis   id.Offset       `json:"basis"`
 	Changes []config.Change `json:"changes"`
 	// Lines describe the changes like a diff: + added, ~ changed, - removed.
 	Lines []string `json:"lines"`
-	// Preempts lists running jobs that the reclaiming of a new guarantee could
-	// stop.
+	// Preempts lists the running jobs that may be preempted when the customer of
+	// a new or larger guarantee reclaims its accelerators.
 	Preempts []id.Job `json:"preempts"`
 	// Problem says why the plan can't be accepted; empty if it can.
 	Problem string `json:"problem"`
 }
 
-type identity struct {
+type hashInput struct {
 	Basis   id.Offset       `cbor:"1,keyasint"`
 	Changes []config.Change `cbor:"2,keyasint"`
 }
 
-var identities = codec.New[identity]()
+var hashCodec = codec.New[hashInput]()
 
-// Draw returns the plan for changes upon the state's configuration. Changes that
-// change nothing are left out.
+// Draw returns the plan for the changes to the state's configuration. Changes
+// without effect are left out.
 func Draw(st *state.State, changes []config.Change) (Plan, error) {
 	p := Plan{Basis: st.ConfigAt}
 	for _, c := range changes {
@@ -70,7 +72,7 @@
 		p.Problem = err.Error()
 		return p, nil
 	}
-	p.Preempts = borrowers(st, next)
+	p.Preempts = preemptibleJobs(st, next)
 	return p, nil
 }
 
@@ -87,23 +89,24 @@
 }
 
 func hash(basis id.Offset, changes []config.Change) (id.Plan, error) {
-	b, err := identities.Encode(identity{basis, changes})
+	b, err := hashCodec.Encode(hashInput{basis, changes})
 	if err != nil {
 		return "", err
 	}
 	return id.Plan(fmt.Sprintf("%016x", xxhash.Sum64(b))), nil
 }
 
-// borrowers returns the jobs that run on borrowed accelerators if the
-// configuration would add a guarantee, because its customer may reclaim them.
-func borrowers(st *state.State, next config.Config) []id.Job {
-	grows := false
+// preemptibleJobs returns the running jobs that can be preempted if the next
+// configuration adds or enlarges a guarantee, because its customer may reclaim
+// the accelerators. Otherwise it returns nil.
+func preemptibleJobs(st *state.State, next config.Config) []id.Job {
+	guaranteeGrows := false
 	for k, g := range next.Guarantees {
 		if old, ok := st.Config.Guarantees[k]; !ok || g.Size*g.Count > old.Size*old.Count {
-			grows = true
+			guaranteeGrows = true
 		}
 	}
-	if !grows {
+	if !guaranteeGrows {
 		return nil
 	}
 	var out []id.Job
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -1,51 +1,64 @@
-// Package policy names the mechanisms by which the owner decides what runs where. Each can be
-// switched off by itself, so that what it is worth can be measured by a change of settings.
+// Package policy names the mechanisms by which the owner decides what runs
+// where. Each can be turned off in the settings by itself, so that its effect
+// can be measured.
 package policy
 
 import "slices"
 
-// Policy says which mechanisms are on. They are independent of each other but for what they say. The
-// zero value has all off; New has all on.
+// Policy tells which mechanisms are on. Unless a field's comment says
+// otherwise, they are independent of each other. The zero value has all of them
+// off; New returns a policy with all of them on.
 type Policy struct {
-	// Preempt: urgent work that finds no room stops less urgent work.
+	// Preempt: urgent work for which there is no room preempts less urgent
+	// work.
 	Preempt bool
-	// TakeFreed: urgent work for which others are stopped takes room that becomes free elsewhere
-	// before these have ended. Without Preempt it does nothing.
+	// TakeFreed: urgent work for which other work is being preempted takes room
+	// that becomes free elsewhere before that other work has ended. It has no
+	// effect without Preempt.
 	TakeFreed bool
-	// KeepEmpty: some empty workers are kept for urgent work that is expected.
+	// KeepEmpty: some empty workers are reserved for urgent work that is
+	// expected.
 	KeepEmpty bool
-	// HoldBack: single tasks of work that isn't urgent and has time don't start while fewer workers
-	// are empty than are kept. Without KeepEmpty it does nothing.
+	// HoldBack: single tasks of work that isn't urgent and has time to wait
+	// don't start while fewer workers are empty than KeepEmpty reserves. It has
+	// no effect without KeepEmpty.
 	HoldBack bool
-	// ByDeadline: of equally urgent steps the one with the earlier deadline goes first, those that
-	// can't earn anything any more last. Off: the one that fell due first.
+	// ByDeadline: of equally urgent steps, the one with the earlier deadline
+	// starts first; steps that can no longer earn anything start last. If off,
+	// the step that became due first starts first.
 	ByDeadline bool
-	// UsedRacksFirst: workers in use, and racks in use, are filled before empty ones are opened.
+	// UsedRacksFirst: workers and racks that are already in use are filled
+	// before tasks are placed on empty ones.
 	UsedRacksFirst bool
-	// SuspendFailing: workers on which runs of several jobs in a row failed come last, and get no
-	// tasks for a while.
+	// SuspendFailing: workers on which runs of several jobs in a row failed are
+	// considered last, and get no tasks for a while.
 	SuspendFailing bool
-	// SuspendAtOnce: one run that fails at once suspends its worker.
+	// SuspendAtOnce: a single run that fails immediately suspends its worker.
 	SuspendAtOnce bool
-	// MoveStalled: a run that makes no progress while others do is stopped, starts elsewhere, and suspends its worker.
+	// MoveStalled: a run that makes no progress while others do is stopped and
+	// started on another worker, and its worker is suspended.
 	MoveStalled bool
-	// IsolateSuspects: a task under which a worker has crashed starts on a worker of its own, or beside tasks that have
-	// gone on for a while. Off: a task that only ran beside one that crashes workers may be given up with it.
+	// IsolateSuspects: a task under which a worker has crashed starts on a
+	// worker of its own, or beside tasks that have been running for a while. If
+	// off, a task that only ran beside one that crashes workers may be given up
+	// along with it.
 	IsolateSuspects bool
-	// KeepGangRoom: room is kept where it will be free soonest for gangs that have to start soon.
+	// KeepGangRoom: room is reserved for gangs that have to start soon, where
+	// it will be free soonest.
 	KeepGangRoom bool
-	// BoundStarts: a window bounds the orders to start that have no verdict.
+	// BoundStarts: a window bounds the number of start orders in flight that
+	// have no answer yet.
 	BoundStarts bool
 }
 
-// field is a switch by its name in settings.
-type field struct {
+// toggle is one switch of a Policy under its name in the settings.
+type toggle struct {
 	name string
-	in   func(*Policy) *bool
+	flag func(*Policy) *bool
 }
 
-// fields has each switch once.
-var fields = []field{
+// toggles lists each switch once.
+var toggles = []toggle{
 	{"preempt", func(p *Policy) *bool { return &p.Preempt }},
 	{"take_freed", func(p *Policy) *bool { return &p.TakeFreed }},
 	{"keep_empty", func(p *Policy) *bool { return &p.KeepEmpty }},
@@ -63,16 +76,16 @@
 // New returns the policy with all mechanisms on.
 func New() Policy {
 	var p Policy
-	for _, f := range fields {
-		*f.in(&p) = true
+	for _, f := range toggles {
+		*f.flag(&p) = true
 	}
 	return p
 }
 
 // Names returns the names of all switches, in a fixed order.
 func Names() []string {
-	out := make([]string, 0, len(fields))
-	for _, f := range fields {
+	out := make([]string, 0, len(toggles))
+	for _, f := range toggles {
 		out = append(out, f.name)
 	}
 	return out
@@ -81,20 +94,21 @@
 // Off returns the names of the switches that are off.
 func (p Policy) Off() []string {
 	var out []string
-	for _, f := range fields {
-		if !*f.in(&p) {
+	for _, f := range toggles {
+		if !*f.flag(&p) {
 			out = append(out, f.name)
 		}
 	}
 	return out
 }
 
-// With returns the policy with one switch set, or false if there is none of that name.
+// With returns the policy with one switch set, and false if no switch has that
+// name.
 func (p Policy) With(name string, on bool) (Policy, bool) {
-	at := slices.IndexFunc(fields, func(f field) bool { return f.name == name })
-	if at < 0 {
+	i := slices.IndexFunc(toggles, func(f toggle) bool { return f.name == name })
+	if i < 0 {
 		return p, false
 	}
-	*fields[at].in(&p) = on
+	*toggles[i].flag(&p) = on
 	return p, true
 }
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -8,8 +8,8 @@
 	"curlewsill.org/curlewsill/core/policy"
 )
 
-// TestEachSwitch checks that every field has one name, that a name changes its field alone, and
-// that New has all on.
+// TestEachSwitch checks that each field of Policy has exactly one name, that
+// setting a name changes its field alone, and that New has all fields on.
 func TestEachSwitch(t *testing.T) {
 	all := policy.New()
 	v := reflect.ValueOf(all)
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestUnknownName checks that a name that doesn't exist changes nothing and is told.
+// TestUnknownName checks that With changes nothing for an unknown name and
+// returns false.
 func TestUnknownName(t *testing.T) {
 	if p, ok := policy.New().With("best_fit", false); ok || p != policy.New() {
 		t.Errorf("got %+v, %v", p, ok)
--- a/core/witness/witness.go
+++ b/core/witness/witness.go
@@ -2,11 +2,11 @@
 // customer at this moment.
 //
 // A cell is one block of a guarantee. A cell in use is bound to its home, the
-// place where its customer's gangs run. The witness is a concrete place for every
-// other cell, disjoint from all homes, from each other and from every task that
-// can't be preempted. While a witness exists, each guarantee can be reclaimed by
-// stopping only tasks that may be stopped. A decision after which there would be
-// no witness is not taken.
+// block in which its customer's gangs run. A witness is a set of actual places
+// for all other cells; these places overlap neither each other nor a home nor a
+// task that can't be preempted. While a witness exists, each guarantee can be
+// reclaimed by stopping only preemptible tasks. A decision after which no
+// witness would exist is not taken.
 package witness
 
 import (
@@ -23,14 +23,15 @@
 )
 
 // ErrNone reports that no place was found for a cell. The search is greedy, so
-// ErrNone doesn't prove that there is none; it errs towards refusing.
+// ErrNone doesn't prove that there is none: the error is on the safe side,
+// towards refusing a decision.
 var ErrNone = errors.New("witness: no place for a guaranteed block")
 
-// Room is what a rack offers to the cells that are not in use.
+// Room describes what one rack offers to the cells that are not in use.
 type Room struct {
 	Rack id.Rack
-	// Free has a bit for each accelerator that is neither part of a home nor held
-	// by a task that can't be preempted, nor on a lost worker.
+	// Free has a bit for each accelerator that is neither part of a home, nor
+	// held by a task that can't be preempted, nor on a lost worker.
 	Free uint64
 }
 
@@ -41,7 +42,7 @@
 	Size int
 }
 
-// Witness is a place for each cell that is not in use.
+// Witness maps each cell that is not in use to its place.
 type Witness map[record.Cell]block.Block
 
 // Cells returns the cells of w in ascending order.
@@ -51,14 +52,14 @@
 	})
 }
 
-// Find returns a witness, or ErrNone with the first cell that found no place. It
-// sorts needs in place and leaves rooms as they are.
+// Find returns a witness, or ErrNone with the first cell for which it found no
+// place. It sorts needs in place and doesn't change rooms.
 func Find(rooms []Room, needs []Need) (Witness, error) {
-	left := slices.Clone(rooms)
+	remaining := slices.Clone(rooms)
 	slices.SortFunc(needs, largestFirst)
 	w := make(Witness, len(needs))
 	for _, n := range needs {
-		b, ok := bestFit(left, n.Size)
+		b, ok := bestFit(remaining, n.Size)
 		if !ok {
 			return nil, fmt.Errorf("%w: guarantee %s, block %d of size %d",
 				ErrNone, n.Cell.Guarantee, n.Cell.Index, n.Size)
@@ -68,24 +69,25 @@
 	return w, nil
 }
 
-// Keep returns a witness for needs that leaves the places of old where they are, as
-// far as they are still free. If the others find no place beside them, all are placed
-// anew. It sorts needs in place and leaves rooms and old as they are.
+// Keep returns a witness for needs that keeps the places of old as far as they
+// are still free. If the remaining cells don't fit beside them, it searches new
+// places for all cells. It sorts needs in place and changes neither rooms nor
+// old.
 func Keep(rooms []Room, old Witness, needs []Need) (Witness, error) {
-	left := slices.Clone(rooms)
+	remaining := slices.Clone(rooms)
 	kept := make(Witness, len(needs))
 	var rest []Need
 	slices.SortFunc(needs, largestFirst)
 	for _, n := range needs {
 		b, ok := old[n.Cell]
-		if !ok || b.Size != n.Size || !take(left, b) {
+		if !ok || b.Size != n.Size || !take(remaining, b) {
 			rest = append(rest, n)
 			continue
 		}
 		kept[n.Cell] = b
 	}
 	for _, n := range rest {
-		b, ok := bestFit(left, n.Size)
+		b, ok := bestFit(remaining, n.Size)
 		if !ok {
 			return Find(rooms, needs)
 		}
@@ -94,7 +96,8 @@
 	return kept, nil
 }
 
-// take takes a block out of its room if it is free.
+// take removes a block from the free accelerators of its rack if all of them
+// are free.
 func take(rooms []Room, b block.Block) bool {
 	i := slices.IndexFunc(rooms, func(r Room) bool { return r.Rack == b.Rack })
 	if i < 0 || b.Mask()&^rooms[i].Free != 0 {
@@ -112,9 +115,9 @@
 	)
 }
 
-// bestFit takes size accelerators from the shortest run that holds them and
-// prefers a start that is a multiple of the size, which keeps the halves of a
-// rack whole.
+// bestFit takes size accelerators from the shortest run that is long enough. It
+// prefers a start that is a multiple of the size, so that the halves of a rack
+// stay unbroken for larger blocks.
 func bestFit(rooms []Room, size int) (block.Block, bool) {
 	best, start, shortest := -1, 0, block.MaxSize+1
 	for i, r := range rooms {
@@ -133,8 +136,8 @@
 	return block.Block{Rack: rooms[best].Rack, Start: start, Size: size}, true
 }
 
-// startIn returns the best start for size in one rack, and the length of the run
-// that it cuts into.
+// startIn returns the best start for size accelerators in one rack, and the
+// length of the run that contains it.
 func startIn(free uint64, size int) (start, run int, ok bool) {
 	run = block.MaxSize + 1
 	aligned := false
--- a/core/witness/witness_test.go
+++ b/core/witness/witness_test.go
@@ -31,34 +31,36 @@
 	return out
 }
 
-// valid reports whether w is a witness.
+// valid reports whether w has a free place of the right size for each of ns,
+// and no two of them overlap.
 func valid(w witness.Witness, rs []witness.Room, ns []witness.Need) bool {
-	left := map[id.Rack]uint64{}
+	remaining := map[id.Rack]uint64{}
 	for _, r := range rs {
-		left[r.Rack] = r.Free
+		remaining[r.Rack] = r.Free
 	}
 	for _, n := range ns {
 		b, ok := w[n.Cell]
-		if !ok || b.Size != n.Size || b.Mask()&^left[b.Rack] != 0 {
+		if !ok || b.Size != n.Size || b.Mask()&^remaining[b.Rack] != 0 {
 			return false
 		}
-		left[b.Rack] &^= b.Mask()
+		remaining[b.Rack] &^= b.Mask()
 	}
 	return len(w) == len(ns)
 }
 
-// TestWitness checks that what is found is a witness, that a standing one is kept as it
-// is while it holds, and that it is repaired when room is lost.
+// TestWitness checks that Find returns valid witnesses, and that Keep changes
+// nothing in a witness that is still valid and repairs one whose places are no
+// longer all free.
 func TestWitness(t *testing.T) {
 	p := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(seed))
 	free := gen.SliceOfN(4, gen.UInt64().Map(func(x uint64) uint64 { return x | x<<1 | x<<2 }))
 	sizes := gen.SliceOf(gen.IntRange(1, 16))
-	p.Property("what is found is a witness", prop.ForAll(func(free []uint64, sizes []int) bool {
+	p.Property("Find returns a valid witness", prop.ForAll(func(free []uint64, sizes []int) bool {
 		rs, ns := rooms(free), needs(sizes)
 		w, err := witness.Find(rs, ns)
 		return err != nil || valid(w, rs, ns)
 	}, free, sizes))
-	p.Property("a witness that holds is kept", prop.ForAll(func(free []uint64, sizes []int) bool {
+	p.Property("Keep leaves a valid witness unchanged", prop.ForAll(func(free []uint64, sizes []int) bool {
 		rs, ns := rooms(free), needs(sizes)
 		w, err := witness.Find(rs, ns)
 		if err != nil {
@@ -67,7 +69,7 @@
 		kept, err := witness.Keep(rs, w, ns)
 		return err == nil && fmt.Sprint(kept) == fmt.Sprint(w)
 	}, free, sizes))
-	p.Property("a witness that lost room is repaired or given up", prop.ForAll(func(free, lost []uint64, sizes []int) bool {
+	p.Property("Keep repairs a witness that lost places, or returns an error", prop.ForAll(func(free, lost []uint64, sizes []int) bool {
 		rs, ns := rooms(free), needs(sizes)
 		w, err := witness.Find(rs, ns)
 		if err != nil {
