--- a/core/agenda/agenda_test.go
+++ b/core/agenda/agenda_test.go
@@ -9,8 +9,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// TestOrder plans and takes at random: what comes out must be in the order of time, and of
-// planning where times are equal.
+// TestOrder adds and takes events at random. It checks that they are taken in
+// the order of time, and in the order of addition if their times are equal.
 func TestOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var a agenda.Agenda[int]
@@ -18,9 +18,9 @@
 	for n := range 5000 {
 		if at, ok := a.Next(); ok && random.IntN(3) == 0 {
 			slices.SortFunc(want, func(x, y [2]int) int { return slices.Compare(x[:], y[:]) })
-			got, what := a.Take()
-			if got != at || [2]int{int(got), what} != want[0] {
-				t.Fatalf("took %d at %d, want %v", what, got, want[0])
+			got, event := a.Take()
+			if got != at || [2]int{int(got), event} != want[0] {
+				t.Fatalf("took %d at %d, want %v", event, got, want[0])
 			}
 			want = want[1:]
 			continue
@@ -30,6 +30,6 @@
 		want = append(want, [2]int{at, n})
 	}
 	if _, ok := a.Next(); ok != (len(want) > 0) {
-		t.Error("the agenda and what was planned differ in length")
+		t.Error("the agenda and the expected events differ in length")
 	}
 }
--- a/core/backlog/backlog.go
+++ b/core/backlog/backlog.go
@@ -1,8 +1,10 @@
-// Package backlog holds the jobs that wait, sorted into groups of jobs that are alike.
+// Package backlog holds the waiting jobs, in groups of jobs with the same
+// requirements.
 //
-// The jobs of a group belong to one customer and ask for the same, so if the first
-// can't be placed, none can. A walk over the queue looks at groups and not at jobs, and
-// its cost doesn't grow with the backlog.
+// All jobs of a group belong to one customer and have the same requirements, so
+// if the first can't be placed, none of them can. A scheduling pass iterates
+// over groups instead of jobs, so its cost doesn't grow with the number of
+// waiting jobs.
 package backlog
 
 import (
@@ -16,57 +18,59 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Class is what the jobs of a group have in common.
+// Class holds what the jobs of a group have in common.
 type Class struct {
 	Customer     id.Customer
 	Accelerators int
 	Cores        int
 	Memory       unit.Bytes
 	Once, Urgent bool
-	// Length is the binary order of magnitude of the declared time in seconds.
+	// Length is the bit length of the declared running time in seconds, its
+	// order of magnitude in powers of two.
 	Length int
-	// Alone is set for a job that is like no other, because it has crashed on
-	// some workers.
+	// Alone is the job's ID if the job has a group of its own, because it has
+	// crashed on some workers; else empty.
 	Alone id.Job
 }
 
-// Group is the waiting jobs of one class, oldest first.
+// Group holds the waiting jobs of one class, oldest first.
 type Group struct {
 	Class Class
-	// Jobs is never empty for a group in a queue.
+	// Jobs is never empty while the group is in a backlog.
 	Jobs []record.Job
-	// Failed is the inventory's Room at which the first job found no place, plus one.
+	// Failed is the value of inventory.Inventory.Room at which the first job
+	// couldn't be placed, plus one; 0 if none failed.
 	Failed uint64
-	// Checked is the configuration, plus one, for which the class was found able
-	// to run.
+	// Checked is the offset of the configuration for which the class was last
+	// found able to run, plus one; 0 if none.
 	Checked id.Offset
 }
 
 // Head returns the oldest job.
-func (l *Group) Head() record.Job { return l.Jobs[0] }
+func (g *Group) Head() record.Job { return g.Jobs[0] }
 
-// Backlog is all groups. It is not safe for concurrent use.
+// Backlog holds all waiting jobs. It is not safe for concurrent use.
 type Backlog struct {
-	groups map[Class]*Group
-	where  map[id.Job]Class
+	groups  map[Class]*Group
+	classOf map[id.Job]Class
 }
 
-// New returns an empty queue.
+// New returns an empty backlog.
 func New() *Backlog {
-	return &Backlog{groups: map[Class]*Group{}, where: map[id.Job]Class{}}
+	return &Backlog{groups: map[Class]*Group{}, classOf: map[id.Job]Class{}}
 }
 
 // Len returns the number of jobs.
-func (q *Backlog) Len() int { return len(q.where) }
+func (q *Backlog) Len() int { return len(q.classOf) }
 
-// Has reports whether the job waits.
+// Has reports whether the job is in the backlog.
 func (q *Backlog) Has(j id.Job) bool {
-	_, ok := q.where[j]
+	_, ok := q.classOf[j]
 	return ok
 }
 
-// Add adds a job to its group, or to a group of its own. A job that waits already stays
-// where it is.
+// Add adds a job to the group of its class or, if alone is set, to a group of
+// its own. It does nothing if the job is in the backlog already.
 func (q *Backlog) Add(j record.Job, alone bool) {
 	if q.Has(j.ID) {
 		return
@@ -78,28 +82,28 @@
 	if alone {
 		c.Alone = j.ID
 	}
-	l := q.groups[c]
-	if l == nil {
-		l = &Group{Class: c}
-		q.groups[c] = l
+	g := q.groups[c]
+	if g == nil {
+		g = &Group{Class: c}
+		q.groups[c] = g
 	}
-	at, _ := slices.BinarySearchFunc(l.Jobs, j, Older)
-	l.Jobs = slices.Insert(l.Jobs, at, j)
-	q.where[j.ID] = c
-	l.Failed = 0
+	at, _ := slices.BinarySearchFunc(g.Jobs, j, Older)
+	g.Jobs = slices.Insert(g.Jobs, at, j)
+	q.classOf[j.ID] = c
+	g.Failed = 0
 }
 
-// Remove takes a job out, if it waits.
+// Remove removes a job if it is in the backlog.
 func (q *Backlog) Remove(name id.Job) {
-	c, ok := q.where[name]
+	c, ok := q.classOf[name]
 	if !ok {
 		return
 	}
-	delete(q.where, name)
-	l := q.groups[c]
-	at := slices.IndexFunc(l.Jobs, func(j record.Job) bool { return j.ID == name })
-	l.Jobs = slices.Delete(l.Jobs, at, at+1)
-	if len(l.Jobs) == 0 {
+	delete(q.classOf, name)
+	g := q.groups[c]
+	at := slices.IndexFunc(g.Jobs, func(j record.Job) bool { return j.ID == name })
+	g.Jobs = slices.Delete(g.Jobs, at, at+1)
+	if len(g.Jobs) == 0 {
 		delete(q.groups, c)
 	}
 }
@@ -107,8 +111,8 @@
 // Groups returns all groups: urgent ones first, then by the age of their oldest job.
 func (q *Backlog) Groups() []*Group {
 	out := make([]*Group, 0, len(q.groups))
-	for _, l := range q.groups {
-		out = append(out, l)
+	for _, g := range q.groups {
+		out = append(out, g)
 	}
 	slices.SortFunc(out, func(a, b *Group) int {
 		if a.Class.Urgent != b.Class.Urgent {
@@ -122,7 +126,7 @@
 	return out
 }
 
-// Older compares jobs by age, and by name if they are of the same age.
+// Older compares jobs by the time of their submission, then by ID.
 func Older(a, b record.Job) int {
 	return cmp.Or(cmp.Compare(a.Submitted, b.Submitted), cmp.Compare(a.ID, b.ID))
 }
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog holds the configuration in force on the platform: queues, services
+// Package catalog holds the platform's configuration in force: queues, services
 // and customers with their keys.
 //
-// A catalog is immutable. Its version only grows within the life of a process.
+// A catalog is immutable. Its version only grows while a process runs.
 package catalog
 
 import (
@@ -15,43 +15,47 @@
 // Version numbers configurations; a later one has a higher version.
 type Version int64
 
-// Queue is where jobs of one kind are handed in.
+// Queue accepts jobs of one kind.
 type Queue struct {
 	Name id.Queue
-	// Host and Prefix select the queue; the longest prefix wins.
+	// Host and Prefix select the queue by a request's host name and path; of
+	// several matching prefixes the longest applies.
 	Host, Prefix string
 	Service      id.Service
-	// Priority 0 goes first.
+	// Priority 0 is the most urgent.
 	Priority    int
 	MaxAttempts int
 	Stretch     float64
 	Target      time.Duration
-	// Anonymous queues ask for no key.
+	// Anonymous is set if jobs need no key.
 	Anonymous bool
-	// Advice says whether placements need a permit of the advice service.
+	// Advice tells whether placements need a permit of the advice service.
 	Advice job.Advice
 }
 
-// Customer holds keys and a guarantee.
+// Customer holds a customer's keys and guarantee.
 type Customer struct {
 	Name id.Customer
 	Keys []string
-	// Guaranteed is how many accelerators are the customer's at any time.
+	// Guaranteed is the number of accelerators that the customer can use at any
+	// time.
 	Guaranteed int
 }
 
 // Service is a pool of workers.
 type Service struct {
 	Name id.Service
-	// GuardsCapacity is set if its workers refuse what doesn't fit.
+	// GuardsCapacity is set if the service's workers refuse tasks that exceed
+	// their capacity.
 	GuardsCapacity bool
-	// PoweredOff pools hold machines that are off.
+	// PoweredOff is set if the service's machines are turned off.
 	PoweredOff bool
 }
 
-// Limits bound requests.
+// Limits are the bounds on requests.
 type Limits struct {
-	// BodyBytes bounds a job; 0 if the configuration names no bound.
+	// BodyBytes is the maximum size of a job's body; 0 if the configuration
+	// sets none.
 	BodyBytes int
 }
 
@@ -62,22 +66,22 @@
 	Services  []Service
 	Customers []Customer
 	Limits    Limits
-	// keys leads from a key to its customer.
+	// keys maps each key to its customer.
 	keys map[string]id.Customer
 }
 
-// New returns a catalog that answers for the given configuration.
+// New returns a copy of the given configuration that can look up keys.
 func New(c Catalog) *Catalog {
 	c.keys = map[string]id.Customer{}
-	for _, cust := range c.Customers {
-		for _, k := range cust.Keys {
-			c.keys[k] = cust.Name
+	for _, customer := range c.Customers {
+		for _, k := range customer.Keys {
+			c.keys[k] = customer.Name
 		}
 	}
 	return &c
 }
 
-// Find returns the queue for a host name and path, or nil.
+// Find returns the queue for a request's host name and path, or nil.
 func (c *Catalog) Find(host, path string) *Queue {
 	var best *Queue
 	for i := range c.Queues {
@@ -89,7 +93,8 @@
 	return best
 }
 
-// Holder returns the customer who holds a key.
+// Holder returns the customer to whom a key belongs, and false for an unknown
+// key.
 func (c *Catalog) Holder(key string) (id.Customer, bool) {
 	name, ok := c.keys[key]
 	return name, ok
--- a/core/fair/fair.go
+++ b/core/fair/fair.go
@@ -1,9 +1,9 @@
-// Package fair shares a queue among customers by weight.
+// Package fair shares a bounded queue among customers by weight.
 //
-// It is start-time fair queueing: each element gets a virtual start time, the later
-// of the queue's virtual time and the finish of its customer's previous element, and
-// the smallest start leaves first. A customer that floods the queue delays itself
-// and not the others.
+// It implements start-time fair queueing: each element gets a virtual start
+// time, which is the later of the queue's virtual time and the virtual finish
+// time of the customer's previous element. The element with the earliest start
+// time is removed first. A customer that floods the queue delays only itself.
 package fair
 
 import (
@@ -11,67 +11,68 @@
 	"errors"
 )
 
-// ErrFull reports that the queue holds as many elements as it may.
+// ErrFull reports that the queue holds the maximum number of elements.
 var ErrFull = errors.New("fair: queue is full")
 
-// Queue is a bounded queue of elements of type T that flows of type K share.
+// Queue is a bounded queue of elements of type T that is shared by flows, which
+// have keys of type K. It is not safe for concurrent use.
 type Queue[K comparable, T any] struct {
-	items  items[K, T]
-	limit  int
-	clock  float64
-	finish map[K]float64
-	order  uint64
+	items       itemHeap[K, T]
+	limit       int
+	virtualTime float64
+	lastFinish  map[K]float64
+	seq         uint64
 }
 
 type item[K comparable, T any] struct {
 	key    K
 	value  T
 	start  float64
-	order  uint64
+	seq    uint64
 	weight float64
 }
 
-// New returns a queue for at most limit elements.
+// New returns a queue that holds at most limit elements.
 func New[K comparable, T any](limit int) *Queue[K, T] {
-	return &Queue[K, T]{limit: limit, finish: map[K]float64{}}
+	return &Queue[K, T]{limit: limit, lastFinish: map[K]float64{}}
 }
 
 // Len returns the number of elements.
 func (q *Queue[K, T]) Len() int { return len(q.items) }
 
-// Push adds an element of the flow k. The weight is at least 1.
+// Push adds an element to the flow k. A weight below 1 counts as 1.
 func (q *Queue[K, T]) Push(k K, weight int, v T) error {
 	if len(q.items) >= q.limit {
 		return ErrFull
 	}
-	start := max(q.clock, q.finish[k])
+	start := max(q.virtualTime, q.lastFinish[k])
 	w := float64(max(weight, 1))
-	q.finish[k] = start + 1/w
-	q.order++
-	heap.Push(&q.items, item[K, T]{k, v, start, q.order, w})
+	q.lastFinish[k] = start + 1/w
+	q.seq++
+	heap.Push(&q.items, item[K, T]{k, v, start, q.seq, w})
 	return nil
 }
 
-// Pop removes the element that is next.
+// Pop removes and returns the next element, or false if the queue is empty.
 func (q *Queue[K, T]) Pop() (T, bool) {
 	if len(q.items) == 0 {
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 	it := heap.Pop(&q.items).(item[K, T])
-	q.clock = max(q.clock, it.start)
+	q.virtualTime = max(q.virtualTime, it.start)
 	if len(q.items) == 0 {
-		// Nobody waits, so nobody is owed anything.
-		clear(q.finish)
-		q.clock = 0
+		// The queue is empty, so the earlier elements no longer matter.
+		clear(q.lastFinish)
+		q.virtualTime = 0
 	}
 	return it.value, true
 }
 
-// Ahead returns how many elements of weight w would leave before a new one of the
-// flow k. It walks the queue.
+// Ahead returns how many of the queued elements would be removed before a new
+// one of the flow k. Its cost is linear in the length of the queue.
 func (q *Queue[K, T]) Ahead(k K) int {
-	start := max(q.clock, q.finish[k])
+	start := max(q.virtualTime, q.lastFinish[k])
 	n := 0
 	for _, it := range q.items {
 		if it.start <= start {
@@ -81,7 +82,7 @@
 	return n
 }
 
-// RemoveFunc removes the elements for which del is true and returns them.
+// RemoveFunc removes and returns the elements for which del is true.
 func (q *Queue[K, T]) RemoveFunc(del func(T) bool) []T {
 	var out []T
 	kept := q.items[:0]
@@ -98,22 +99,22 @@
 	return out
 }
 
-type items[K comparable, T any] []item[K, T]
+type itemHeap[K comparable, T any] []item[K, T]
 
-func (h items[K, T]) Len() int { return len(h) }
+func (h itemHeap[K, T]) Len() int { return len(h) }
 
-func (h items[K, T]) Less(i, j int) bool {
+func (h itemHeap[K, T]) Less(i, j int) bool {
 	if h[i].start != h[j].start {
 		return h[i].start < h[j].start
 	}
-	return h[i].order < h[j].order
+	return h[i].seq < h[j].seq
 }
 
-func (h items[K, T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h itemHeap[K, T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *items[K, T]) Push(x any) { *h = append(*h, x.(item[K, T])) }
+func (h *itemHeap[K, T]) Push(x any) { *h = append(*h, x.(item[K, T])) }
 
-func (h *items[K, T]) Pop() any {
+func (h *itemHeap[K, T]) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = item[K, T]{}
--- a/core/fair/fair_test.go
+++ b/core/fair/fair_test.go
@@ -11,8 +11,8 @@
 	"curlewsill.org/curlewsill/core/fair"
 )
 
-// TestShares checks that flows that always wait leave in the proportion of their
-// weights, whatever the order in which they came.
+// TestShares checks that flows which always have waiting elements are served in
+// proportion to their weights, in whatever order their elements were added.
 func TestShares(t *testing.T) {
 	p := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	p.Property("shares follow weights", prop.ForAll(func(a, b int, bFirst bool) bool {
@@ -42,7 +42,7 @@
 	p.TestingRun(t)
 }
 
-// TestBound checks that a full queue takes nothing more.
+// TestBound checks that a full queue refuses further elements.
 func TestBound(t *testing.T) {
 	q := fair.New[int, int](2)
 	for i, want := range []error{nil, nil, fair.ErrFull} {
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -1,5 +1,5 @@
-// Package rank orders hosts by hashing, so that all of them agree on who comes first
-// for something without a word to each other.
+// Package rank orders hosts by hashing, so that all hosts agree on the order
+// for a key without communicating.
 package rank
 
 import (
@@ -11,45 +11,48 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// Of returns the place of self among hosts for key, from 0, by rendezvous hashing.
-// For each key another host comes first, and when a host goes, only its own keys
-// change hands.
+// Of returns the position of self among hosts for key, starting at 0, by
+// rendezvous hashing. Different keys have different first hosts, and when a
+// host is removed, only the keys for which it came first move to another host.
 func Of(self id.Host, key string, hosts []id.Host) int {
-	mine := score(self, key)
+	ownScore := score(self, key)
 	n := 0
 	for _, h := range hosts {
-		if h != self && score(h, key) > mine {
+		if h != self && score(h, key) > ownScore {
 			n++
 		}
 	}
 	return n
 }
 
-// Compare orders two hosts as Of does for a key: the one that comes first is the lesser one.
+// Compare orders two hosts for a key like Of: it returns a negative number if a
+// comes first.
 func Compare(a, b id.Host, key string) int {
 	return cmp.Or(cmp.Compare(score(b, key), score(a, key)), cmp.Compare(a, b))
 }
 
-// Neighbors returns up to n hosts for self on a ring in the order of a hash: those 1,
-// 2, 4 and so on places further, and then any others. Every host has as many however
-// many there are, and news reach all within a number of hops that grows with the
-// logarithm of theirs.
+// Neighbors returns up to n hosts to which self sends updates. The hosts form a
+// ring in the order of a hash; the neighbors are those 1, 2, 4 and so on
+// positions after self, and then any others. Every host has the same number of
+// neighbors, which doesn't depend on the number of hosts, and an update that is
+// passed on reaches all hosts within a number of hops that grows with the
+// logarithm of the number of hosts.
 func Neighbors(self id.Host, hosts []id.Host, n int) []id.Host {
 	ring := slices.Clone(hosts)
 	slices.SortFunc(ring, func(a, b id.Host) int {
 		return cmp.Or(cmp.Compare(score(a, ""), score(b, "")), cmp.Compare(a, b))
 	})
-	at := slices.Index(ring, self)
-	if at < 0 {
+	selfIndex := slices.Index(ring, self)
+	if selfIndex < 0 {
 		return nil
 	}
 	var out []id.Host
 	for step := 1; len(out) < n && step < len(ring); step *= 2 {
-		out = append(out, ring[(at+step)%len(ring)])
+		out = append(out, ring[(selfIndex+step)%len(ring)])
 	}
 	for step := 3; len(out) < n && step < len(ring); step++ {
 		if step&(step-1) != 0 {
-			out = append(out, ring[(at+step)%len(ring)])
+			out = append(out, ring[(selfIndex+step)%len(ring)])
 		}
 	}
 	return out
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -1,26 +1,28 @@
-// Package retry bounds how much work retries may add.
+// Package retry bounds how much load retries may add.
 //
-// Retries are paid from a budget that first attempts fill, a small part each. While
-// little fails, every failure can be retried; when everything fails, retries add no
-// more than that part, so an outage doesn't turn into a storm.
+// Each first attempt adds a fraction of a retry to a budget, and each retry
+// takes one from it. While few attempts fail, every failure can be retried;
+// when all fail, retries add no more than that fraction to the load, so an
+// outage doesn't cause a retry storm.
 package retry
 
-// Budget is a bucket of retries. The zero value is not ready; call New.
+// Budget is a token bucket for retries. The zero value has no tokens; use New.
 type Budget struct {
-	// tokens is between 0 and burst; a retry takes 1.
+	// tokens is between 0 and burst. A first attempt adds share to it; a retry
+	// takes 1.
 	tokens, burst, share float64
 }
 
-// New returns a full budget that holds burst retries and earns share of a retry
-// with each first attempt.
+// New returns a full budget that holds at most burst retries and gains share of
+// a retry with each first attempt.
 func New(share, burst float64) Budget {
 	return Budget{tokens: burst, burst: burst, share: share}
 }
 
-// Earn notes a first attempt.
+// Earn records a first attempt.
 func (b *Budget) Earn() { b.tokens = min(b.burst, b.tokens+b.share) }
 
-// Spend takes one retry and reports whether there was one.
+// Spend takes one retry from the budget and reports whether the budget had one.
 func (b *Budget) Spend() bool {
 	if b.tokens < 1 {
 		return false
