--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -1,6 +1,6 @@
-// Package chart interprets state charts that are written in text files.
+// Package chart implements state machines that are defined in text files.
 //
-// A chart file holds one transition a line:
+// A chart file holds one transition per line:
 //
 //	from event to
 //
@@ -8,10 +8,10 @@
 //
 //	start NAME
 //
-// names the initial state and must come first. A state without a transition out
-// of it is final. Code asks the chart for the next state instead of spelling the
-// transitions out, so the drawing in the documentation, the test that walks the
-// chart and the program can't disagree.
+// names the initial state and must come before all transitions. A state without
+// outgoing transitions is final. The code looks up the next state in the chart
+// instead of encoding the transitions itself, so the drawing in the
+// documentation, the test of the chart and the program can't disagree.
 package chart
 
 import (
@@ -22,9 +22,10 @@
 	"strings"
 )
 
-// Errors that callers test for.
+// Errors that callers may test for.
 var (
-	// ErrSyntax reports a line that is neither a comment, a start nor a transition.
+	// ErrSyntax reports a line that is neither a comment, a start line nor a
+	// transition.
 	ErrSyntax = errors.New("chart: syntax error")
 	// ErrNoTransition reports an event that the current state doesn't allow.
 	ErrNoTransition = errors.New("chart: no transition")
@@ -33,9 +34,9 @@
 // Chart is a finite state machine over states of type S and events of type E.
 // It never changes after Parse and is safe for concurrent use.
 type Chart[S, E ~string] struct {
-	start S
-	next  map[edge[S, E]]S
-	order []Transition[S, E]
+	start       S
+	next        map[edge[S, E]]S
+	transitions []Transition[S, E]
 }
 
 // Transition is one line of a chart file.
@@ -51,7 +52,7 @@
 	event E
 }
 
-// Parse reads a chart. The name appears in errors only.
+// Parse parses a chart. The name is used only in errors.
 func Parse[S, E ~string](name, src string) (Chart[S, E], error) {
 	c := Chart[S, E]{next: make(map[edge[S, E]]S)}
 	sc := bufio.NewScanner(strings.NewReader(src))
@@ -61,13 +62,13 @@
 		}
 	}
 	if c.start == "" {
-		return Chart[S, E]{}, fmt.Errorf("%s: %w: no start", name, ErrSyntax)
+		return Chart[S, E]{}, fmt.Errorf("%s: %w: the line start NAME is missing", name, ErrSyntax)
 	}
 	return c, nil
 }
 
-// MustParse is Parse for charts that are embedded in the program. It panics on
-// a chart that doesn't parse, which the test of the chart catches.
+// MustParse is like Parse, but panics if the chart has an error. It is meant
+// for charts that are embedded in the program, all of which a test parses.
 func MustParse[S, E ~string](name, src string) Chart[S, E] {
 	c, err := Parse[S, E](name, src)
 	if err != nil {
@@ -84,21 +85,22 @@
 		c.start = S(f[1])
 		return nil
 	case len(f) != 3 || c.start == "":
-		return fmt.Errorf("%w: want FROM EVENT TO after a start", ErrSyntax)
+		return fmt.Errorf("%w: want FROM EVENT TO, after one line start NAME", ErrSyntax)
 	}
 	e := edge[S, E]{S(f[0]), E(f[1])}
-	if _, dup := c.next[e]; dup {
+	if _, exists := c.next[e]; exists {
 		return fmt.Errorf("%w: second transition for %s in %s", ErrSyntax, f[1], f[0])
 	}
 	c.next[e] = S(f[2])
-	c.order = append(c.order, Transition[S, E]{e.from, e.event, S(f[2])})
+	c.transitions = append(c.transitions, Transition[S, E]{e.from, e.event, S(f[2])})
 	return nil
 }
 
 // Start returns the initial state.
 func (c Chart[S, E]) Start() S { return c.start }
 
-// Next returns the state that ev leads to from s, or ErrNoTransition.
+// Next returns the state to which ev leads from s. If there is no such
+// transition, it returns s and ErrNoTransition.
 func (c Chart[S, E]) Next(s S, ev E) (S, error) {
 	to, ok := c.next[edge[S, E]{s, ev}]
 	if !ok {
@@ -107,11 +109,11 @@
 	return to, nil
 }
 
-// Final reports whether no event leads out of s.
+// Final reports whether s has no outgoing transition.
 func (c Chart[S, E]) Final(s S) bool {
-	return !slices.ContainsFunc(c.order, func(t Transition[S, E]) bool { return t.From == s })
+	return !slices.ContainsFunc(c.transitions, func(t Transition[S, E]) bool { return t.From == s })
 }
 
 // Transitions returns the transitions in the order of the file. The caller must
-// not change them.
-func (c Chart[S, E]) Transitions() []Transition[S, E] { return c.order }
+// not modify the slice.
+func (c Chart[S, E]) Transitions() []Transition[S, E] { return c.transitions }
--- a/core/charts/charts.go
+++ b/core/charts/charts.go
@@ -1,5 +1,5 @@
-// Package charts embeds the state charts of the system, one file for each thing
-// that has a life: job, lease, task, backend server, entry host and plan.
+// Package charts embeds the state charts of the system. Each file defines the
+// states of one kind of object, such as a job, a lease or a backend server.
 package charts
 
 import "embed"
--- a/core/charts/charts_test.go
+++ b/core/charts/charts_test.go
@@ -9,8 +9,9 @@
 	"curlewsill.org/curlewsill/core/charts"
 )
 
-// TestWalk walks every chart: each state can be reached from the start, and a final
-// state can be reached from each state that isn't on a cycle without end.
+// TestWalk parses every chart and checks that it makes each of its transitions
+// and that each of its states with an outgoing transition is reachable from the
+// start.
 func TestWalk(t *testing.T) {
 	names, err := fs.Glob(charts.Files, "*.chart")
 	if err != nil || len(names) != 8 {
