--- a/core/backlog/backlog.go
+++ b/core/backlog/backlog.go
@@ -108,7 +108,8 @@
 	}
 }
 
-// Groups returns all groups: urgent ones first, then by the age of their oldest job.
+// Groups returns all groups: urgent ones first, then by the age of their oldest
+// job.
 func (q *Backlog) Groups() []*Group {
 	out := make([]*Group, 0, len(q.groups))
 	for _, g := range q.groups {
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -25,8 +25,10 @@
 	// Priority 0 is the most urgent.
 	Priority    int
 	MaxAttempts int
-	Stretch     float64
-	Target      time.Duration
+	// Stretch and Target set the time in which a job should be completed; see
+	// job.Spec.
+	Stretch float64
+	Target  time.Duration
 	// Anonymous is set if jobs need no key.
 	Anonymous bool
 	// Advice tells whether placements need a permit of the advice service.
--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -77,22 +77,22 @@
 	return c
 }
 
-func (c *Chart[S, E]) add(f []string) error {
+func (c *Chart[S, E]) add(fields []string) error {
 	switch {
-	case len(f) == 0 || strings.HasPrefix(f[0], "#"):
+	case len(fields) == 0 || strings.HasPrefix(fields[0], "#"):
 		return nil
-	case len(f) == 2 && f[0] == "start" && c.start == "":
-		c.start = S(f[1])
+	case len(fields) == 2 && fields[0] == "start" && c.start == "":
+		c.start = S(fields[1])
 		return nil
-	case len(f) != 3 || c.start == "":
+	case len(fields) != 3 || c.start == "":
 		return fmt.Errorf("%w: want FROM EVENT TO, after one line start NAME", ErrSyntax)
 	}
-	e := edge[S, E]{S(f[0]), E(f[1])}
+	e := edge[S, E]{S(fields[0]), E(fields[1])}
 	if _, exists := c.next[e]; exists {
-		return fmt.Errorf("%w: second transition for %s in %s", ErrSyntax, f[1], f[0])
+		return fmt.Errorf("%w: second transition for %s in %s", ErrSyntax, fields[1], fields[0])
 	}
-	c.next[e] = S(f[2])
-	c.transitions = append(c.transitions, Transition[S, E]{e.from, e.event, S(f[2])})
+	c.next[e] = S(fields[2])
+	c.transitions = append(c.transitions, Transition[S, E]{e.from, e.event, S(fields[2])})
 	return nil
 }
 
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -3,9 +3,8 @@
 // guaranteed blocks are or could be placed.
 //
 // A cell is one block of a guarantee, and the home of a cell in use is the
-// block in which the gangs that use it run. A firm part of a rack is a home or
-// is held by a gang that must not be repeated; it can't be reclaimed for a
-// guarantee.
+// block in which the gangs that use it run. Homes and the accelerators of gangs
+// that must not be repeated are firm: no other cell can have its place there.
 //
 // Each rack has 64-bit masks that are kept up to date as gangs come and go, so
 // a query costs a few bit operations for each rack and never an iteration over
@@ -106,75 +105,75 @@
 }
 
 // Configure applies the racks of a configuration. Gangs keep what they hold.
-func (f *Inventory) Configure(c config.Config) {
+func (inv *Inventory) Configure(c config.Config) {
 	live := map[id.Rack]uint64{}
-	for i := range f.Racks {
-		live[f.Racks[i].ID] = f.Racks[i].Live
+	for i := range inv.Racks {
+		live[inv.Racks[i].ID] = inv.Racks[i].Live
 	}
-	f.Racks, f.rackIndex = nil, map[id.Rack]int{}
+	inv.Racks, inv.rackIndex = nil, map[id.Rack]int{}
 	for _, k := range config.Sorted(c.Racks) {
-		f.rackIndex[k] = len(f.Racks)
+		inv.rackIndex[k] = len(inv.Racks)
 		usable := state.Usable(c, k)
-		f.Racks = append(f.Racks, Rack{ID: k, Config: c.Racks[k], Usable: usable, Live: live[k] & usable})
+		inv.Racks = append(inv.Racks, Rack{ID: k, Config: c.Racks[k], Usable: usable, Live: live[k] & usable})
 	}
-	for _, h := range f.holdings {
-		f.markHolding(h)
+	for _, h := range inv.holdings {
+		inv.markHolding(h)
 	}
-	f.placesStale = true
-	f.freed++
+	inv.placesStale = true
+	inv.freed++
 }
 
 // Rack returns the map of a rack, or nil.
-func (f *Inventory) Rack(k id.Rack) *Rack {
-	if i, ok := f.rackIndex[k]; ok {
-		return &f.Racks[i]
+func (inv *Inventory) Rack(k id.Rack) *Rack {
+	if i, ok := inv.rackIndex[k]; ok {
+		return &inv.Racks[i]
 	}
 	return nil
 }
 
 // SetLive sets which accelerators of a rack have a worker that answers.
-func (f *Inventory) SetLive(k id.Rack, live uint64) {
-	r := f.Rack(k)
+func (inv *Inventory) SetLive(k id.Rack, live uint64) {
+	r := inv.Rack(k)
 	if r == nil || r.Live == live&r.Usable {
 		return
 	}
 	if live&r.Usable&^r.Live != 0 {
-		f.freed++
+		inv.freed++
 	}
-	r.Live, f.placesStale = live&r.Usable, true
+	r.Live, inv.placesStale = live&r.Usable, true
 }
 
 // Room returns a number that grows whenever something is freed that a waiting
 // job might use.
-func (f *Inventory) Room() uint64 { return f.freed }
+func (inv *Inventory) Room() uint64 { return inv.freed }
 
 // Held returns how many accelerators a customer's gangs hold.
-func (f *Inventory) Held(c id.Customer) int { return f.heldBy[c] }
+func (inv *Inventory) Held(c id.Customer) int { return inv.heldBy[c] }
 
 // Home returns the home of a cell that is in use or reserved, or false.
-func (f *Inventory) Home(c record.Cell) (block.Block, bool) {
-	if b, ok := f.reservedHomes[c]; ok {
+func (inv *Inventory) Home(c record.Cell) (block.Block, bool) {
+	if b, ok := inv.reservedHomes[c]; ok {
 		return b, true
 	}
-	h, ok := f.homes[c]
+	h, ok := inv.homes[c]
 	return h.block, ok
 }
 
 // Add records what a gang holds. The block must be free.
-func (f *Inventory) Add(j id.Job, h Holding) {
-	f.holdings[j] = h
-	f.heldBy[h.Customer] += h.Block.Size
+func (inv *Inventory) Add(j id.Job, h Holding) {
+	inv.holdings[j] = h
+	inv.heldBy[h.Customer] += h.Block.Size
 	if h.Cell.Guarantee != "" {
-		x := f.homes[h.Cell]
-		f.homes[h.Cell] = cellHome{h.Home, x.gangs + 1}
+		current := inv.homes[h.Cell]
+		inv.homes[h.Cell] = cellHome{h.Home, current.gangs + 1}
 	}
-	f.markHolding(h)
-	f.placesStale = f.placesStale || h.Firm()
+	inv.markHolding(h)
+	inv.placesStale = inv.placesStale || h.Firm()
 }
 
 // markHolding sets the bits of a holding in the masks of its rack.
-func (f *Inventory) markHolding(h Holding) {
-	r := f.Rack(h.Block.Rack)
+func (inv *Inventory) markHolding(h Holding) {
+	r := inv.Rack(h.Block.Rack)
 	if r == nil {
 		return
 	}
@@ -194,27 +193,27 @@
 }
 
 // Leave records that a gang is stopping.
-func (f *Inventory) Leave(j id.Job) {
-	h, ok := f.holdings[j]
+func (inv *Inventory) Leave(j id.Job) {
+	h, ok := inv.holdings[j]
 	if !ok {
 		return
 	}
-	if r := f.Rack(h.Block.Rack); r != nil {
+	if r := inv.Rack(h.Block.Rack); r != nil {
 		r.Leaving |= h.Block.Mask()
 	}
 }
 
 // Remove records that a gang no longer holds anything.
-func (f *Inventory) Remove(j id.Job) {
-	h, ok := f.holdings[j]
+func (inv *Inventory) Remove(j id.Job) {
+	h, ok := inv.holdings[j]
 	if !ok {
 		return
 	}
-	delete(f.holdings, j)
-	f.heldBy[h.Customer] -= h.Block.Size
-	f.freed++
-	f.placesStale = f.placesStale || h.Firm()
-	if r := f.Rack(h.Block.Rack); r != nil {
+	delete(inv.holdings, j)
+	inv.heldBy[h.Customer] -= h.Block.Size
+	inv.freed++
+	inv.placesStale = inv.placesStale || h.Firm()
+	if r := inv.Rack(h.Block.Rack); r != nil {
 		m := h.Block.Mask()
 		r.Busy &^= m
 		r.Leaving &^= m
@@ -224,35 +223,35 @@
 			r.Firm &^= m
 		}
 	}
-	f.releaseHome(h)
+	inv.releaseHome(h)
 }
 
 // releaseHome removes one gang from the home of its cell, and the home with the
 // last one.
-func (f *Inventory) releaseHome(h Holding) {
+func (inv *Inventory) releaseHome(h Holding) {
 	if h.Cell.Guarantee == "" {
 		return
 	}
-	x := f.homes[h.Cell]
-	if x.gangs--; x.gangs > 0 {
-		f.homes[h.Cell] = x
+	current := inv.homes[h.Cell]
+	if current.gangs--; current.gangs > 0 {
+		inv.homes[h.Cell] = current
 		return
 	}
-	delete(f.homes, h.Cell)
-	if r := f.Rack(x.block.Rack); r != nil {
-		r.Firm &^= x.block.Mask()
+	delete(inv.homes, h.Cell)
+	if r := inv.Rack(current.block.Rack); r != nil {
+		r.Firm &^= current.block.Mask()
 	}
 }
 
 // Keep reserves a block until the next Begin for a gang that waits for others
 // to stop, and the home h of its cell if it has one.
-func (f *Inventory) Keep(b block.Block, cell record.Cell, h block.Block) {
-	if r := f.Rack(b.Rack); r != nil {
+func (inv *Inventory) Keep(b block.Block, cell record.Cell, h block.Block) {
+	if r := inv.Rack(b.Rack); r != nil {
 		r.reserved |= b.Mask()
 		if cell.Guarantee != "" {
 			r.reservedFirm |= h.Mask()
-			f.reservedHomes[cell] = h
-			f.placesStale = true
+			inv.reservedHomes[cell] = h
+			inv.placesStale = true
 		}
 	}
 }
@@ -260,41 +259,41 @@
 // Begin drops all reservations and updates the places of the unused cells.
 // Agreed is the state's current witness; as few of its places as possible
 // change.
-func (f *Inventory) Begin(c config.Config, agreed witness.Witness) {
-	if len(f.reservedHomes) > 0 {
-		f.placesStale = true
-		clear(f.reservedHomes)
+func (inv *Inventory) Begin(c config.Config, agreed witness.Witness) {
+	if len(inv.reservedHomes) > 0 {
+		inv.placesStale = true
+		clear(inv.reservedHomes)
 	}
-	for i := range f.Racks {
-		f.Racks[i].reserved, f.Racks[i].reservedFirm = 0, 0
+	for i := range inv.Racks {
+		inv.Racks[i].reserved, inv.Racks[i].reservedFirm = 0, 0
 	}
-	f.Refresh(c, agreed)
+	inv.Refresh(c, agreed)
 }
 
 // Refresh recomputes the places of the unused cells if anything changed that
 // they depend on.
-func (f *Inventory) Refresh(c config.Config, agreed witness.Witness) {
-	if !f.placesStale {
+func (inv *Inventory) Refresh(c config.Config, agreed witness.Witness) {
+	if !inv.placesStale {
 		return
 	}
-	f.placesStale = false
-	w, err := f.findPlaces(c, agreed, func(r *Rack) uint64 { return r.Live })
-	f.atRisk = err != nil
+	inv.placesStale = false
+	w, err := inv.findPlaces(c, agreed, func(r *Rack) uint64 { return r.Live })
+	inv.atRisk = err != nil
 	if err != nil {
 		// The accelerators of lost workers are needed. Plan as if these workers
 		// were back, and report that guarantees are at risk.
-		w, _ = f.findPlaces(c, agreed, func(r *Rack) uint64 { return r.Usable })
+		w, _ = inv.findPlaces(c, agreed, func(r *Rack) uint64 { return r.Usable })
 	}
-	f.setSpare(w)
+	inv.setSpare(w)
 }
 
-func (f *Inventory) setSpare(w witness.Witness) {
-	f.unusedPlaces = w
-	for i := range f.Racks {
-		f.Racks[i].Spare = 0
+func (inv *Inventory) setSpare(w witness.Witness) {
+	inv.unusedPlaces = w
+	for i := range inv.Racks {
+		inv.Racks[i].Spare = 0
 	}
 	for _, b := range w {
-		if r := f.Rack(b.Rack); r != nil {
+		if r := inv.Rack(b.Rack); r != nil {
 			r.Spare |= b.Mask()
 		}
 	}
@@ -302,20 +301,20 @@
 
 // AtRisk reports whether some guaranteed block has no place on workers that
 // answer.
-func (f *Inventory) AtRisk() bool { return f.atRisk }
+func (inv *Inventory) AtRisk() bool { return inv.atRisk }
 
 // Spare returns the place of a cell that is not in use, or false.
-func (f *Inventory) Spare(c record.Cell) (block.Block, bool) {
-	b, ok := f.unusedPlaces[c]
+func (inv *Inventory) Spare(c record.Cell) (block.Block, bool) {
+	b, ok := inv.unusedPlaces[c]
 	return b, ok
 }
 
 // findPlaces returns a place for each cell that is neither in use nor reserved.
 // It changes as few places of old as possible.
-func (f *Inventory) findPlaces(c config.Config, old witness.Witness, usable func(*Rack) uint64) (witness.Witness, error) {
-	rooms := make([]witness.Room, len(f.Racks))
-	for i := range f.Racks {
-		r := &f.Racks[i]
+func (inv *Inventory) findPlaces(c config.Config, old witness.Witness, usable func(*Rack) uint64) (witness.Witness, error) {
+	rooms := make([]witness.Room, len(inv.Racks))
+	for i := range inv.Racks {
+		r := &inv.Racks[i]
 		rooms[i] = witness.Room{Rack: r.ID, Free: usable(r) &^ (r.Firm | r.reservedFirm)}
 	}
 	var needs []witness.Need
@@ -323,7 +322,7 @@
 		g := c.Guarantees[k]
 		for i := range g.Count {
 			cell := record.Cell{Guarantee: k, Index: i}
-			if _, used := f.Home(cell); !used {
+			if _, used := inv.Home(cell); !used {
 				needs = append(needs, witness.Need{Cell: cell, Size: g.Size})
 			}
 		}
@@ -334,16 +333,16 @@
 // Clears reports whether every unused cell would still have a place on workers
 // that answer if a gang that can't be preempted took b. If so, it adopts these
 // places.
-func (f *Inventory) Clears(c config.Config, b block.Block) bool {
-	r := f.Rack(b.Rack)
+func (inv *Inventory) Clears(c config.Config, b block.Block) bool {
+	r := inv.Rack(b.Rack)
 	firmBefore := r.Firm
 	r.Firm |= b.Mask()
-	w, err := f.findPlaces(c, f.unusedPlaces, func(r *Rack) uint64 { return r.Live })
+	w, err := inv.findPlaces(c, inv.unusedPlaces, func(r *Rack) uint64 { return r.Live })
 	r.Firm = firmBefore
 	if err != nil {
 		return false
 	}
-	f.setSpare(w)
+	inv.setSpare(w)
 	return true
 }
 
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -76,8 +76,8 @@
 // New returns the policy with all mechanisms on.
 func New() Policy {
 	var p Policy
-	for _, f := range toggles {
-		*f.flag(&p) = true
+	for _, t := range toggles {
+		*t.flag(&p) = true
 	}
 	return p
 }
@@ -85,8 +85,8 @@
 // Names returns the names of all switches, in a fixed order.
 func Names() []string {
 	out := make([]string, 0, len(toggles))
-	for _, f := range toggles {
-		out = append(out, f.name)
+	for _, t := range toggles {
+		out = append(out, t.name)
 	}
 	return out
 }
@@ -94,9 +94,9 @@
 // Off returns the names of the switches that are off.
 func (p Policy) Off() []string {
 	var out []string
-	for _, f := range toggles {
-		if !*f.flag(&p) {
-			out = append(out, f.name)
+	for _, t := range toggles {
+		if !*t.flag(&p) {
+			out = append(out, t.name)
 		}
 	}
 	return out
@@ -105,7 +105,7 @@
 // With returns the policy with one switch set, and false if no switch has that
 // name.
 func (p Policy) With(name string, on bool) (Policy, bool) {
-	i := slices.IndexFunc(toggles, func(f toggle) bool { return f.name == name })
+	i := slices.IndexFunc(toggles, func(t toggle) bool { return t.name == name })
 	if i < 0 {
 		return p, false
 	}
--- a/core/route/claim.go
+++ b/core/route/claim.go
@@ -7,16 +7,16 @@
 
 // Claimed handles the log's verdict on a claim; nil means that the claim was
 // accepted.
-func (r *Router) Claimed(now unit.Instant, name id.Request, verdict error) {
-	if c, ok := r.abandonedClaims[name]; ok {
-		delete(r.abandonedClaims, name)
+func (r *Router) Claimed(now unit.Instant, reqID id.Request, verdict error) {
+	if c, ok := r.abandonedClaims[reqID]; ok {
+		delete(r.abandonedClaims, reqID)
 		if verdict == nil {
 			c.Release = true
 			r.out.Claims = append(r.out.Claims, c)
 		}
 		return
 	}
-	req := r.requests[name]
+	req := r.requests[reqID]
 	if req == nil || !req.claimPending {
 		return
 	}
--- a/core/route/pool.go
+++ b/core/route/pool.go
@@ -93,9 +93,9 @@
 	return 2*(out+1) <= len(p.backends)
 }
 
-func (p *pool) find(name id.Backend) *backend {
+func (p *pool) find(backendID id.Backend) *backend {
 	for _, b := range p.backends {
-		if b.id == name {
+		if b.id == backendID {
 			return b
 		}
 	}
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -115,15 +115,15 @@
 		}
 	}
 	p.backends = kept
-	for _, name := range config.Sorted(list) {
-		b := p.find(name)
+	for _, backendID := range config.Sorted(list) {
+		b := p.find(backendID)
 		if b == nil {
-			b = &backend{id: name, state: backendChart.Start()}
+			b = &backend{id: backendID, state: backendChart.Start()}
 			p.backends = append(p.backends, b)
 			p.limit += float64(p.slots) / assumedHosts
 		}
 		switch {
-		case !list[name]:
+		case !list[backendID]:
 			b.apply(leave)
 		case b.state == leaving && b.left == 0:
 			b.apply(rejoin)
@@ -229,13 +229,13 @@
 
 // Gone handles a caller that went away. Its request gets no answer; an attempt
 // in flight still holds its slot until it ends.
-func (r *Router) Gone(name id.Request) {
-	req := r.requests[name]
+func (r *Router) Gone(reqID id.Request) {
+	req := r.requests[reqID]
 	if req == nil {
 		return
 	}
 	r.releaseKey(req)
-	delete(r.requests, name)
+	delete(r.requests, reqID)
 	if p := r.pools[req.Service]; p != nil {
 		p.waiting.RemoveFunc(func(x *request) bool { return x == req })
 	}
@@ -251,8 +251,8 @@
 		}
 		r.dispatch(now, p)
 	}
-	for _, name := range config.Sorted(r.requests) {
-		req := r.requests[name]
+	for _, reqID := range config.Sorted(r.requests) {
+		req := r.requests[reqID]
 		switch {
 		case req.claimPending && now >= req.claimDeadline:
 			r.refuse(req, CodeLogDown, 2*time.Second)
--- a/core/witness/witness.go
+++ b/core/witness/witness.go
@@ -80,7 +80,7 @@
 	slices.SortFunc(needs, largestFirst)
 	for _, n := range needs {
 		b, ok := old[n.Cell]
-		if !ok || b.Size != n.Size || !take(remaining, b) {
+		if !ok || b.Size != n.Size || !takeBlock(remaining, b) {
 			rest = append(rest, n)
 			continue
 		}
@@ -96,9 +96,9 @@
 	return kept, nil
 }
 
-// take removes a block from the free accelerators of its rack if all of them
-// are free.
-func take(rooms []Room, b block.Block) bool {
+// takeBlock removes a block from the free accelerators of its rack if all of
+// them are free.
+func takeBlock(rooms []Room, b block.Block) bool {
 	i := slices.IndexFunc(rooms, func(r Room) bool { return r.Rack == b.Rack })
 	if i < 0 || b.Mask()&^rooms[i].Free != 0 {
 		return false
@@ -124,7 +124,7 @@
 		if bits.OnesCount64(r.Free) < size {
 			continue
 		}
-		s, run, ok := startIn(r.Free, size)
+		s, run, ok := bestStart(r.Free, size)
 		if ok && run < shortest {
 			best, start, shortest = i, s, run
 		}
@@ -136,17 +136,17 @@
 	return block.Block{Rack: rooms[best].Rack, Start: start, Size: size}, true
 }
 
-// startIn returns the best start for size accelerators in one rack, and the
+// bestStart returns the best start for size accelerators in one rack, and the
 // length of the run that contains it.
-func startIn(free uint64, size int) (start, run int, ok bool) {
+func bestStart(free uint64, size int) (start, run int, ok bool) {
 	run = block.MaxSize + 1
 	aligned := false
 	for starts := block.Starts(free, size); starts != 0; starts &= starts - 1 {
 		s := bits.TrailingZeros64(starts)
 		n := bits.OnesCount64(block.RunAt(free, s))
-		a := s%size == 0
-		if n < run || (n == run && a && !aligned) {
-			start, run, aligned, ok = s, n, a, true
+		alignedHere := s%size == 0
+		if n < run || (n == run && alignedHere && !aligned) {
+			start, run, aligned, ok = s, n, alignedHere, true
 		}
 	}
 	return start, run, ok
