--- a/core/place/place.go
+++ b/core/place/place.go
@@ -75,8 +75,9 @@
 	})
 }
 
-// Buddy places a gang only at multiples of its size, rounded up to a power of
-// two, and prefers the smallest aligned buddy block that is entirely free.
+// Buddy places a gang at a multiple of its size, rounded up to a power of two,
+// and prefers the smallest aligned buddy block that is entirely free. It takes
+// another position only if no rack has a free one at such a multiple.
 func Buddy() Policy {
 	return New("buddy", func(r Room, start, size int, _ []int) int {
 		unit := 1 << bits.Len(uint(size-1))
