--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,6 +1,9 @@
-// Package boottime has a steady clock that counts the time for which the machine was suspended, too.
+// Package boottime provides a monotonic clock that also counts the time during
+// which the machine was suspended.
 //
-// Go's own steady clock stands still then: a host that was suspended would go on believing what it knew of others before.
+// Go's own monotonic clock stops while the machine is suspended. With it, a
+// host that resumes would take outdated information about other hosts as
+// current.
 package boottime
 
 import (
@@ -12,38 +15,43 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Clock counts on from the time of day at which it was made, and never jumps. It is safe for concurrent use.
+// Clock is a monotonic clock that starts at the time of day at which it was
+// created. It doesn't follow later changes of the time of day. It is safe for
+// concurrent use.
 type Clock struct {
-	// start is when the clock was made, booted the reading of the system's clock then.
-	start  time.Time
-	booted time.Duration
+	// start is when the clock was created, and startReading the reading of the
+	// system's clock at that time.
+	start        time.Time
+	startReading time.Duration
 }
 
-// New returns a clock, or an error if the system has none that counts suspensions.
+// New returns a clock, or an error if the system has no clock that counts
+// suspensions.
 func New() (*Clock, error) {
-	booted, err := read()
+	reading, err := read()
 	if err != nil {
 		return nil, fmt.Errorf("boottime: %w", err)
 	}
-	return &Clock{start: time.Now(), booted: booted}, nil
+	return &Clock{start: time.Now(), startReading: reading}, nil
 }
 
-// Now returns the time.
+// Now returns the clock's current time.
 func (c *Clock) Now() unit.Instant { return unit.At(c.start).Add(c.passed()) }
 
-// Suspended returns for how long the machine was suspended since the clock was made. It is a few microseconds off.
+// Suspended returns how long the machine was suspended in total since the clock
+// was created, accurate to a few microseconds.
 func (c *Clock) Suspended() time.Duration { return c.passed() - time.Since(c.start) }
 
-// passed returns the time since the clock was made.
+// passed returns the time since the clock was created, including suspensions.
 func (c *Clock) passed() time.Duration {
 	now, err := read()
 	if err != nil {
-		return time.Since(c.start) // it was there when the clock was made, and doesn't go
+		return time.Since(c.start) // can't happen: New has read the system's clock
 	}
-	return now - c.booted
+	return now - c.startReading
 }
 
-// read reads the system's clock.
+// read returns the reading of the system's clock that counts suspensions.
 func read() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -7,30 +7,31 @@
 	"curlewsill.org/curlewsill/internal/boottime"
 )
 
-// TestClock checks that a clock goes on, begins at the time of day, and tells of no suspension on a machine that runs. Whether it counts
-// one can't be tested without suspending the machine.
+// TestClock checks that a clock starts at the time of day, never goes back, and
+// reports no suspension on a machine that wasn't suspended. The test can't
+// suspend the machine, so that it doesn't check that suspensions are counted.
 func TestClock(t *testing.T) {
 	c, err := boottime.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := c.Now()
-	if off := time.Since(first.Time()); off.Abs() > time.Hour {
-		t.Errorf("the clock is %s behind the time of day", off)
+	if behind := time.Since(first.Time()); behind.Abs() > time.Hour {
+		t.Errorf("the clock is %s behind the time of day", behind)
 	}
 	for range 1000 {
 		next := c.Now()
 		if next < first {
-			t.Fatalf("%d came after %d", next, first)
+			t.Fatalf("the clock went back: %d came after %d", next, first)
 		}
 		first = next
 	}
 	if s := c.Suspended(); s > time.Hour {
-		t.Errorf("the machine seems to have been suspended for %s", s)
+		t.Errorf("the clock reports a suspension of %s", s)
 	}
 }
 
-// BenchmarkNow measures a reading: 0.22 us.
+// BenchmarkNow measures one call of Now, which takes about 0.22 us.
 func BenchmarkNow(b *testing.B) {
 	c, err := boottime.New()
 	if err != nil {
--- a/internal/platform/hosts/hosts.go
+++ b/internal/platform/hosts/hosts.go
@@ -11,7 +11,7 @@
 	"curlewsill.org/curlewsill/internal/platform/wire"
 )
 
-// maxAnswer bounds the host list's size.
+// maxAnswer is the maximum size of the host list.
 const maxAnswer = 4 * unit.MiB
 
 // Client reads the host list. It is safe for concurrent use.
@@ -23,7 +23,7 @@
 // New returns a client of the host list at the address base.
 func New(base string, c *http.Client) *Client { return &Client{base: base, http: c} }
 
-// List returns the list as the platform has it now.
+// List returns the current host list.
 func (c *Client) List(ctx context.Context) (wire.Hosts, error) {
 	var out wire.Hosts
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+wire.HostsPath, nil)
@@ -36,7 +36,8 @@
 	return out, nil
 }
 
-// Announce tells the list of a host or of backend servers, under a name.
+// Announce registers a host, or the backend servers of a service, in the host
+// list under a name.
 func (c *Client) Announce(ctx context.Context, name string, a wire.Announcement) error {
 	req, err := jsonhttp.Request(ctx, http.MethodPut, c.base+wire.HostsPath+"/"+name, a)
 	if err == nil {
--- a/internal/platform/logs/logs.go
+++ b/internal/platform/logs/logs.go
@@ -18,15 +18,16 @@
 
 // Limits of one call.
 const (
-	// maxRecords is how many records one read asks for; maxAnswer bounds the
-	// answer's size.
+	// maxRecords is the maximum number of records that one read asks for, and
+	// maxAnswer the maximum size of an answer.
 	maxRecords = 128
 	maxAnswer  = 2 * maxRecords * record.MaxSize
-	// slack is how much longer than asked for a read may take.
-	slack = 3 * time.Second
+	// readTimeout is how long a read may take beyond the time that it waits for
+	// records.
+	readTimeout = 3 * time.Second
 )
 
-// Client reads and appends. It is safe for concurrent use.
+// Client reads and appends records. It is safe for concurrent use.
 type Client struct {
 	base string
 	http *http.Client
@@ -35,7 +36,8 @@
 // New returns a client of the log at the address base.
 func New(base string, c *http.Client) *Client { return &Client{base: base, http: c} }
 
-// Append adds a record. An error leaves it open whether the record was added.
+// Append appends a record. After an error the record may have been appended or
+// not.
 func (c *Client) Append(ctx context.Context, raw []byte) (id.Offset, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+wire.RecordsPath, bytes.NewReader(raw))
 	if err != nil {
@@ -49,10 +51,10 @@
 	return out.Offset, nil
 }
 
-// Read returns the records from offset from on. It waits for up to wait if there is
-// none yet.
+// Read returns the records from offset from on. If there are none yet, it waits
+// for up to wait.
 func (c *Client) Read(ctx context.Context, from id.Offset, wait time.Duration) (wire.Records, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+slack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	q := url.Values{
 		"from":    {strconv.FormatUint(uint64(from), 10)},
--- a/internal/platform/wire/wire.go
+++ b/internal/platform/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire defines the HTTP interface of the platform: the log, the host list
-// and the workers. Clients and stand-ins share it; docs/PLATFORM.md describes it.
+// and the workers. Clients and stand-ins use it; docs/PLATFORM.md describes it.
 package wire
 
 import (
@@ -8,35 +8,37 @@
 
 // The paths of the platform's services.
 const (
-	// RecordsPath takes POST of one record, and GET with from, limit and wait_ms.
+	// RecordsPath accepts POST with one record as the body, and GET with the
+	// query parameters from, limit and wait_ms.
 	RecordsPath = "/v1/records"
-	// HostsPath takes GET, and PUT of an Announcement under /v1/hosts/{id}.
+	// HostsPath accepts GET, and PUT with an Announcement under /v1/hosts/{id}.
 	HostsPath = "/v1/hosts"
-	// WorkersPath takes POST of a sync under /v1/workers/{id}/sync.
+	// WorkersPath accepts POST with a sync under /v1/workers/{id}/sync.
 	WorkersPath = "/v1/workers"
 )
 
-// Appended answers an append.
+// Appended is the answer to an append.
 type Appended struct {
 	Offset id.Offset `json:"offset"`
 }
 
-// Records answers a read.
+// Records is the answer to a read.
 type Records struct {
 	// First is the offset of the first record of Records.
 	First id.Offset `json:"first"`
-	// Head is the offset of the newest record of the log, Oldest that of the
-	// oldest one kept.
+	// Head is the offset of the newest record of the log, and Oldest the offset
+	// of the oldest record that the log still has.
 	Head   id.Offset `json:"head"`
 	Oldest id.Offset `json:"oldest"`
-	// Records are encoded in base64 by JSON.
+	// Records holds the records, which JSON encodes in base64.
 	Records [][]byte `json:"records"`
 }
 
 // EntryHost is one entry host in the host list.
 type EntryHost struct {
 	ID id.Host `json:"id"`
-	// Peers is the address that the host listens on for other hosts.
+	// Peers is the address at which the host listens for connections of other
+	// hosts.
 	Peers string `json:"peers"`
 }
 
@@ -52,10 +54,11 @@
 	Services map[id.Service][]Backend `json:"services"`
 }
 
-// Announcement tells the stand-in's host list of a host or of backend servers.
+// Announcement registers a host or the backend servers of a service in the
+// stand-in's host list.
 type Announcement struct {
 	Entry   *EntryHost `json:"entry,omitempty"`
 	Service id.Service `json:"service,omitempty"`
-	// Backends replaces the list of the service.
+	// Backends replaces the service's previous list of backend servers.
 	Backends []Backend `json:"backends,omitempty"`
 }
--- a/internal/platform/workers/workers.go
+++ b/internal/platform/workers/workers.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// timeout bounds one sync.
+	// timeout bounds the duration of one sync.
 	timeout = 2 * time.Second
-	// maxAnswer bounds a report's size.
+	// maxAnswer is the maximum size of a report.
 	maxAnswer = unit.MiB
 )
 
-// Client syncs workers. It is safe for concurrent use.
+// Client synchronizes workers with their assigned tasks. It is safe for
+// concurrent use.
 type Client struct {
 	base string
 	http *http.Client
@@ -30,14 +31,15 @@
 // New returns a client of the workers behind the address base.
 func New(base string, c *http.Client) *Client { return &Client{base: base, http: c} }
 
-// Sync sends a worker what it should hold and returns what it holds. An error
-// leaves it open whether the worker took the sync.
+// Sync sends a worker the tasks that it should hold and returns its report of
+// those that it holds. After an error the worker may have applied the sync or
+// not.
 func (c *Client) Sync(ctx context.Context, s worker.Sync) (worker.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var rep worker.Report
-	at := c.base + wire.WorkersPath + "/" + url.PathEscape(string(s.Worker)) + "/sync"
-	req, err := jsonhttp.Request(ctx, http.MethodPost, at, s)
+	address := c.base + wire.WorkersPath + "/" + url.PathEscape(string(s.Worker)) + "/sync"
+	req, err := jsonhttp.Request(ctx, http.MethodPost, address, s)
 	if err == nil {
 		err = jsonhttp.Do(c.http, req, maxAnswer, &rep)
 	}
