--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -28,11 +28,11 @@
 // New returns a clock, or an error if the system has no clock that counts
 // suspensions.
 func New() (*Clock, error) {
-	reading, err := read()
+	startReading, err := read()
 	if err != nil {
 		return nil, fmt.Errorf("boottime: %w", err)
 	}
-	return &Clock{start: time.Now(), startReading: reading}, nil
+	return &Clock{start: time.Now(), startReading: startReading}, nil
 }
 
 // Now returns the clock's current time.
