--- a/internal/entry/front.go
+++ b/internal/entry/front.go
@@ -18,35 +18,40 @@
 )
 
 const (
-	// patience is how long a client's call may take if it names no deadline.
-	patience = 3 * time.Second
-	// answerMargin is kept of a deadline for the answer's way back.
+	// defaultCallTime is how long a client's call may take if it names no
+	// deadline.
+	defaultCallTime = 3 * time.Second
+	// answerMargin is the part of a call's time that is reserved for sending
+	// the answer.
 	answerMargin = 30 * time.Millisecond
-	// comeBack is when a refused client is told to come back, in whole seconds
-	// as the header wants it.
-	comeBack = 1
+	// retryAfterSeconds is the Retry-After header of a refused call. The header
+	// takes whole seconds.
+	retryAfterSeconds = 1
 )
 
-// front answers clients.
+// front serves the calls of clients.
 type front struct {
 	host *Host
-	// records encodes; the table of the deciding goroutine is not to be touched.
+	// records only encodes records. The host's own table belongs to the
+	// deciding goroutine and must not be used here.
 	records *jobtable.Table
 }
 
 func newFront(h *Host) *front { return &front{host: h, records: jobtable.New()} }
 
-// call is one call of a client and what it is about, as far as that is known.
+// call is one call of a client, with the queue, customer and job that it
+// concerns as far as they are known.
 type call struct {
 	w http.ResponseWriter
 	r *http.Request
-	// catalog is the configuration by which the whole call is decided; it and
+	// catalog is the configuration that is used for the whole call. It and
 	// queue are nil if no queue was found.
 	catalog *catalog.Catalog
 	queue   *catalog.Queue
-	// customer holds the call's key; empty if the queue asks for none.
+	// customer is the owner of the call's API key; empty if the queue needs no
+	// key.
 	customer id.Customer
-	// job is empty if the call is about the queue.
+	// job is empty if the call concerns the queue.
 	job id.Job
 }
 
@@ -57,21 +62,22 @@
 	return c.queue.Name
 }
 
-// reply is the whole answer to a call.
+// reply is the complete answer to a call.
 type reply struct {
 	status int
 	body   any
-	// why says for the log what decided.
+	// why is the reason for the status. It is logged, and is also the body of
+	// an error answer.
 	why string
 }
 
-// refused is the answer to a call that surely had no effect.
+// refused returns the answer to a call that certainly had no effect.
 func refused(why string) reply { return reply{status: http.StatusServiceUnavailable, why: why} }
 
 // ServeHTTP answers one call.
 func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
-	ctx, cancel := context.WithDeadline(r.Context(), began.Add(allowed(r)-answerMargin))
+	ctx, cancel := context.WithDeadline(r.Context(), began.Add(callTimeout(r)-answerMargin))
 	defer cancel()
 	f.boundBody(w, r, began)
 	c := &call{w: w, r: r}
@@ -87,33 +93,35 @@
 		zap.Int("status", rep.status), zap.String("why", rep.why), zap.Duration("took", took), zap.Int64("config", version))
 }
 
-// boundBody bounds the time for a call's body. Without it a client that goes silent in the middle of
-// one would hold its connection, a goroutine and memory for good, and a planned stop up.
+// boundBody limits the time for receiving a call's body. Without a limit a
+// client that stops sending in the middle of a body would hold its connection,
+// a goroutine and memory forever, and would delay a planned stop.
 func (f *front) boundBody(w http.ResponseWriter, r *http.Request, began time.Time) {
 	if r.ContentLength == 0 {
-		return // a time limit would end the call, because the server reads on to see its client leave
+		return // a read deadline would end the call, because the server keeps reading to detect a disconnect
 	}
-	if err := http.NewResponseController(w).SetReadDeadline(began.Add(min(allowed(r), bodyTimeout))); err != nil {
+	if err := http.NewResponseController(w).SetReadDeadline(began.Add(min(callTimeout(r), bodyTimeout))); err != nil {
 		f.host.log.Error("body-not-bounded", zap.Error(err))
 	}
 }
 
-// unboundBody lifts the time limit when the body has come whole.
+// unboundBody removes the time limit once the whole body was received.
 func (f *front) unboundBody(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
 		f.host.log.Info("client-lost", zap.Error(err))
 	}
 }
 
-// allowed returns how long a call may take.
-func allowed(r *http.Request) time.Duration {
+// callTimeout returns how long a call may take.
+func callTimeout(r *http.Request) time.Duration {
 	if t, ok := platform.TimeAllowed(r.Header); ok {
 		return t
 	}
-	return patience
+	return defaultCallTime
 }
 
-// write sends the reply. An answer that fails is logged: its client asks again.
+// write sends the reply. A failed write is only logged: the client retries the
+// call.
 func (f *front) write(w http.ResponseWriter, rep reply) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout)); err != nil {
 		f.host.log.Info("client-lost", zap.Error(err))
@@ -123,7 +131,7 @@
 		h.Set("Connection", "close")
 	}
 	if rep.status == http.StatusServiceUnavailable || rep.status == http.StatusTooManyRequests {
-		h.Set("Retry-After", strconv.Itoa(comeBack))
+		h.Set("Retry-After", strconv.Itoa(retryAfterSeconds))
 	}
 	body := rep.body
 	if body == nil && rep.status >= http.StatusBadRequest {
@@ -147,7 +155,8 @@
 	}
 }
 
-// answer decides on a call, and notes in it what it is about.
+// answer finds the queue, job and customer of a call, records them in the call,
+// and handles it.
 func (f *front) answer(ctx context.Context, c *call) reply {
 	inForce := f.host.catalog.Load()
 	if inForce == nil {
@@ -163,7 +172,7 @@
 	}
 	c.catalog, c.queue = inForce, q
 	c.job = id.Job(strings.Trim(strings.TrimPrefix(c.r.URL.Path, q.Prefix), "/"))
-	customer, ok := holder(inForce, q, c.r)
+	customer, ok := customerOf(inForce, q, c.r)
 	if !ok {
 		return reply{status: http.StatusUnauthorized, why: "unknown key"}
 	}
@@ -171,7 +180,7 @@
 	return f.handle(ctx, c)
 }
 
-// handle answers a call that is allowed.
+// handle answers a call whose queue is known and whose customer may use it.
 func (f *front) handle(ctx context.Context, c *call) reply {
 	switch {
 	case c.r.Method == http.MethodGet && c.job == "":
@@ -186,8 +195,9 @@
 	return reply{status: http.StatusMethodNotAllowed, why: "no such call"}
 }
 
-// holder returns the customer whose key a call carries.
-func holder(c *catalog.Catalog, q *catalog.Queue, r *http.Request) (id.Customer, bool) {
+// customerOf returns the customer whose API key a call carries. It reports
+// false if the key is unknown and the queue needs one.
+func customerOf(c *catalog.Catalog, q *catalog.Queue, r *http.Request) (id.Customer, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if customer, known := c.Holder(key); ok && known {
 		return customer, true
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// headerTimeout and idleTimeout bound slow and silent clients.
+	// headerTimeout and idleTimeout limit how long a slow or silent client may
+	// take for its header, and how long an idle connection stays open.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 30 * time.Second
-	// requestTimeout bounds a request to readiness, metrics or peers, which have no bodies, and
-	// answerTimeout the time in which an answer must be taken.
+	// requestTimeout limits the time for receiving a request for readiness,
+	// metrics or from a peer, which have no bodies. answerTimeout limits the
+	// time for sending an answer.
 	requestTimeout = 5 * time.Second
 	answerTimeout  = 5 * time.Second
-	// bodyTimeout bounds the body of a client's call, however long it may take: a job of 256 kB
-	// then needs 26 kB a second.
+	// bodyTimeout limits the time for receiving the body of a client's call,
+	// however long the call may take. A job of 256 kB then needs 26 kB/s.
 	bodyTimeout = 10 * time.Second
 )
 
-// listen opens the four listeners, the one for peers last, and prepares their servers; Run
-// serves on them.
+// listen opens the four listeners, the one for peers last, and creates their
+// servers. Run starts the servers.
 func (h *Host) listen() error {
 	for i, s := range h.newServers() {
 		lis, err := net.Listen("tcp", []string{h.settings.Callers, h.settings.Readiness, h.settings.Metrics, h.settings.Peers}[i])
@@ -37,8 +39,9 @@
 	return nil
 }
 
-// newServers returns the servers of the four listeners. The clients' own bounds its calls itself,
-// because a client says how long its call may take.
+// newServers returns the servers of the four listeners. The server for clients
+// sets no read or write timeout: front limits each call itself, because clients
+// name their own deadlines.
 func (h *Host) newServers() []*http.Server {
 	out := []*http.Server{{Handler: newFront(h)}}
 	for _, handler := range []http.Handler{http.HandlerFunc(h.serveReadiness), h.metrics.handler(), h.peerHandler()} {
@@ -50,7 +53,7 @@
 	return out
 }
 
-// peerHandler takes the calls of other entry hosts.
+// peerHandler serves the calls of other entry hosts.
 func (h *Host) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(string(relay.RouteStore), h.path.Handler())
@@ -60,18 +63,19 @@
 	return mux
 }
 
-// close closes the listeners and what is open on them.
+// close closes the listeners and all open connections.
 func (h *Host) close() {
 	for _, s := range h.servers {
 		_ = s.Close()
 	}
-	h.links.Close() // the servers don't know what was taken over from them
+	h.links.Close() // the servers don't track hijacked connections
 }
 
-// Callers returns the address on which clients are answered.
+// Callers returns the address of the listener for clients.
 func (h *Host) Callers() string { return h.listeners[0].Addr().String() }
 
-// serveReadiness tells the balancer whether to send clients here.
+// serveReadiness reports to the load balancer whether it should send clients to
+// this host.
 func (h *Host) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !h.ready.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/entry/lookup.go
+++ b/internal/entry/lookup.go
@@ -14,32 +14,36 @@
 )
 
 const (
-	// loadWait is how long a call waits on a host that has just started and loads its
-	// state, which takes about 30 ms; a slow store needs some 300 ms.
+	// loadWait is how long a call waits for a host that has just started to
+	// load its state. Loading takes about 30 ms, and some 300 ms with a slow
+	// store.
 	loadWait = 400 * time.Millisecond
-	// loadLook is the pause between two looks whether the state is loaded.
-	loadLook = 10 * time.Millisecond
-	// endWait is how long the answer on a running job's state waits for its end: an
-	// end's way through the owner and the store takes about 30 ms.
+	// loadPollInterval is the pause between two checks whether the state is
+	// loaded.
+	loadPollInterval = 10 * time.Millisecond
+	// endWait is how long a query for the state of a running job waits for the
+	// job's end. Recording an end through the owner and the store takes about
+	// 30 ms.
 	endWait = 120 * time.Millisecond
 )
 
-// look is what the table says of a job.
-type look struct {
+// jobView is what the table holds of a job.
+type jobView struct {
 	loaded, known bool
 	state         jobtable.Shown
-	// customer is the one who handed the job in; empty for an anonymous queue.
+	// customer is the customer that submitted the job; empty for an anonymous
+	// queue.
 	customer id.Customer
 }
 
-// foreign reports whether a known job is another customer's than the call's. Such a job
-// is not shown, and can't be cancelled.
-func (l look) foreign(c *call) bool {
+// foreign reports whether a known job belongs to another customer than the
+// call's. Such a job is neither shown to the caller nor cancelled.
+func (l jobView) foreign(c *call) bool {
 	return l.known && !c.queue.Anonymous && l.customer != "" && l.customer != c.customer
 }
 
-// ask lets the deciding goroutine look something up. It reports false if ctx ended
-// before the answer came.
+// ask runs find on the deciding goroutine and returns its result. It reports
+// false if ctx ended before the result came.
 func ask[T any](ctx context.Context, h *Host, find func(now unit.Instant) T) (T, bool) {
 	var none T
 	out := make(chan T, 1)
@@ -54,59 +58,61 @@
 	}
 }
 
-// inTable asks the deciding goroutine for a job.
-func (f *front) inTable(ctx context.Context, j id.Job) (look, bool) {
-	return ask(ctx, f.host, func(unit.Instant) look { return f.host.lookUp(j) })
+// queryJob asks the deciding goroutine for a job.
+func (f *front) queryJob(ctx context.Context, j id.Job) (jobView, bool) {
+	return ask(ctx, f.host, func(unit.Instant) jobView { return f.host.lookUp(j) })
 }
 
-// whenLoaded asks for a job and gives a host that has just started a moment to load
+// whenLoaded is like queryJob, but waits up to loadWait while the host loads
 // its state.
-func (f *front) whenLoaded(ctx context.Context, j id.Job) (look, bool) {
-	for end := time.Now().Add(within(ctx, loadWait, waitShare)); ; {
-		l, ok := f.inTable(ctx, j)
+func (f *front) whenLoaded(ctx context.Context, j id.Job) (jobView, bool) {
+	for end := time.Now().Add(boundedWait(ctx, loadWait, waitShare)); ; {
+		l, ok := f.queryJob(ctx, j)
 		if !ok || l.loaded || time.Now().After(end) {
 			return l, ok
 		}
-		if !pause(ctx, loadLook) {
-			return look{}, false
+		if !pause(ctx, loadPollInterval) {
+			return jobView{}, false
 		}
 	}
 }
 
-// lookUp returns what the table knows of a job; it belongs to the deciding goroutine.
-func (h *Host) lookUp(j id.Job) look {
-	l := look{loaded: h.loaded}
+// lookUp returns what the table holds of a job. It must run on the deciding
+// goroutine.
+func (h *Host) lookUp(j id.Job) jobView {
+	l := jobView{loaded: h.loaded}
 	if e := h.table.Get(j); e != nil && e.Spec != nil {
 		l.known, l.state, l.customer = true, e.Show(), e.Spec.Customer
 	}
 	return l
 }
 
-// find looks a job up, and reads to the log's end before it says that there is none.
-func (f *front) find(ctx context.Context, j id.Job) (look, bool) {
-	l, ok := f.inTable(ctx, j)
+// find looks a job up. If the table doesn't hold the job, find first reads to
+// the end of the log. It reports false if the newest state can't be read.
+func (f *front) find(ctx context.Context, j id.Job) (jobView, bool) {
+	l, ok := f.queryJob(ctx, j)
 	if !ok || l.known {
 		return l, ok && l.loaded
 	}
-	reading, cancel := context.WithTimeout(ctx, within(ctx, queueWait, waitShare))
+	reading, cancel := context.WithTimeout(ctx, boundedWait(ctx, queueWait, waitShare))
 	defer cancel()
 	if !l.loaded || !f.host.catchUp(reading) {
 		return l, false
 	}
-	return f.inTable(ctx, j)
+	return f.queryJob(ctx, j)
 }
 
-// awaitEnd waits a short while for a running job's end. Clients ask at the moment in
-// which the last task ends, before its record can be read back, and otherwise would
-// have to ask again.
-func (f *front) awaitEnd(ctx context.Context, j id.Job, l look) look {
+// awaitEnd waits up to endWait for the end of a running job. Clients often
+// query just when the last task ends, before the host has read the record of
+// that, and would otherwise have to ask again.
+func (f *front) awaitEnd(ctx context.Context, j id.Job, l jobView) jobView {
 	f.host.waiting.Add(1)
 	defer f.host.waiting.Add(-1)
 	ended := make(chan struct{})
 	if !f.host.post(ctx, func(unit.Instant) { f.host.watch(j, ended) }) {
 		return l
 	}
-	f.host.hurry()
+	f.host.wakeReader()
 	timer := time.NewTimer(endWait)
 	defer timer.Stop()
 	select {
@@ -117,14 +123,15 @@
 		f.host.post(context.WithoutCancel(ctx), func(unit.Instant) { f.host.watchers.drop(j, ended) })
 		return l
 	}
-	if newer, ok := f.inTable(ctx, j); ok && newer.known {
+	if newer, ok := f.queryJob(ctx, j); ok && newer.known {
 		return newer
 	}
 	return l
 }
 
-// catchUp reads what the table lacks, at once. It reports whether the table then holds
-// all that was in the store when the read was answered.
+// catchUp immediately reads the records that the table lacks. It reports
+// whether the table then holds everything that was in the store when the read
+// was answered.
 func (h *Host) catchUp(ctx context.Context) bool {
 	at, ok := ask(ctx, h, func(unit.Instant) id.Offset { return h.table.Next() })
 	if !ok {
@@ -135,20 +142,20 @@
 		h.log.Info("catch-up-failed", zap.Uint64("from", uint64(at)), zap.Error(err))
 		return false
 	}
-	whole, ok := ask(ctx, h, func(now unit.Instant) bool {
+	complete, ok := ask(ctx, h, func(now unit.Instant) bool {
 		h.applyJobs(now, p.Records, at)
 		return h.loaded && h.table.Next() >= p.End
 	})
-	return ok && whole
+	return ok && complete
 }
 
-// watchers holds, for each job that is waited for, the channels to close when it ends.
+// watchers holds, by job, the channels to close when the job ends.
 type watchers map[id.Job][]chan struct{}
 
-// add makes c wait for a job.
+// add registers a channel to close when a job ends.
 func (w watchers) add(j id.Job, c chan struct{}) { w[j] = append(w[j], c) }
 
-// drop forgets a channel whose reader waits no longer.
+// drop removes a channel whose reader has stopped waiting.
 func (w watchers) drop(j id.Job, c chan struct{}) {
 	rest := slices.DeleteFunc(w[j], func(x chan struct{}) bool { return x == c })
 	if len(rest) == 0 {
@@ -158,15 +165,15 @@
 	w[j] = rest
 }
 
-// tell closes the channels of all that wait for a job.
-func (w watchers) tell(j id.Job) {
+// notify closes the channels of all that wait for a job.
+func (w watchers) notify(j id.Job) {
 	for _, c := range w[j] {
 		close(c)
 	}
 	delete(w, j)
 }
 
-// watch closes c when a job has ended.
+// watch closes c once a job has ended.
 func (h *Host) watch(j id.Job, c chan struct{}) {
 	if e := h.table.Get(j); e.Ended() {
 		close(c)
@@ -175,16 +182,17 @@
 	h.watchers.add(j, c)
 }
 
-// tellWatchers tells those that wait for a job, unless it is still open.
-func (h *Host) tellWatchers(j id.Job) {
+// notifyWatchers notifies those that wait for a job, unless the job is still
+// open.
+func (h *Host) notifyWatchers(j id.Job) {
 	if e := h.table.Get(j); e != nil && !e.Ended() && !e.Cancelled {
 		return
 	}
-	h.watchers.tell(j)
+	h.watchers.notify(j)
 }
 
-// hurry makes the next read of the jobs come at once.
-func (h *Host) hurry() {
+// wakeReader starts the next read of the job log at once.
+func (h *Host) wakeReader() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -17,20 +17,24 @@
 )
 
 const (
-	// group is the group of live hosts in the store.
+	// group is the name of the group of live hosts in the store.
 	group = "curlewsill-hosts"
-	// joinEvery is how often a host says that it lives, a third of the shortest
-	// time after which the store may drop it.
+	// joinEvery is the interval of a host's heartbeats to the group, a third of
+	// the shortest time after which the store may drop a member.
 	joinEvery = 330 * time.Millisecond
-	// lookAgain is the pause after a look that has failed.
-	lookAgain = 500 * time.Millisecond
-	// fewMembers is how many hosts the group has room for at first, and mostMembers at most: a
-	// member shows only if it holds a partition, and an owner that doesn't show is taken for
-	// dead. Each look returns all partitions, so there are no more of them than needed.
-	fewMembers  = 64
-	mostMembers = 512
-	// tasksPerCore is how many tasks a second an owner with a whole core can start, tasksPerMegabit how many one Mbit/s
-	// carries at 4 kB a task with its renewals and records. What counts is the proportion between hosts.
+	// membersRetryPause is the pause after a failed read of the group.
+	membersRetryPause = 500 * time.Millisecond
+	// fewMembers is how many hosts the group initially has room for, and
+	// maxMembers the upper limit. The store lists a member only if it holds a
+	// partition, and an owner that isn't listed is taken for dead. Each read of
+	// the group returns all partitions, so there should be no more of them than
+	// needed.
+	fewMembers = 64
+	maxMembers = 512
+	// tasksPerCore is how many tasks a second an owner with one whole core can
+	// start. tasksPerMegabit is how many tasks a second 1 Mbit/s carries at 4
+	// kB a task with its renewals and records. Only the ratio between hosts
+	// matters.
 	tasksPerCore    = 700
 	tasksPerMegabit = 31
 )
@@ -40,16 +44,18 @@
 	return int(min(s.Cores*tasksPerCore, float64(s.Link)*tasksPerMegabit))
 }
 
-// roomForMembers returns for how many hosts the group is to have room after a look that showed so
-// many, with room for that many: twice as many once three quarters are taken.
-func roomForMembers(shown, room int) int {
-	if 4*shown >= 3*room {
-		return min(2*room, mostMembers)
+// roomForMembers returns how many hosts the group should have room for, from
+// the number of hosts that it lists and its present room. The room doubles once
+// three quarters of it are taken.
+func roomForMembers(listed, room int) int {
+	if 4*listed >= 3*room {
+		return min(2*room, maxMembers)
 	}
 	return room
 }
 
-// memberTopics returns topics with partitions for so many hosts.
+// memberTopics returns enough topics, of the given number of partitions each,
+// for room hosts.
 func memberTopics(partitions, room int) []string {
 	var out []string
 	for n := 0; n < room; n += partitions {
@@ -58,9 +64,10 @@
 	return out
 }
 
-// keepMembership keeps the host in the group and looks at who else is.
+// keepMembership sends the host's heartbeats to the group, and starts to follow
+// the group's members.
 func (h *Host) keepMembership(ctx context.Context) {
-	go h.lookAtMembers(ctx)
+	go h.followMembers(ctx)
 	ttl := max(time.Second, h.settings.LeastTTL)
 	dep := dependency{log: h.log, name: "store group"}
 	generation := uint64(0)
@@ -80,11 +87,12 @@
 	}
 }
 
-// lookAtMembers tells the election who lives and the relay which peers there are.
-func (h *Host) lookAtMembers(ctx context.Context) {
+// followMembers reads the members of the group again and again, and passes them
+// to the election and to the paths through peers.
+func (h *Host) followMembers(ctx context.Context) {
 	dep := dependency{log: h.log, name: "store members"}
 	for ctx.Err() == nil {
-		wait := lookAgain
+		wait := membersRetryPause
 		ended := h.health.begin()
 		names, err := h.store.Members(ctx, group)
 		ended(err)
@@ -93,7 +101,7 @@
 		}
 		dep.note(err)
 		if err == nil {
-			members, peers, addresses := h.readMembers(names)
+			members, peers, addresses := h.parseMembers(names)
 			h.growGroup(len(members))
 			h.path.SetPeers(peers)
 			h.advicePath.SetPeers(peers)
@@ -115,23 +123,26 @@
 	}
 }
 
-// growGroup makes room for more hosts in the group when a look has shown that many.
-func (h *Host) growGroup(shown int) {
+// growGroup makes room for more hosts in the group if the listed members need
+// it.
+func (h *Host) growGroup(listed int) {
 	room := int(h.room.Load())
-	larger := roomForMembers(shown, room)
+	larger := roomForMembers(listed, room)
 	if larger != room {
 		h.room.Store(int32(larger))
-		h.log.Info("group-grows", zap.Int("members", shown), zap.Int("room", larger))
+		h.log.Info("group-grows", zap.Int("members", listed), zap.Int("room", larger))
 	}
 }
 
-// member is the host's name in the group: its own, where it listens for peers, and its ability.
+// member returns the host's name in the group: its id, the address on which it
+// listens for peers, and its ability.
 func (h *Host) member() string {
 	return string(h.self) + "@" + h.peers + "@" + strconv.Itoa(ability(h.settings))
 }
 
-// readMembers returns the hosts of the group, the others as peers, and where these listen.
-func (h *Host) readMembers(names []string) ([]election.Member, []relay.Peer, map[id.Host]string) {
+// parseMembers returns the hosts of the group, all but this one as peers, and
+// the addresses on which those listen.
+func (h *Host) parseMembers(names []string) ([]election.Member, []relay.Peer, map[id.Host]string) {
 	members := make([]election.Member, 0, len(names))
 	addresses := map[id.Host]string{}
 	var peers []relay.Peer
@@ -140,7 +151,7 @@
 		address, tasks, _ := strings.Cut(rest, "@")
 		m := election.Member{Host: id.Host(host)}
 		if a, err := strconv.Atoi(tasks); err == nil {
-			m.Ability = a // a member that doesn't tell it claims last
+			m.Ability = a // a member without a readable ability has ability 0 and claims last
 		}
 		members = append(members, m)
 		if id.Host(host) != h.self && address != "" {
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -11,35 +11,39 @@
 	"curlewsill.org/curlewsill/internal/wslink"
 )
 
-// buckets are those of all latency histograms, in seconds.
+// buckets are the bucket bounds of all latency histograms, in seconds.
 var buckets = []float64{.002, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
-// metrics are the host's counters and latencies.
+// metrics holds the host's counters, gauges and latency histograms.
 type metrics struct {
 	registry *prometheus.Registry
 	// owning is set while this host is the owner.
 	owning atomic.Bool
-	// inPlace is how many runs take room on workers, as the owner sees it.
+	// inPlace is the number of runs that occupy room on workers, as the owner
+	// knows it.
 	inPlace   atomic.Int64
 	takeovers prometheus.Counter
 	decisions *prometheus.CounterVec
 	faults    prometheus.Counter
-	// rejected counts the entries of the list of workers that were left out.
+	// rejected counts the rejected entries of the list of workers.
 	rejected prometheus.Counter
-	// evacuated is how many failure domains are evacuated; evacuationsRejected counts records about them that were left out.
+	// evacuated is the number of evacuated failure domains. evacuationsRejected
+	// counts the rejected records about evacuations.
 	evacuated           atomic.Int64
 	evacuationsRejected prometheus.Counter
 	// suspensions counts how often the machine was suspended.
 	suspensions prometheus.Counter
 	gathered    prometheus.Counter
-	// heard counts the owner's answers to this host's questions.
+	// heard counts the owner's answers to this host's liveness probes.
 	heard    prometheus.Counter
 	requests *prometheus.HistogramVec
 	store    *prometheus.HistogramVec
 	orders   *prometheus.HistogramVec
-	// ordersDropped counts orders for which there was no room to wait.
+	// ordersDropped counts the orders that were dropped because their worker's
+	// queue was full.
 	ordersDropped prometheus.Counter
-	// deadFound counts connections found dead, suspects those that were closed with them.
+	// deadFound counts connections found dead. suspects counts the idle
+	// connections to the same address that were closed with them.
 	deadFound, suspects *prometheus.CounterVec
 }
 
@@ -47,10 +51,10 @@
 	m := &metrics{registry: prometheus.NewRegistry()}
 	m.takeovers = counter("curlewsill_takeovers_total", "Times that this host became the owner.")
 	m.decisions = counters("curlewsill_decisions_total", "Decisions of the owner by event.", "event")
-	m.faults = counter("curlewsill_faults_total", "Invariants found violated.")
-	m.rejected = counter("curlewsill_listings_rejected_total", "Entries of the list of workers that no worker has written, or that were damaged.")
-	m.evacuationsRejected = counter("curlewsill_evacuations_rejected_total", "Operators' records on evacuations that were not understood.")
-	evacuated := gauge("curlewsill_evacuated_domains", "Failure domains that are evacuated, as this host has read.",
+	m.faults = counter("curlewsill_faults_total", "Violations of invariants that were detected.")
+	m.rejected = counter("curlewsill_listings_rejected_total", "Rejected entries of the list of workers: not written by a worker, or damaged.")
+	m.evacuationsRejected = counter("curlewsill_evacuations_rejected_total", "Operators' records about evacuations that were rejected as unreadable.")
+	evacuated := gauge("curlewsill_evacuated_domains", "Evacuated failure domains, as known to this host.",
 		func() float64 { return float64(m.evacuated.Load()) })
 	m.suspensions = counter("curlewsill_suspensions_total", "Times that this machine was suspended.")
 	m.requests = histogram("curlewsill_request_seconds", "Clients' calls by method and status.", "method", "status")
@@ -62,24 +66,24 @@
 		}
 		return 0
 	})
-	inPlace := gauge("curlewsill_runs", "Runs that take room on workers, as the owner sees it; 0 on the other hosts.",
+	inPlace := gauge("curlewsill_runs", "Runs that occupy room on workers, as known to the owner; 0 on the other hosts.",
 		func() float64 { return float64(m.inPlace.Load()) })
-	m.gathered = counter("curlewsill_gathered_records_total", "Records of other hosts that this one appended for them.")
+	m.gathered = counter("curlewsill_gathered_records_total", "Records that this host was asked to append to the store for other hosts.")
 	m.deadFound = counters("curlewsill_connections_dead_total",
-		"Connections found dead by a call without an answer, and whether it was the first there.", "to", "first")
+		"Connections found dead because a call got no answer, and whether it was the first call on the connection.", "to", "first")
 	m.suspects = counters("curlewsill_connections_suspect_total", "Idle connections closed because another one to the same address was found dead.", "to")
-	m.heard = counter("curlewsill_owner_answers_total", "Answers of the owner to this host's questions whether it lives.")
-	m.ordersDropped = counter("curlewsill_orders_dropped_total", "Orders to workers for which there was no room to wait.")
+	m.heard = counter("curlewsill_owner_answers_total", "Answers of the owner to this host's liveness probes.")
+	m.ordersDropped = counter("curlewsill_orders_dropped_total", "Orders to workers that were dropped because the queue was full.")
 	m.registry.MustRegister(m.deadFound, m.suspects, m.gathered, m.heard, m.ordersDropped, m.takeovers, m.faults, m.rejected, m.suspensions, m.decisions,
 		m.requests, m.store, m.orders, owning, inPlace, m.evacuationsRejected, evacuated)
 	return m
 }
 
-// watchLinks adds the figures of the connections between hosts.
+// watchLinks registers the metrics of the connections between hosts.
 func (m *metrics) watchLinks(l *wslink.Links) {
 	m.registry.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
-			Name: "curlewsill_links_found_dead_total", Help: "Connections to and from other hosts that ended because nothing came from the peer.",
+			Name: "curlewsill_links_found_dead_total", Help: "Connections to and from other hosts that were closed because the peer sent nothing.",
 		}, func() float64 { return float64(l.Silent()) }),
 		gauge("curlewsill_links_open", "Open connections to and from other hosts.", func() float64 { return float64(l.Open()) }),
 	)
@@ -105,7 +109,7 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// storeCall counts a call to the store and how long it took.
+// storeCall records the outcome and the duration of a call to the store.
 func (m *metrics) storeCall(call string, began time.Time, err error) {
 	outcome := "done"
 	if err != nil {
@@ -114,7 +118,7 @@
 	m.store.WithLabelValues(call, outcome).Observe(time.Since(began).Seconds())
 }
 
-// order counts an order to a worker and how long it took.
+// order records the verdict and the duration of an order to a worker.
 func (m *metrics) order(kind string, began time.Time, verdict string) {
 	m.orders.WithLabelValues(kind, verdict).Observe(time.Since(began).Seconds())
 }
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -13,60 +13,68 @@
 )
 
 const (
-	// operatorLoss is the part of the time in which a configuration must be in force that is left when half of it is over: a read of what the
-	// operator writes waits for the rest of that half, so that there is time for another one if the store has lost it. leastOperatorWait is for shorter bounds.
-	operatorLoss      = 300 * time.Millisecond
-	leastOperatorWait = 200 * time.Millisecond
-	// newsReads is how many reads the owner makes within the time for which it goes by one: what a read tells is as old as its wait and
-	// its way when it comes, and as old again when the next one does. With fewer, starts are withheld again and again while the
-	// store is slow.
-	newsReads = 4
+	// operatorRetryMargin: a read of the operator's log waits at most half of
+	// the time within which a configuration must be in force, minus this
+	// margin, so that there is time for another read if the store loses the
+	// first. minOperatorWait is the wait for shorter bounds.
+	operatorRetryMargin = 300 * time.Millisecond
+	minOperatorWait     = 200 * time.Millisecond
+	// operatorReads is how many reads of the operator's log the owner makes
+	// within the maximum age of what it knows of evacuations. What a read
+	// returns is as old as the read's wait plus its latency when it arrives,
+	// and as old again by the time the next one arrives. With fewer reads,
+	// starts are withheld again and again while the store is slow.
+	operatorReads = 4
 )
 
-// readOperator follows what the operator writes: the configuration, waves of maintenance and evacuations.
+// readOperator follows the operator's log: the configuration, waves of
+// maintenance and evacuations.
 func (h *Host) readOperator(ctx context.Context) {
 	t := &tail{host: h, topic: platform.TopicOperator, wait: h.waitOfOperator, pause: func() time.Duration { return 0 }}
 	t.whole = func(recs []jobtable.Record, end id.Offset) {
 		for _, r := range recs {
-			h.takeOperator(ctx, r)
+			h.applyOperatorRecord(ctx, r)
 		}
 		h.post(ctx, func(unit.Instant) { h.takeEvacuations(end, recs) })
 	}
 	t.more = func(recs []jobtable.Record, from id.Offset) {
 		for i, r := range recs {
-			h.takeOperator(ctx, r)
+			h.applyOperatorRecord(ctx, r)
 			if platform.IsEvacuation(r) {
 				h.post(ctx, func(unit.Instant) { h.takeEvacuation(from+id.Offset(i), r) })
 			}
 		}
 	}
-	t.reached = func(left unit.Instant) {
-		h.post(ctx, func(unit.Instant) { h.inform(left) }) // behind the records that it has brought
+	t.caughtUp = func(sentAt unit.Instant) {
+		h.post(ctx, func(unit.Instant) { h.inform(sentAt) }) // after the records of the same read
 	}
 	t.run(ctx)
 }
 
-// waitOfOperator returns how long a read of what the operator writes waits.
+// waitOfOperator returns how long a read of the operator's log waits for new
+// records.
 func (h *Host) waitOfOperator() time.Duration {
-	wait := max(leastOperatorWait, h.settings.ConfigBound/2-operatorLoss)
+	wait := max(minOperatorWait, h.settings.ConfigBound/2-operatorRetryMargin)
 	if age := h.settings.Workers.NewsAge(); age > 0 && h.metrics.owning.Load() {
-		return min(wait, age/newsReads)
+		return min(wait, age/operatorReads)
 	}
 	return wait
 }
 
-// takeOperator takes in a record of the operator that is in force whenever it was written.
-func (h *Host) takeOperator(ctx context.Context, r jobtable.Record) {
+// applyOperatorRecord applies a record of the operator's log whose effect
+// doesn't depend on its offset: a configuration or a wave.
+func (h *Host) applyOperatorRecord(ctx context.Context, r jobtable.Record) {
 	switch {
 	case r.Key == platform.KeyConfig && len(r.Value) > 0:
-		h.takeConfig(ctx, r.Value)
+		h.applyConfig(ctx, r.Value)
 	case platform.IsWave(r):
 		h.takeWave(ctx, r.Value)
 	}
 }
 
-// takeConfig puts a configuration in force, unless a later one is.
-func (h *Host) takeConfig(ctx context.Context, value []byte) {
+// applyConfig puts a configuration in force, unless the one in force is as new
+// or newer.
+func (h *Host) applyConfig(ctx context.Context, value []byte) {
 	c, err := platform.DecodeCatalog(value)
 	if err != nil {
 		h.log.Error("config-rejected", zap.Error(err))
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -13,53 +13,60 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// The progress log has how far jobs and waves are, task by task. The owner writes it with each start and end of a task, so that only hosts that
-// may be the next owner follow it: all hosts of a large site together would read more than the store gives. A host that becomes the owner
-// fences earlier owners there and then reads it to its end, so that it goes on from all that any of them has written.
-
-// followLook is the pause of a host that doesn't follow the progress log, until it looks whether it is to.
-const followLook = 200 * time.Millisecond
-
-// progressAt is how much of the progress log the table has.
+// The progress log holds the progress of jobs and waves, task by task. The
+// owner writes it at each start and end of a task, so only hosts that may be
+// the next owner follow it: if all hosts of a large site did, they would
+// together read more than the store can deliver. A host that becomes the owner
+// first fences earlier owners in this log and then reads it to its end, so that
+// it continues from everything that any of them wrote.
+
+// followPollInterval is the pause between two checks of a host that doesn't
+// follow the progress log whether it should.
+const followPollInterval = 200 * time.Millisecond
+
+// progressAt is the table's position in the progress log.
 type progressAt struct {
-	// whole is set while the table has all up to next.
-	whole bool
-	next  id.Offset
+	// complete is set while the table holds everything before next.
+	complete bool
+	next     id.Offset
 }
 
-// readProgress follows the progress log while this host would be among the first to claim. The owner itself needs to read nothing: it alone writes.
+// readProgress follows the progress log while this host would be among the
+// first to claim. The owner doesn't read the log, because it is the only
+// writer.
 func (h *Host) readProgress(ctx context.Context) {
 	t := &tail{host: h, topic: platform.TopicProgress, wait: h.waitOfJobs, pause: func() time.Duration { return standbyPause }}
-	t.wanted = func() bool { return h.standby.Load() && !h.metrics.owning.Load() }
+	t.enabled = func() bool { return h.standby.Load() && !h.metrics.owning.Load() }
 	t.whole = func(recs []jobtable.Record, end id.Offset) {
 		h.post(ctx, func(unit.Instant) { h.loadProgress(recs, end) })
 	}
 	t.more = func(recs []jobtable.Record, from id.Offset) {
 		h.post(ctx, func(unit.Instant) { h.applyProgress(recs, from) })
 	}
-	t.dropped = func() {
+	t.disabled = func() {
 		h.post(ctx, func(unit.Instant) { h.forgetProgress() })
 	}
 	t.run(ctx)
 }
 
-// loadProgress replaces what the table has of the progress log.
+// loadProgress replaces the table's content of the progress log.
 func (h *Host) loadProgress(recs []jobtable.Record, end id.Offset) {
-	if h.progress.whole && end < h.progress.next {
-		return // an answer that was overtaken
+	if h.progress.complete && end < h.progress.next {
+		return // newer records were applied while this answer was on its way
 	}
 	h.table.ForgetProgress()
-	h.progress = progressAt{whole: true, next: end}
+	h.progress = progressAt{complete: true, next: end}
 	for _, r := range recs {
 		h.applyProgressRecord(r)
 	}
 	h.log.Info("progress-loaded", zap.Int("records", len(recs)), zap.Uint64("end", uint64(end)))
 }
 
-// applyProgress applies the records of the progress log that the table doesn't have yet.
+// applyProgress applies the records of the progress log that the table doesn't
+// hold yet.
 func (h *Host) applyProgress(recs []jobtable.Record, from id.Offset) {
-	if !h.progress.whole || from > h.progress.next {
-		return // a gap: the read that fills it is on its way
+	if !h.progress.complete || from > h.progress.next {
+		return // a gap: another read is in flight that fills it
 	}
 	for i, r := range recs {
 		if offset := from + id.Offset(i); offset >= h.progress.next {
@@ -76,35 +83,39 @@
 	}
 }
 
-// forgetProgress drops what the table has of the progress log, which would grow old.
+// forgetProgress drops the table's content of the progress log, which would
+// become stale.
 func (h *Host) forgetProgress() {
 	h.progress = progressAt{}
 	h.table.ForgetProgress()
 }
 
-// takeover is a claim of this host that is the newest one, on its way to the ownership.
+// takeover is the newest claim, made by this host, until it makes the host the
+// owner.
 type takeover struct {
 	epoch  id.Epoch
 	cancel context.CancelFunc
 }
 
-// beginTakeover makes the host the owner once it has all that earlier owners have written, unless a later claim comes before.
+// beginTakeover makes the host the owner once it has read everything that
+// earlier owners wrote, unless a later claim overtakes it.
 func (h *Host) beginTakeover(epoch id.Epoch) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.takeover = &takeover{epoch: epoch, cancel: cancel}
 	go func() {
-		end, err := h.fenceEarlier(ctx, epoch)
+		end, err := h.fenceEarlierOwners(ctx, epoch)
 		if err == nil {
-			err = h.takeOverFrom(ctx, epoch, end)
+			err = h.completeTakeover(ctx, epoch, end)
 		}
 		if err != nil && ctx.Err() == nil {
-			h.post(ctx, func(unit.Instant) { h.fail(epoch, err) })
+			h.post(ctx, func(unit.Instant) { h.failTakeover(epoch, err) })
 		}
 	}()
 }
 
-// fenceEarlier keeps earlier owners from writing the progress log, and returns its end: nobody but this host adds to it from then on.
-func (h *Host) fenceEarlier(ctx context.Context, epoch id.Epoch) (id.Offset, error) {
+// fenceEarlierOwners fences earlier owners in the progress log, and returns the
+// end of the log: from then on only this host appends to it.
+func (h *Host) fenceEarlierOwners(ctx context.Context, epoch id.Epoch) (id.Offset, error) {
 	rec, err := jobtable.New().OwnerRecord(jobtable.Owner{Host: h.self, Epoch: epoch})
 	if err != nil {
 		return 0, err
@@ -122,12 +133,13 @@
 	return 0, ctx.Err()
 }
 
-// takeOverFrom brings the table to the end of the progress log and makes the host the owner.
-func (h *Host) takeOverFrom(ctx context.Context, epoch id.Epoch, end id.Offset) error {
+// completeTakeover reads the progress log to its end and makes the host the
+// owner.
+func (h *Host) completeTakeover(ctx context.Context, epoch id.Epoch, end id.Offset) error {
 	var b backoff
 	for ctx.Err() == nil {
 		began := time.Now()
-		r, ok := ask(ctx, h, func(now unit.Instant) reached { return h.takeOverAt(now, epoch, end) })
+		r, ok := ask(ctx, h, func(now unit.Instant) takeoverState { return h.tryTakeOver(now, epoch, end) })
 		if !ok || r.done {
 			return ctx.Err()
 		}
@@ -139,29 +151,32 @@
 	return ctx.Err()
 }
 
-// reached is how far a claim has come.
-type reached struct {
+// takeoverState is the state of a takeover at one attempt to complete it.
+type takeoverState struct {
 	at progressAt
-	// done is set once nothing is left to do for it: the host is the owner, or another claim has come.
+	// done is set once nothing more is to be done: the host is the owner, or
+	// another claim has replaced this one.
 	done bool
 }
 
-// takeOverAt makes the host the owner if the table has the progress log up to its end.
-func (h *Host) takeOverAt(now unit.Instant, epoch id.Epoch, end id.Offset) reached {
+// tryTakeOver makes the host the owner if the table holds the progress log up
+// to its end.
+func (h *Host) tryTakeOver(now unit.Instant, epoch id.Epoch, end id.Offset) takeoverState {
 	switch {
 	case h.takeover == nil || h.takeover.epoch != epoch:
-		return reached{done: true}
-	case !h.progress.whole || h.progress.next < end:
-		return reached{at: h.progress}
+		return takeoverState{done: true}
+	case !h.progress.complete || h.progress.next < end:
+		return takeoverState{at: h.progress}
 	}
 	h.takeover = nil
 	h.takeOver(now, epoch)
-	return reached{done: true}
+	return takeoverState{done: true}
 }
 
-// catchUpProgress reads what the table lacks of the progress log, or all of it.
+// catchUpProgress reads the part of the progress log that the table lacks, or
+// all of it if the table is incomplete or the store has dropped that part.
 func (h *Host) catchUpProgress(ctx context.Context, at progressAt) error {
-	if at.whole {
+	if at.complete {
 		p, err := h.store.Read(ctx, platform.TopicProgress, at.next, 0)
 		if err == nil {
 			h.post(ctx, func(unit.Instant) { h.applyProgress(p.Records, at.next) })
@@ -177,8 +192,9 @@
 	return err
 }
 
-// fail ends a claim that can't lead to the ownership. The host claims again unless another one has done so.
-func (h *Host) fail(epoch id.Epoch, err error) {
+// failTakeover ends a claim that can't lead to the ownership. The host claims
+// again unless another host has done so.
+func (h *Host) failTakeover(epoch id.Epoch, err error) {
 	if h.takeover == nil || h.takeover.epoch != epoch {
 		return
 	}
@@ -187,7 +203,7 @@
 	h.lost = epoch
 }
 
-// abandonTakeover ends a claim that is on its way to the ownership, if there is one.
+// abandonTakeover cancels the takeover in progress, if there is one.
 func (h *Host) abandonTakeover() {
 	if h.takeover != nil {
 		h.takeover.cancel()
--- a/internal/entry/progress_internal_test.go
+++ b/internal/entry/progress_internal_test.go
@@ -80,7 +80,7 @@
 			if got := store.since() > 0; got != c.follows {
 				t.Errorf("standby %t, owner %t: the host follows it: %t", c.standby, c.owning, got)
 			}
-			known, _ := ask(ctx, h, func(unit.Instant) bool { return h.progress.whole })
+			known, _ := ask(ctx, h, func(unit.Instant) bool { return h.progress.complete })
 			if known != c.follows {
 				t.Errorf("standby %t, owner %t: the host keeps it: %t", c.standby, c.owning, known)
 			}
--- a/internal/entry/put.go
+++ b/internal/entry/put.go
@@ -8,47 +8,50 @@
 	"curlewsill.org/curlewsill/core/jobtable"
 )
 
-// outcome is what is known of a record that a call wants in the store.
+// outcome is what is known of a record that a call wants to have in the store.
 type outcome int
 
 const (
-	// stored records are in the store.
+	// stored: the record is in the store.
 	stored outcome = iota
-	// notStored records surely never get there.
+	// notStored: the record isn't in the store and certainly never will be.
 	notStored
-	// unknownOutcome records may be in the store, or get there yet.
+	// unknownOutcome: the record may be in the store, or may still get there.
 	unknownOutcome
 )
 
 const (
-	// queueWait is how long a record may wait behind an append that hangs before
-	// the call is refused. A slow store answers within 300 ms.
+	// queueWait is how long a record may wait in the queue behind a hanging
+	// append before its call is refused. A slow store answers within 300 ms.
 	queueWait = 400 * time.Millisecond
-	// unknownWait is how long a call waits for an append that was sent before its
+	// unknownWait is how long a call waits for an append in flight before its
 	// outcome is reported as unknown, so that the client can ask another host.
 	unknownWait = time.Second
-	// waitShare and unknownShare bound the two above by the part of its remaining time that a
-	// client's call may spend on them. A client that is refused late has no time left to ask another
-	// host.
+	// waitShare and unknownShare limit the two waits above to a share of the
+	// remaining time of a client's call. A client that is refused late has no
+	// time left to ask another host.
 	waitShare    = 0.25
 	unknownShare = 0.45
-	// slowFactor times the length of the last append is what a call waits at least while
-	// appends are slow but end: the one under way, its own, and some slack. The part of its
-	// time that it may spend is that of a record that has left, then.
+	// slowFactor times the duration of the last append is the minimum wait of a
+	// call while appends are slow but succeed: for the append in flight, the
+	// call's own, and some slack. Both waits are then limited by the share for
+	// a record in flight.
 	slowFactor = 2.5
 )
 
-// shares are the parts of its remaining time that a call may spend on a record that hasn't left, and on one that has.
-type shares struct{ queued, sent float64 }
+// timeShares are the shares of its remaining time that a call may spend on a
+// record in the queue and on one in flight.
+type timeShares struct{ queued, sent float64 }
 
 var (
-	// callerShares are those of a client's call.
-	callerShares = shares{queued: waitShare, sent: unknownShare}
-	// gatheredShares are those of another host's call, whose time is a part of its client's already. What is left over is for the answer's way back.
-	gatheredShares = shares{queued: 0.5, sent: 0.9}
+	// callerShares are the shares of a client's call.
+	callerShares = timeShares{queued: waitShare, sent: unknownShare}
+	// gatheredShares are the shares of a call from another host, whose time is
+	// already a share of its client's. The rest is reserved for the answer.
+	gatheredShares = timeShares{queued: 0.5, sent: 0.9}
 )
 
-// put gets a record into the store, through the owner while the store is slow.
+// put writes a record to the store, through the owner while the store is slow.
 func (h *Host) put(ctx context.Context, rec jobtable.Record) (outcome, string) {
 	if got, why, tried := h.putByOwner(ctx, rec); tried {
 		return got, why
@@ -56,14 +59,14 @@
 	return h.append(ctx, rec, callerShares)
 }
 
-// append gets a record into the store by this host's writer, and tells the truth: notStored only
-// if it surely isn't there and won't be.
-func (h *Host) append(ctx context.Context, rec jobtable.Record, part shares) (outcome, string) {
-	p := h.writer.add(rec)
+// append writes a record to the store with this host's writer. It returns
+// notStored only if the record certainly isn't in the store and never will be.
+func (h *Host) append(ctx context.Context, rec jobtable.Record, share timeShares) (outcome, string) {
+	p := h.writer.enqueue(rec)
 	if p == nil {
 		return notStored, "other calls wait for the store"
 	}
-	queued, sent := h.patience(ctx, part)
+	queued, sent := h.patience(ctx, share)
 	queuedTimer, sentTimer := time.NewTimer(queued), time.NewTimer(sent)
 	defer queuedTimer.Stop()
 	defer sentTimer.Stop()
@@ -84,25 +87,27 @@
 	}
 }
 
-// patience returns how long a call waits for its record to leave, and to be answered.
-func (h *Host) patience(ctx context.Context, part shares) (queued, sent time.Duration) {
-	last := time.Duration(float64(h.writer.lastTook()) * slowFactor)
-	if last > queueWait {
-		return within(ctx, last, part.sent), within(ctx, max(unknownWait, last), part.sent)
+// patience returns how long a call waits for its record to be sent, and how
+// long for the answer.
+func (h *Host) patience(ctx context.Context, share timeShares) (queued, sent time.Duration) {
+	slowWait := time.Duration(float64(h.writer.lastDuration()) * slowFactor)
+	if slowWait > queueWait {
+		return boundedWait(ctx, slowWait, share.sent), boundedWait(ctx, max(unknownWait, slowWait), share.sent)
 	}
-	return within(ctx, queueWait, part.queued), within(ctx, unknownWait, part.sent)
+	return boundedWait(ctx, queueWait, share.queued), boundedWait(ctx, unknownWait, share.sent)
 }
 
-// within returns a time to wait, bounded by a part of what is left of a call's time.
-func within(ctx context.Context, wait time.Duration, part float64) time.Duration {
+// boundedWait returns wait, but at most a share of the remaining time of a
+// call.
+func boundedWait(ctx context.Context, wait time.Duration, share float64) time.Duration {
 	end, ok := ctx.Deadline()
 	if !ok {
 		return wait
 	}
-	return min(wait, time.Duration(float64(time.Until(end))*part))
+	return min(wait, time.Duration(float64(time.Until(end))*share))
 }
 
-// outcomeOf tells what became of a record when its write has ended.
+// outcomeOf converts the result of a write to the outcome for its record.
 func outcomeOf(err error) (outcome, string) {
 	switch {
 	case err == nil:
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -13,24 +13,26 @@
 )
 
 const (
-	// jobsWait is how long a read of the jobs waits for news, ownerWait the same on the owner: what it grants rests
-	// on reads that left within 3 s, and one in a row may be lost.
+	// jobsWait is how long a read of the job log waits for new records, and
+	// ownerWait the same on the owner. The owner's right to grant leases
+	// depends on reads that it sent within the last 3 s, of which one in a row
+	// may be lost.
 	jobsWait  = 1500 * time.Millisecond
 	ownerWait = 500 * time.Millisecond
-	// jobsPause is the pause between two reads that brought news; each costs.
-	// standbyPause is the one on hosts that would claim first, so that they see at once
-	// that the owner has handed over.
+	// jobsPause is the pause after a read that returned records, because each
+	// read costs. standbyPause is the pause on hosts that would be among the
+	// first to claim, so that they notice at once when the owner hands over.
 	jobsPause    = 500 * time.Millisecond
 	standbyPause = 100 * time.Millisecond
-	// waitedPause is the pause where a job waits for it: on the owner, and while a
-	// client waits for a job's end.
-	waitedPause = 8 * time.Millisecond
-	// serversPause is the pause between two reads of the list of workers. A
-	// worker that leaves must get nothing new after 2 s.
-	serversPause = 300 * time.Millisecond
+	// awaitedPause is the pause while a job waits for the next read: on the
+	// owner, and while a client waits for the end of a job.
+	awaitedPause = 8 * time.Millisecond
+	// workerListPause is the pause between two reads of the list of workers. A
+	// worker that leaves must get no new tasks after 2 s.
+	workerListPause = 300 * time.Millisecond
 )
 
-// readJobs follows the state of all jobs.
+// readJobs follows the job log.
 func (h *Host) readJobs(ctx context.Context) {
 	t := &tail{host: h, topic: platform.TopicJobs, wait: h.waitOfJobs, wake: h.wake, pause: h.pauseOfJobs}
 	t.whole = func(recs []jobtable.Record, end id.Offset) {
@@ -39,13 +41,13 @@
 	t.more = func(recs []jobtable.Record, from id.Offset) {
 		h.post(ctx, func(now unit.Instant) { h.applyJobs(now, recs, from) })
 	}
-	t.reached = func(left unit.Instant) {
-		h.post(ctx, func(unit.Instant) { h.assure(left) }) // behind the records that it has brought
+	t.caughtUp = func(sentAt unit.Instant) {
+		h.post(ctx, func(unit.Instant) { h.assure(sentAt) }) // after the records of the same read
 	}
 	t.run(ctx)
 }
 
-// waitOfJobs returns how long a read of the jobs waits for news.
+// waitOfJobs returns how long a read of the job log waits for new records.
 func (h *Host) waitOfJobs() time.Duration {
 	if h.metrics.owning.Load() {
 		return ownerWait
@@ -53,11 +55,11 @@
 	return jobsWait
 }
 
-// pauseOfJobs returns the pause between two reads of the jobs.
+// pauseOfJobs returns the pause between two reads of the job log.
 func (h *Host) pauseOfJobs() time.Duration {
 	switch {
 	case h.metrics.owning.Load(), h.waiting.Load() > 0:
-		return waitedPause
+		return awaitedPause
 	case h.standby.Load():
 		return standbyPause
 	default:
@@ -65,10 +67,10 @@
 	}
 }
 
-// loadJobs replaces the table by what the store has.
+// loadJobs replaces the table by the state in the store.
 func (h *Host) loadJobs(now unit.Instant, recs []jobtable.Record, end id.Offset) {
 	if h.loaded && end < h.table.Next() {
-		return // an answer that was overtaken
+		return // newer records were applied while this answer was on its way
 	}
 	table := jobtable.New()
 	for _, r := range recs {
@@ -79,26 +81,26 @@
 	table.Advance(end)
 	table.KeepProgress(h.table)
 	if !h.loaded {
-		h.newest = table.Owner().Epoch // what was there before this host isn't news
+		h.newest = table.Owner().Epoch // a claim made before this host started is not a new one
 	}
 	h.table, h.loaded = table, true
 	h.log.Info("jobs-loaded", zap.Int("records", len(recs)), zap.Uint64("end", uint64(end)))
 	if table.Former() {
-		why := "jobs have progress in " + string(platform.TopicJobs) + ": this host claims nothing before they are forgotten"
+		why := "jobs have progress in " + string(platform.TopicJobs) + ": this host doesn't claim the ownership until they are forgotten"
 		h.log.Error("earlier-version", zap.String("why", why))
 	}
 	h.noteFormerLife()
 	h.election.Known(table.Owner().Host)
 	h.ownership(now)
 	for _, j := range table.Jobs() {
-		h.changed(now, j)
+		h.jobChanged(now, j)
 	}
 }
 
-// applyJobs applies the records that the table doesn't have yet.
+// applyJobs applies the records that the table doesn't hold yet.
 func (h *Host) applyJobs(now unit.Instant, recs []jobtable.Record, from id.Offset) {
 	if !h.loaded || from > h.table.Next() {
-		return // a gap: the read that fills it is on its way
+		return // a gap: another read is in flight that fills it
 	}
 	for i, r := range recs {
 		offset := from + id.Offset(i)
@@ -112,15 +114,16 @@
 			continue
 		}
 		if j != "" {
-			h.changed(now, j)
+			h.jobChanged(now, j)
 		}
 	}
 	h.ownership(now)
 }
 
-// changed hands news of a job to those who wait for it.
-func (h *Host) changed(now unit.Instant, j id.Job) {
-	h.tellWatchers(j)
+// jobChanged passes a change of a job to the calls that wait for it and to the
+// owner.
+func (h *Host) jobChanged(now unit.Instant, j id.Job) {
+	h.notifyWatchers(j)
 	if h.owner != nil {
 		h.owner.learn(now, j)
 	}
@@ -128,19 +131,20 @@
 
 // readServers follows the list of workers while the host is the owner.
 func (h *Host) readServers(ctx context.Context, o *owner) {
-	t := &tail{host: h, topic: platform.TopicServers, pause: func() time.Duration { return serversPause }}
+	t := &tail{host: h, topic: platform.TopicServers, pause: func() time.Duration { return workerListPause }}
 	t.whole = func(recs []jobtable.Record, _ id.Offset) {
 		h.post(ctx, func(now unit.Instant) { o.listAll(now, recs) })
 	}
 	t.more = func(recs []jobtable.Record, _ id.Offset) {
-		recs = newestOfEach(recs)
+		recs = newestPerKey(recs)
 		h.post(ctx, func(now unit.Instant) { o.list(now, recs) })
 	}
 	t.run(ctx)
 }
 
-// newestOfEach drops records that a later one of the same key has overtaken.
-func newestOfEach(recs []jobtable.Record) []jobtable.Record {
+// newestPerKey drops the records that are followed by a later one of the same
+// key.
+func newestPerKey(recs []jobtable.Record) []jobtable.Record {
 	last := map[string]int{}
 	for i, r := range recs {
 		last[r.Key] = i
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// retryLeast and retryMost bound the pause after a failed call. The longest one is what a host
-	// loses at most when the store takes calls again.
+	// retryLeast and retryMost bound the pause after a failed call. When the
+	// store accepts calls again, a host notices that at most retryMost later.
 	retryLeast = 100 * time.Millisecond
 	retryMost  = 400 * time.Millisecond
 )
@@ -18,9 +18,10 @@
 // backoff is a growing pause with jitter.
 type backoff struct{ last time.Duration }
 
-// wait pauses after a call that began at a time and failed. A call that hung has kept its pause
-// already: the next one follows at once, since a store that was silent answers only calls that
-// were made after its return. It reports whether ctx is still open.
+// wait pauses after a failed call that began at the given time. After a call
+// that hung for at least retryMost, the pause is only a short jitter: a store
+// that had stopped answering answers only calls that are made after its return.
+// It reports whether ctx is still open.
 func (b *backoff) wait(ctx context.Context, began time.Time) bool {
 	if time.Since(began) >= retryMost {
 		return pause(ctx, rand.N(retryLeast))
@@ -29,10 +30,10 @@
 	return pause(ctx, b.last/2+rand.N(b.last/2))
 }
 
-// reset begins anew after a success.
+// reset restarts the backoff after a success.
 func (b *backoff) reset() { b.last = 0 }
 
-// pause waits, and reports whether ctx is still open.
+// pause waits for d, and reports whether ctx is still open.
 func pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -42,14 +43,15 @@
 	}
 }
 
-// dependency logs once when something is lost and once when it is back.
+// dependency logs once when a dependency is lost and once when it is available
+// again.
 type dependency struct {
 	log  *zap.Logger
 	name string
 	lost time.Time
 }
 
-// note takes in what became of a call.
+// note records the outcome of a call.
 func (d *dependency) note(err error) {
 	switch {
 	case err != nil && d.lost.IsZero():
--- a/internal/entry/tail.go
+++ b/internal/entry/tail.go
@@ -11,25 +11,29 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// tail follows one topic: the newest record of each key first, then what is added.
+// tail follows one topic: it first loads the newest record of each key, then
+// reads the records that are appended.
 type tail struct {
 	host  *Host
 	topic platform.Topic
-	// wait is how long a read may wait for news; nil if it doesn't.
+	// wait returns how long a read may wait for new records; nil if reads don't
+	// wait.
 	wait  func() time.Duration
 	pause func() time.Duration
-	// wanted reports whether the topic is to be followed; nil for always. Once it isn't any more, dropped is called.
-	wanted  func() bool
-	dropped func()
-	// wake cuts a pause short; nil if nobody does.
+	// enabled reports whether to follow the topic; nil to follow it always.
+	// disabled is called once when enabled turns false after a load.
+	enabled  func() bool
+	disabled func()
+	// wake cuts a pause short; nil if pauses are never cut short.
 	wake <-chan struct{}
-	// reached is called after each read that came to what was the end of the topic when it left, with that time; nil
-	// if nobody wants to know.
-	reached func(left unit.Instant)
-	// patience times the usual time is how long a read waits for its answer, 0 for the usual one.
+	// caughtUp is called after each read that came to the end of the topic,
+	// with the time at which the read was sent; nil if nothing needs that.
+	caughtUp func(sentAt unit.Instant)
+	// patience is the factor by which a read waits longer than usual for its
+	// answer; 0 counts as 1.
 	patience int
-	// whole is called with the newest records of all keys, and more with those
-	// that follow from an offset on.
+	// whole is called with the newest record of each key, and more with records
+	// that were appended from an offset on.
 	whole func(recs []jobtable.Record, end id.Offset)
 	more  func(recs []jobtable.Record, from id.Offset)
 }
@@ -40,22 +44,22 @@
 	dep := dependency{log: t.host.log, name: "store " + string(t.topic)}
 	next, loaded := id.Offset(0), false
 	for ctx.Err() == nil {
-		if t.wanted != nil && !t.wanted() {
+		if t.enabled != nil && !t.enabled() {
 			if loaded {
 				loaded = false
-				t.dropped()
+				t.disabled()
 			}
-			pause(ctx, followLook)
+			pause(ctx, followPollInterval)
 			continue
 		}
 		var err error
-		began, left, reached := time.Now(), t.host.now(), false
-		patient := platform.WithPatience(ctx, max(1, t.patience))
+		began, sentAt, atEnd := time.Now(), t.host.now(), false
+		readCtx := platform.WithPatience(ctx, max(1, t.patience))
 		if loaded {
-			next, reached, err = t.read(patient, next)
+			next, atEnd, err = t.read(readCtx, next)
 		} else {
-			next, err = t.load(patient)
-			loaded, reached = err == nil, err == nil
+			next, err = t.load(readCtx)
+			loaded, atEnd = err == nil, err == nil
 		}
 		if errors.Is(err, platform.ErrForgotten) {
 			loaded = false
@@ -65,34 +69,37 @@
 			return
 		}
 		dep.note(err)
-		t.learn(err)
+		t.adaptPatience(err)
 		if err != nil {
 			b.wait(ctx, began)
 			continue
 		}
 		b.reset()
-		if t.reached != nil && reached {
-			t.reached(left)
+		if t.caughtUp != nil && atEnd {
+			t.caughtUp(sentAt)
 		}
 	}
 }
 
-// learn doubles the patience after a read without an answer from a store that answers short calls: it is behind, and a reader that gives up and
-// asks again gets further back. A store that is silent is asked as often as ever, to hear of its return.
-func (t *tail) learn(err error) {
+// adaptPatience doubles the patience after a read without an answer if the
+// store answers short calls. Such a store is overloaded, and a reader that
+// gives up and retries falls further behind. A store that answers nothing is
+// asked as often as usual, so that its return is noticed soon.
+func (t *tail) adaptPatience(err error) {
 	switch {
 	case err == nil:
 		t.patience = 1
 	case errors.Is(err, platform.ErrUnknown) && !t.host.health.hanging():
-		t.patience = min(mostPatience, 2*max(1, t.patience))
+		t.patience = min(maxPatience, 2*max(1, t.patience))
 	}
 }
 
-// mostPatience bounds how many times the usual time a read waits.
-const mostPatience = 8
+// maxPatience is the upper limit of tail.patience.
+const maxPatience = 8
 
-// load hands over the newest record of each key, and returns the offset from which to
-// read on: the end at the first page, since later pages may be newer.
+// load passes the newest record of each key to whole. It returns the offset
+// from which to read on: the end as of the first page, because later pages may
+// contain newer records.
 func (t *tail) load(ctx context.Context) (id.Offset, error) {
 	recs, end, err := newest(ctx, t.host.store, t.topic)
 	if err == nil {
@@ -101,7 +108,8 @@
 	return end, err
 }
 
-// newest returns the newest record of each key of a topic, and where the topic ended as the first page was read.
+// newest returns the newest record of each key of a topic, and the topic's end
+// as of the first page.
 func newest(ctx context.Context, s *platform.Store, topic platform.Topic) ([]jobtable.Record, id.Offset, error) {
 	first, err := s.Newest(ctx, topic, "")
 	if err != nil {
@@ -117,8 +125,9 @@
 	return recs, first.End, nil
 }
 
-// read hands over what was added from an offset on. It returns the next offset, and whether that is the end.
-func (t *tail) read(ctx context.Context, from id.Offset) (next id.Offset, reached bool, err error) {
+// read passes the records from an offset on to more. It returns the next
+// offset, and whether that is the end of the topic.
+func (t *tail) read(ctx context.Context, from id.Offset) (next id.Offset, atEnd bool, err error) {
 	wait := time.Duration(0)
 	if t.wait != nil {
 		wait = t.wait()
@@ -131,13 +140,13 @@
 		t.more(p.Records, from)
 	}
 	if len(p.Records) > 0 || wait == 0 {
-		t.rest(ctx)
+		t.pauseAfterRead(ctx)
 	}
 	return p.Next, p.Next >= p.End, nil
 }
 
-// rest pauses before the next read, unless somebody waits for it.
-func (t *tail) rest(ctx context.Context) {
+// pauseAfterRead pauses before the next read, until wake cuts the pause short.
+func (t *tail) pauseAfterRead(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-t.wake:
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// pendingWrites bounds the records that wait to be written; further calls are
-	// refused.
-	pendingWrites = 1024
-	// batchBytes bounds one append; the store takes 2 MB.
+	// maxPendingWrites limits the records that wait to be written. Further
+	// calls are refused.
+	maxPendingWrites = 1024
+	// batchBytes limits the size of one append. The store takes 2 MB.
 	batchBytes = 512 << 10
-	// refusedTries is how often an append that the store refused is repeated
-	// before the records are given up as not written.
-	refusedTries = 3
-	// refusedPause is the pause between such tries. All of them and their pauses fit
-	// into queueWait unless the store is slow.
+	// maxRefusedTries is how often an append is tried if the store refuses it
+	// each time, before its records are reported as not written.
+	maxRefusedTries = 3
+	// refusedPause is the pause between these tries. All of them with their
+	// pauses fit into queueWait unless the store is slow.
 	refusedPause = 80 * time.Millisecond
 )
 
-// errNotWritten reports a record that is surely not in the store.
+// errNotWritten is the result for a record that certainly isn't in the store.
 var errNotWritten = errors.New("entry: the record was not written")
 
-// writer appends records of jobs, as many at once as wait.
+// writer appends records of jobs, in batches of all that are queued.
 type writer struct {
 	store   *platform.Store
 	log     *zap.Logger
@@ -38,32 +38,34 @@
 	health  *storeHealth
 	queue   *ring.Ring[*pending]
 	id      platform.Writer
-	// busySince is when the append that is under way began, in nanoseconds; 0 for
-	// none.
+	// busySince is when the append in flight began, in nanoseconds since 1970;
+	// 0 if there is none.
 	busySince atomic.Int64
-	// took is how long the last append took, in nanoseconds; 0 if it failed.
-	took atomic.Int64
+	// duration is how long the last append took, in nanoseconds; 0 if it
+	// failed.
+	duration atomic.Int64
 }
 
-// learn notes how long an append took.
-func (w *writer) learn(began time.Time, err error) {
+// noteDuration records how long an append took.
+func (w *writer) noteDuration(began time.Time, err error) {
 	if err != nil {
-		w.took.Store(0)
+		w.duration.Store(0)
 		return
 	}
-	w.took.Store(int64(time.Since(began)))
+	w.duration.Store(int64(time.Since(began)))
 }
 
-// lastTook returns how long the last append took, or 0 if it failed.
-func (w *writer) lastTook() time.Duration { return time.Duration(w.took.Load()) }
+// lastDuration returns how long the last append took, or 0 if it failed.
+func (w *writer) lastDuration() time.Duration { return time.Duration(w.duration.Load()) }
 
 func newWriter(s *platform.Store, health *storeHealth, name string, log *zap.Logger, m *metrics) *writer {
-	return &writer{store: s, health: health, log: log, metrics: m, queue: ring.New[*pending](pendingWrites), id: platform.Writer{Name: name, Epoch: 1}}
+	return &writer{store: s, health: health, log: log, metrics: m, queue: ring.New[*pending](maxPendingWrites), id: platform.Writer{Name: name, Epoch: 1}}
 }
 
-// add queues a record, or returns nil if too many wait or if the store hangs.
-func (w *writer) add(r jobtable.Record) *pending {
-	longest := max(queueWait, time.Duration(float64(w.lastTook())*slowFactor))
+// enqueue queues a record. It returns nil if the queue is full or the store
+// hangs.
+func (w *writer) enqueue(r jobtable.Record) *pending {
+	longest := max(queueWait, time.Duration(float64(w.lastDuration())*slowFactor))
 	if since := w.busySince.Load(); since != 0 && time.Since(time.Unix(0, since)) > longest || w.health.hanging() {
 		return nil
 	}
@@ -74,8 +76,8 @@
 	return p
 }
 
-// run appends until ctx is done. One append is under way at a time, so that one whose
-// answer is lost can be repeated under its number.
+// run appends until ctx is done. Only one append is in flight at a time, so
+// that one whose answer is lost can be repeated under the same sequence number.
 func (w *writer) run(ctx context.Context) {
 	for {
 		select {
@@ -87,7 +89,8 @@
 	}
 }
 
-// collect takes what waits in one batch.
+// collect returns the first record and those queued behind it as one batch,
+// without the withdrawn ones.
 func (w *writer) collect(first *pending) []*pending {
 	var batch []*pending
 	size := 0
@@ -109,7 +112,8 @@
 	return batch
 }
 
-// append writes a batch and tells those who wait for its records what became of it.
+// append writes a batch and reports the outcome to the calls that wait for its
+// records.
 func (w *writer) append(ctx context.Context, batch []*pending) {
 	if len(batch) == 0 {
 		return
@@ -123,8 +127,9 @@
 	}
 }
 
-// persist appends until the outcome is known. It returns the records that were not withdrawn
-// meanwhile, and errNotWritten only if every try was surely without effect.
+// persist appends until the outcome is known. It returns the records that were
+// not withdrawn meanwhile, and errNotWritten only if each try certainly had no
+// effect.
 func (w *writer) persist(ctx context.Context, batch []*pending) ([]*pending, error) {
 	var b backoff
 	unknown := false
@@ -132,13 +137,13 @@
 		began, ended := time.Now(), w.health.begin()
 		_, err := w.store.Append(ctx, platform.TopicJobs, recordsOf(batch), w.id)
 		ended(err)
-		w.learn(began, err)
+		w.noteDuration(began, err)
 		w.metrics.storeCall("append", began, err)
 		switch {
 		case err == nil:
 			return batch, nil
 		case errors.Is(err, platform.ErrNotDone) && !unknown:
-			if tries >= refusedTries || w.health.refusing() {
+			if tries >= maxRefusedTries || w.health.refusing() {
 				w.renumber()
 				w.log.Warn("write-refused", zap.Int("records", len(batch)), zap.Error(err))
 				return batch, errNotWritten
@@ -159,32 +164,34 @@
 	return batch, ctx.Err()
 }
 
-// renumber goes on under a new epoch: whatever the store has counted, the numbers begin anew, and
-// it refuses for good what was sent before and may still be on its way.
+// renumber continues under a new epoch. Sequence numbers start again whatever
+// the store has counted, and the store from then on refuses earlier appends
+// that may still be in flight.
 func (w *writer) renumber() { w.id.Epoch, w.id.Seq = w.id.Epoch+1, 0 }
 
-// pauseRefused pauses after a try that the store has surely refused, and returns the records that
-// were not withdrawn meanwhile: a call whose time ends then is refused, not unknown.
+// pauseRefused pauses after a try that the store has certainly refused, and
+// returns the records that were not withdrawn meanwhile. A call whose time ends
+// during the pause is refused instead of reported as unknown.
 func (w *writer) pauseRefused(ctx context.Context, batch []*pending) []*pending {
-	var patient, rest []*pending
+	var waiting, remaining []*pending
 	for _, p := range batch {
 		if p.hurried.Load() {
 			p.done <- errNotWritten
 			continue
 		}
 		p.state.Store(writeQueued)
-		patient = append(patient, p)
+		waiting = append(waiting, p)
 	}
-	if len(patient) == 0 {
+	if len(waiting) == 0 {
 		return nil
 	}
 	pause(ctx, refusedPause)
-	for _, p := range patient {
+	for _, p := range waiting {
 		if p.state.CompareAndSwap(writeQueued, writeSent) {
-			rest = append(rest, p)
+			remaining = append(remaining, p)
 		}
 	}
-	return rest
+	return remaining
 }
 
 // recordsOf returns the records of a batch.
