--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -23,7 +23,8 @@
 	"curlewsill.org/curlewsill/platform/standin"
 )
 
-// The size of the benchmark of the whole path: what a busy site of 350 workers asks for.
+// The size of the benchmark of the whole path: the load of a busy site of 350
+// workers.
 const (
 	benchWorkers    = 350
 	benchJobTasks   = 14
@@ -31,11 +32,12 @@
 	benchTaskLength = 2 * time.Second
 )
 
-// BenchmarkPath runs one host as the owner of many workers, each iteration a second of jobs. The
-// processor time of the whole process is that of the host and of the stand-ins together; a
-// profile (-cpuprofile) tells them apart by their packages. It counts the connections to workers that
-// were opened since the start. 8.2 MB and 74,463 allocations a second when each waiting step walked over
-// all workers, 6.9 MB and 66,290 since.
+// BenchmarkPath runs one host as the owner of many workers; each iteration
+// submits one second of jobs. The processor time of the process includes the
+// host and the stand-ins; a profile (-cpuprofile) separates them by package.
+// The benchmark counts the connections opened to workers since the start. When
+// each waiting step iterated over all workers, a second took 8.2 MB and 74,463
+// allocations; now it takes 6.9 MB and 66,290.
 func BenchmarkPath(b *testing.B) {
 	store := standin.NewStore()
 	address, stop, err := standin.Listen(store)
@@ -83,8 +85,9 @@
 	b.ReportMetric(float64(opened.Load()), "connections")
 }
 
-// listenCounting serves a worker until the benchmark's end and returns its address. It counts the
-// connections that are opened to it, which are priced.
+// listenCounting serves a worker until the benchmark's end and returns its
+// address. It counts the connections opened to the worker, because the platform
+// charges for them.
 func listenCounting(b *testing.B, h http.Handler, opened *atomic.Int64) string {
 	s := httptest.NewUnstartedServer(h)
 	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -100,7 +103,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// submitBench hands a job in until it is taken.
+// submitBench submits a job repeatedly until it is accepted.
 func submitBench(b *testing.B, h *entry.Host, n int) {
 	for {
 		req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s%s%016x", h.Callers(), standin.SitePrefix, n),
--- a/internal/entry/checks_test.go
+++ b/internal/entry/checks_test.go
@@ -14,7 +14,8 @@
 	"curlewsill.org/curlewsill/platform/standin"
 )
 
-// ask carries out a command that looks at the site as a client does, or checks something.
+// ask executes a command that queries the site as a client does, or checks
+// something.
 func (s *site) ask(f []string) {
 	host := 0
 	if f[0] != "starts" {
@@ -23,52 +24,52 @@
 	switch f[0] {
 	case "submit":
 		s.bodies[f[2]] = string(standin.JobBody(s.number(f[3]), f[4]))
-		s.want(f[5], s.until(f[5], host, http.MethodPost, f[2]))
+		s.wantStatus(f[5], s.callUntil(f[5], host, http.MethodPost, f[2]))
 	case "again":
-		s.want(f[3], s.until(f[3], host, http.MethodPost, f[2]))
+		s.wantStatus(f[3], s.callUntil(f[3], host, http.MethodPost, f[2]))
 	case "cancel":
-		s.want(f[3], s.until(f[3], host, http.MethodDelete, f[2]))
+		s.wantStatus(f[3], s.callUntil(f[3], host, http.MethodDelete, f[2]))
 	case "state":
 		status, state := s.call(host, http.MethodGet, f[2])
-		s.want(f[3], status)
+		s.wantStatus(f[3], status)
 		if len(f) > 4 && state != f[4] {
 			s.failf("job %s is %s", f[2], state)
 		}
 	case "await":
 		s.await(host, f[2], f[3])
 	case "awaitstatus":
-		s.want(f[3], s.until(f[3], host, http.MethodGet, f[2]))
+		s.wantStatus(f[3], s.callUntil(f[3], host, http.MethodGet, f[2]))
 	case "pending":
-		s.pending(host, f[2])
+		s.awaitPending(host, f[2])
 	case "starts":
-		s.starts(f[1], s.number(f[2]))
+		s.checkStarts(f[1], s.number(f[2]))
 	case "metric":
-		s.metric(host, f[2])
+		s.checkMetric(host, f[2])
 	case "awaitmetric":
-		s.eventually(func() (bool, string) { return s.counted(host, f[2]), f[2] + " stays 0" })
+		s.eventually(func() (bool, string) { return s.nonZero(host, f[2]), f[2] + " is not served or stays 0" })
 	default:
 		s.t.Fatalf("line %d: unknown command %s", s.line, f[0])
 	}
 }
 
-// want checks the status of an answer.
-func (s *site) want(status string, got int) {
+// wantStatus checks the status of an answer.
+func (s *site) wantStatus(status string, got int) {
 	s.t.Helper()
 	if strconv.Itoa(got) != status {
 		s.failf("status %d, want %s", got, status)
 	}
 }
 
-// eventually looks again and again until it sees what is wanted. At the deadline it fails with
-// what was seen last.
-func (s *site) eventually(look func() (wanted bool, seen string)) {
+// eventually repeats a check until it passes. At the deadline the test fails
+// with the last result.
+func (s *site) eventually(check func() (ok bool, result string)) {
 	for end := time.Now().Add(deadline); ; time.Sleep(20 * time.Millisecond) {
-		wanted, seen := look()
-		if wanted {
+		ok, result := check()
+		if ok {
 			return
 		}
 		if time.Now().After(end) {
-			s.failf("%s", seen)
+			s.failf("%s", result)
 			return
 		}
 	}
@@ -82,8 +83,9 @@
 	})
 }
 
-// until repeats a call that is refused until it has the status, as clients do.
-func (s *site) until(status string, host int, method, job string) int {
+// callUntil repeats a call that is refused until it has the wanted status, as
+// clients do. It returns the last status.
+func (s *site) callUntil(status string, host int, method, job string) int {
 	for end := time.Now().Add(deadline); ; time.Sleep(50 * time.Millisecond) {
 		got, _ := s.call(host, method, job)
 		refused := got == 0 || got >= http.StatusInternalServerError
@@ -93,8 +95,9 @@
 	}
 }
 
-// call makes a client's call on a job, or on the queue if the job is empty. It returns the
-// status, 0 if there was no answer, and the job's state or how many are pending.
+// call makes a client's call about a job, or about the queue if the job is
+// empty. It returns the status, or 0 without an answer, and the job's state or
+// the number of pending jobs.
 func (s *site) call(host int, method, job string) (int, string) {
 	var body io.Reader
 	if method == http.MethodPost {
@@ -126,16 +129,17 @@
 	return resp.StatusCode, out.State
 }
 
-// pending waits until so many jobs wait in the queue.
-func (s *site) pending(host int, want string) {
+// awaitPending waits until the number of pending jobs in the queue is as
+// wanted.
+func (s *site) awaitPending(host int, want string) {
 	s.eventually(func() (bool, string) {
 		_, got := s.call(host, http.MethodGet, "")
-		return got == want, fmt.Sprintf("pending %s, want %s", got, want)
+		return got == want, fmt.Sprintf("%s jobs are pending, want %s", got, want)
 	})
 }
 
-// starts checks how many runs of a job all workers together have started.
-func (s *site) starts(job string, want int) {
+// checkStarts checks how many runs of a job all workers together have started.
+func (s *site) checkStarts(job string, want int) {
 	got := 0
 	for n := range s.workers {
 		w := s.worker(n)
@@ -150,8 +154,8 @@
 	}
 }
 
-// began checks how many runs a worker has started.
-func (s *site) began(worker, least, most int) {
+// checkStartsOn checks how many runs a worker has started.
+func (s *site) checkStartsOn(worker, least, most int) {
 	got := 0
 	for _, n := range s.worker(worker).Starts() {
 		got += n
@@ -161,15 +165,15 @@
 	}
 }
 
-// metric checks that a counter is served and isn't zero.
-func (s *site) metric(host int, name string) {
-	if !s.counted(host, name) {
-		s.failf("%s is not served", name)
+// checkMetric checks that a counter is served and isn't zero.
+func (s *site) checkMetric(host int, name string) {
+	if !s.nonZero(host, name) {
+		s.failf("%s is not served or is 0", name)
 	}
 }
 
-// counted reports whether a counter is served and isn't zero.
-func (s *site) counted(host int, name string) bool {
+// nonZero reports whether a counter is served and isn't zero.
+func (s *site) nonZero(host int, name string) bool {
 	resp, err := http.Get("http://" + s.hosts[host].Metrics() + "/metrics")
 	if err != nil {
 		s.t.Fatal(err)
@@ -184,16 +188,16 @@
 	return false
 }
 
-// maintained waits until a wave is told to be completed.
-func (s *site) maintained(wave string) {
+// awaitWave waits until the status of a wave of maintenance is completed.
+func (s *site) awaitWave(wave string) {
 	s.eventually(func() (bool, string) {
 		status := string(s.store.Get("keyed.status", "wave/"+wave))
-		return strings.Contains(status, "completed"), fmt.Sprintf("wave %s is %s; machines %v went down", wave, status, s.taken.Begun())
+		return strings.Contains(status, "completed"), fmt.Sprintf("wave %s has status %s; machines %v went down", wave, status, s.machineService.Begun())
 	})
 }
 
-// submitAll submits so many jobs at once, each at the next host, again and again until it is taken.
-// Their names count up from the first.
+// submitAll submits jobs concurrently, spread over all hosts, and repeats each
+// until it is accepted. The jobs' names count up from the first.
 func (s *site) submitAll(f []string) {
 	first, err := strconv.ParseUint(f[1], 16, 64)
 	if err != nil {
@@ -216,10 +220,10 @@
 	all.Wait()
 }
 
-// gathered reports whether some host has appended records for others.
-func (s *site) gathered() bool {
+// anyGathered reports whether any host has appended records for others.
+func (s *site) anyGathered() bool {
 	for n := range s.hosts {
-		if s.counted(n, "curlewsill_gathered_records_total") {
+		if s.nonZero(n, "curlewsill_gathered_records_total") {
 			return true
 		}
 	}
--- a/internal/entry/clients_internal_test.go
+++ b/internal/entry/clients_internal_test.go
@@ -16,8 +16,8 @@
 	"curlewsill.org/curlewsill/internal/relay"
 )
 
-// behaviors are what silent clients send before they go silent. All but idle, whole and unread leave
-// out the end.
+// behaviors are what silent clients send before they stop sending. All but
+// idle, whole and unread send an incomplete request.
 var behaviors = map[string]string{
 	"nothing":                 "",
 	"half-header":             "GET /q/ HTTP/1.1\r\nHost: jo",
@@ -28,10 +28,11 @@
 	"whole":                   "GET /q/ HTTP/1.1\r\nHost: jobs.example\r\n\r\n",
 }
 
-// enough is longer than any bound.
-const enough = 10 * time.Minute
+// observationTime is longer than any time limit of the servers.
+const observationTime = 10 * time.Minute
 
-// TestSilentClients plays clients that go silent at each listener.
+// TestSilentClients checks after what time each listener closes the connection
+// of a client that stops sending or receiving.
 func TestSilentClients(t *testing.T) {
 	scripttest.EachLine(t, "silent/clients.txt", func(f []string) {
 		t.Run(f[0]+" "+f[1], func(t *testing.T) {
@@ -44,24 +45,25 @@
 	})
 }
 
-// playClient returns after which time the host has let go of a client's connection, or good if the
-// client gets an answer and the connection is still open then.
+// playClient returns after what time the host has closed a client's connection.
+// It returns good if the client gets an answer and the connection is still open
+// then.
 func playClient(t *testing.T, listener, behavior string) string {
 	h := &Host{log: zap.NewNop(), metrics: newMetrics()}
 	h.links = relay.NewLinks((&net.Dialer{}).DialContext, zap.NewNop())
 	h.path = relay.New("http://store", relay.RouteStore, http.DefaultClient, h.links, zap.NewNop())
 	h.advicePath, h.recordsPath = h.path, h.path
-	near, far := net.Pipe()
+	clientEnd, serverEnd := net.Pipe()
 	ended := make(chan struct{})
-	lis := &oneConn{conn: &seenConn{Conn: far, ended: ended}, closed: make(chan struct{})}
+	lis := &oneConn{conn: &closeSignalConn{Conn: serverEnd, ended: ended}, closed: make(chan struct{})}
 	s := h.newServers()[slices.Index([]string{"front", "readiness", "metrics", "peers"}, listener)]
 	go func() { _ = s.Serve(lis) }()
-	defer func() { _, _, _ = s.Close(), near.Close(), lis.Close() }()
+	defer func() { _, _, _ = s.Close(), clientEnd.Close(), lis.Close() }()
 	began := time.Now()
-	if _, err := io.WriteString(near, behaviors[behavior]); err != nil {
+	if _, err := io.WriteString(clientEnd, behaviors[behavior]); err != nil {
 		t.Fatal(err)
 	}
-	reader := bufio.NewReader(near)
+	reader := bufio.NewReader(clientEnd)
 	switch behavior {
 	case "idle", "whole":
 		resp, err := http.ReadResponse(reader, nil)
@@ -79,7 +81,7 @@
 	select {
 	case <-ended:
 		return time.Since(began).Round(time.Second).String()
-	case <-time.After(enough):
+	case <-time.After(observationTime):
 		return "never"
 	}
 }
@@ -113,14 +115,14 @@
 // Addr implements net.Listener.
 func (*oneConn) Addr() net.Addr { return &net.TCPAddr{} }
 
-// seenConn closes ended when it is closed.
-type seenConn struct {
+// closeSignalConn is a connection that closes ended when it is closed.
+type closeSignalConn struct {
 	net.Conn
 	ended chan struct{}
 }
 
 // Close implements net.Conn.
-func (c *seenConn) Close() error {
+func (c *closeSignalConn) Close() error {
 	select {
 	case <-c.ended:
 	default:
--- a/internal/entry/flush_internal_test.go
+++ b/internal/entry/flush_internal_test.go
@@ -20,7 +20,8 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// twoLogs answers the appends to each log by a word: ok, busy once and then ok, fenced, or silent.
+// twoLogs is a store that answers the appends to each log as the log's word
+// says: ok, busy (refused once, then ok), fenced, or silent.
 type twoLogs struct {
 	mu    sync.Mutex
 	words map[platform.Topic]string
@@ -48,8 +49,10 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body)), Header: http.Header{}, Request: req}, nil
 }
 
-// TestFlushToTwoLogs places a task and lets the two logs answer by testdata/flush/logs.txt. Its order leaves once both have the records, and an owner
-// that either log has fenced has ended.
+// TestFlushToTwoLogs places a task while the progress log and the job log
+// answer as testdata/flush/logs.txt says. The start order must be sent only
+// once both logs have the records, and the ownership must end if either log has
+// fenced the owner.
 func TestFlushToTwoLogs(t *testing.T) {
 	scripttest.EachLine(t, "flush/logs.txt", func(f []string) {
 		t.Run(f[0]+"-"+f[1], func(t *testing.T) {
@@ -58,7 +61,8 @@
 	})
 }
 
-// playFlush plays one line: the answers of the two logs, and what is wanted.
+// playFlush plays one line: the answers of the two logs, and the expected state
+// of the owner and of its start order.
 func playFlush(t *testing.T, f []string) {
 	ctx, cancel := context.WithCancel(t.Context())
 	workers := &hangingWorkers{under: map[string]int{}}
@@ -88,7 +92,7 @@
 		order = "started"
 	}
 	if owner != f[2] || order != f[3] {
-		t.Errorf("the owner %s, its order is %s; want %s, %s", owner, order, f[2], f[3])
+		t.Errorf("owner %s, start order %s; want %s, %s", owner, order, f[2], f[3])
 	}
 	cancel()
 	o.cancel()
--- a/internal/entry/foreign_internal_test.go
+++ b/internal/entry/foreign_internal_test.go
@@ -13,11 +13,13 @@
 	"curlewsill.org/curlewsill/core/policy"
 )
 
-// TestForeignEntry takes in entries of the list of workers that another program has written.
+// TestForeignEntry applies entries of the list of workers that another program
+// has written.
 //
-// An entry that was good and was overwritten by one that can't be read left its worker in use, and each of its repetitions logged a line again: the
-// owner left such an entry out, as if it hadn't come. Of 14 kinds of such entries 8 were taken for workers, with no address or
-// no room.
+// It guards against two faults. The owner ignored an unreadable entry that
+// replaced a valid one, so the worker stayed in use and each repetition of the
+// entry was logged again. And 8 of 14 kinds of such entries were accepted as
+// workers without an address or without capacity.
 func TestForeignEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOwnerOf(t, &hangingWorkers{under: map[string]int{}})
@@ -29,7 +31,8 @@
 		steps := []struct {
 			key   string
 			value []byte
-			// listed is whether worker w-1 is on the list afterwards, logged how many lines tell of entries that were left out.
+			// listed is whether worker w-1 is on the list afterwards. logged is
+			// the number of log lines about rejected entries so far.
 			listed bool
 			logged int
 		}{
@@ -46,7 +49,7 @@
 		for i, x := range steps {
 			o.list(o.host.now(), []jobtable.Record{{Key: x.key, Value: x.value}})
 			if _, listed := o.listed["w-1"]; listed != x.listed || lines.FilterMessage("listing-rejected").Len() != x.logged {
-				t.Errorf("step %d: listed %v, %d lines", i, o.listed["w-1"], lines.FilterMessage("listing-rejected").Len())
+				t.Errorf("step %d: listed %v, %d log lines about rejected entries", i, o.listed["w-1"], lines.FilterMessage("listing-rejected").Len())
 			}
 		}
 		unlisted := 0
@@ -56,7 +59,7 @@
 			}
 		}
 		if unlisted != 2 {
-			t.Errorf("the decisions heard %d times that the list has dropped the worker, want 2", unlisted)
+			t.Errorf("%d worker-unlisted events, want 2", unlisted)
 		}
 	})
 }
--- a/internal/entry/hostlogs_test.go
+++ b/internal/entry/hostlogs_test.go
@@ -11,7 +11,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// hostLogs keeps what the hosts of a script log, and writes it to a file if the script fails.
+// hostLogs collects the log lines of a script's hosts, and writes them to a
+// file if the script fails.
 type hostLogs struct {
 	log *zap.Logger
 
@@ -19,7 +20,8 @@
 	lines bytes.Buffer
 }
 
-// newHostLogs returns logs that are written as the test ends.
+// newHostLogs returns logs that are written to a file if the test has failed at
+// its end.
 func newHostLogs(t *testing.T) *hostLogs {
 	l := &hostLogs{}
 	c := zap.NewProductionEncoderConfig()
@@ -40,7 +42,7 @@
 	return l.lines.Write(line)
 }
 
-// save writes all lines to a new file and tells where it is.
+// save writes all lines to a new file and reports its path.
 func (l *hostLogs) save(t *testing.T) {
 	f, err := os.CreateTemp("", path.Base(t.Name())+"-*.log")
 	if err != nil {
--- a/internal/entry/operator_internal_test.go
+++ b/internal/entry/operator_internal_test.go
@@ -11,8 +11,10 @@
 	"curlewsill.org/curlewsill/internal/settings"
 )
 
-// TestWaitOfOperator looks how long a read of what the operator writes waits, by testdata/waits/operator.txt. A line has the bound of a configuration,
-// that of an evacuation, 0 for none, whether the host is the owner, and the wait.
+// TestWaitOfOperator checks how long a read of the operator's log waits, by
+// testdata/waits/operator.txt. A line has the bound of a configuration, the
+// bound of an evacuation (0 for none), whether the host is the owner, and the
+// wait.
 func TestWaitOfOperator(t *testing.T) {
 	scripttest.EachLine(t, "waits/operator.txt", func(f []string) {
 		times := make([]time.Duration, 0, 3)
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -12,51 +12,61 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// deadline is when a script that makes no progress is given up. No script asserts how
-// long something takes.
+// deadline is the time after which a script that makes no progress is aborted.
+// No script asserts how long something takes.
 const deadline = 40 * time.Second
 
-// TestPath plays scripts over the whole path: entry hosts with their listeners, and
-// stand-ins of the store and the workers behind the same adapter as on the platform.
+// TestPath plays scripts over the whole path: entry hosts with their listeners,
+// and stand-ins of the store and of the workers, which the hosts reach through
+// the same adapter as on the platform.
 //
-//	hosts N | weak N | workers N     starts so many; a weak host has a tenth of a core
-//	domain D                         workers that start later are in this failure domain
-//	evacuate D | open D              the operator evacuates a failure domain, or takes that back
-//	operator KEY VALUE               the operator's log gets such a record
-//	began N LEAST MOST               worker N has started so many runs
-//	wave N MOST MACHINE...           the operator asks for maintenance; machines are m-0 and so on
-//	maintained N                     waits until wave N is told to be completed
-//	advice WORKER...                 from now on, starts need permits, which these don't get
+//	hosts N | weak N | workers N     starts N of them; a weak host has a tenth of a core
+//	domain D                         later workers are in this failure domain
+//	evacuate D | open D              the operator evacuates or reopens a failure domain
+//	operator KEY VALUE               appends a record to the operator's log
+//	began N LEAST MOST               worker N has started LEAST to MOST runs
+//	wave N MOST MACHINE...           the operator orders wave N of maintenance, with at
+//	                                 most MOST machines at once; these are m-0, m-1, ...
+//	maintained N                     waits until the status of wave N is completed
+//	advice WORKER...                 from now on, starts need permits, which these workers
+//	                                 don't get
 //	submit HOST JOB TASKS PAYLOAD STATUS [key=K] [attempts...]
 //	again HOST JOB STATUS            submits the same job once more
 //	cancel HOST JOB STATUS
 //	state HOST JOB STATUS [STATE]
-//	await HOST JOB STATE             asks until the job is in the state
-//	awaitstatus HOST JOB STATUS      asks until the answer has the status
+//	await HOST JOB STATE             repeats until the job is in the state
+//	awaitstatus HOST JOB STATUS      repeats until the answer has the status
 //	pending HOST N
 //	store FAULT | worker N FAULT     none, busy, lost, slow or silent
-//	tellstart START                  workers that start later tell when their lives began, in ms since 1970
-//	beginagain N START               worker N begins again under its id, and its entry tells so
-//	entry N START                    its entry tells another start than it does itself, as one that lands late
-//	proxied                          proxies stand before the store and all workers that start later
-//	links                            hosts reach each other through proxies; before any host
-//	silence WHAT DIRECTION           open connections to the store, workers or all of these, or the links
-//	                                 between hosts, carry nothing more: to-target, from-target or both;
-//	                                 new ones work
-//	rest DURATION                    lets time pass
+//	tellstart START                  later workers report this start of their incarnation,
+//	                                 in ms since 1970
+//	beginagain N START               worker N restarts under its id with this start, which
+//	                                 its entry shows
+//	entry N START                    its entry shows another start than the worker reports,
+//	                                 like an entry that is written late
+//	proxied                          the store and later workers are reached through proxies
+//	links                            hosts reach each other through proxies; must come
+//	                                 before any host starts
+//	silence WHAT DIRECTION           open connections to WHAT (store, workers, all for both
+//	                                 of these, or links for those between hosts) carry no
+//	                                 more data to-target, from-target or both ways; new
+//	                                 connections work
+//	rest DURATION                    waits
 //	forget                           the store drops its history
-//	keepmembers                      the store's group shows dead hosts for ever
+//	keepmembers                      the store's group lists dead hosts forever
 //	kill HOST | start HOST
 //	stop HOST | gone HOST            a planned stop begins | has ended
-//	config VERSION KEY               the operator writes a configuration with another key
-//	key KEY                          clients show this key from now on
-//	submitall JOB N TASKS PAYLOAD    submits N jobs at all hosts in turn, at once, until each is taken
-//	starts JOB N                     all workers together have started N runs of it
-//	metric HOST NAME                 the counter is served and not zero
-//	awaitmetric HOST NAME            waits until it is
-//	unknown N                        so many calls ended unknown since links were silenced
-//	half HOST JOB | letgo STATUS     a client goes silent while it submits | its host answers and
-//	                                 closes the connection
+//	config VERSION KEY               the operator writes a configuration with this API key
+//	key KEY                          clients send this API key from now on
+//	submitall JOB N TASKS PAYLOAD    submits N jobs concurrently, spread over all hosts,
+//	                                 until each is accepted
+//	starts JOB N                     all workers together have started N runs of the job
+//	metric HOST NAME                 the counter is served and isn't zero
+//	awaitmetric HOST NAME            waits until the counter is served and isn't zero
+//	unknown N                        N calls ended with an unknown outcome since the links
+//	                                 were silenced
+//	half HOST JOB | letgo STATUS     a client stops sending in the middle of a job | its
+//	                                 host answers with the status and closes the connection
 //	gathered                         some host has appended records for others
 func TestPath(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
@@ -65,7 +75,7 @@
 	})
 }
 
-// run plays a script until something fails.
+// run plays a script until a command fails.
 func (s *site) run(text string) {
 	for i, l := range strings.Split(text, "\n") {
 		f := strings.Fields(l)
@@ -81,7 +91,7 @@
 	}
 }
 
-// failf fails the test at the script's line.
+// failf fails the test at the current line of the script.
 func (s *site) failf(format string, args ...any) {
 	s.t.Helper()
 	s.t.Errorf("line %d: %s", s.line, fmt.Sprintf(format, args...))
@@ -95,7 +105,7 @@
 	return n
 }
 
-// do carries out one command.
+// do executes one command.
 func (s *site) do(f []string) {
 	switch f[0] {
 	case "hosts", "weak":
@@ -117,12 +127,12 @@
 	case "operator":
 		s.store.Put("keyed.op", f[1], []byte(f[2]))
 	case "began":
-		s.began(s.number(f[1]), s.number(f[2]), s.number(f[3]))
+		s.checkStartsOn(s.number(f[1]), s.number(f[2]), s.number(f[3]))
 	case "wave":
 		body := fmt.Sprintf(`{"wave":%s,"Machines":["%s"],"FinishByS":8,"UpperLimit":%s}`, f[1], strings.Join(f[3:], `","`), f[2])
 		s.store.Put("keyed.op", "wave/"+f[1], []byte(body))
 	case "maintained":
-		s.maintained(f[1])
+		s.awaitWave(f[1])
 	case "kill":
 		s.stops[s.number(f[1])]()
 	case "stop":
@@ -145,17 +155,17 @@
 	case "store":
 		s.store.SetFault(fault(f[1]))
 	case "gathered":
-		if !s.gathered() {
+		if !s.anyGathered() {
 			s.failf("no host has appended records for others")
 		}
 	case "submitall":
 		s.submitAll(f)
 	case "proxied", "links", "silence", "rest", "unknown", "half", "letgo":
-		s.doSilent(f)
+		s.doNetwork(f)
 	case "worker":
 		s.worker(s.number(f[1])).SetFault(fault(f[2]))
 	case "tellstart":
-		s.tells = int64(s.number(f[1]))
+		s.workerStart = int64(s.number(f[1]))
 	case "beginagain":
 		s.worker(s.number(f[1])).BeginAgain(int64(s.number(f[2])))
 		s.putEntry(s.number(f[1]), int64(s.number(f[2])))
--- a/internal/entry/progress_internal_test.go
+++ b/internal/entry/progress_internal_test.go
@@ -17,13 +17,14 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// emptyStore answers that each topic has no records, and counts the calls about the progress log.
+// emptyStore is a store whose topics have no records. It counts the calls about
+// the progress log.
 type emptyStore struct {
 	mu    sync.Mutex
 	calls int
 }
 
-// RoundTrip implements http.RoundTripper. A read waits as long as it may.
+// RoundTrip implements http.RoundTripper. A read waits for as long as it may.
 func (s *emptyStore) RoundTrip(req *http.Request) (*http.Response, error) {
 	q := req.URL.Query()
 	if q.Get("topic") == string(platform.TopicProgress) {
@@ -42,8 +43,8 @@
 	return (&storeScript{answers: []string{body}}).RoundTrip(req)
 }
 
-// since returns the calls since it was last asked.
-func (s *emptyStore) since() int {
+// takeCalls returns the number of calls since it was last called.
+func (s *emptyStore) takeCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.calls
@@ -51,11 +52,15 @@
 	return n
 }
 
-// TestWhoReadsProgress counts the calls of a host to the progress log while it is far from claiming, while it is among the first to claim, and
-// while it is the owner.
+// TestWhoReadsProgress checks that a host reads the progress log only while it
+// is among the first to claim: neither while it is far from claiming, nor while
+// it is the owner.
 //
-// All 147 hosts of a site read what the owner wrote, 1.4 MB a second as work began, from a store that gives 80 MB a second to all of them. Reads
-// came 2 s late and then not at all, each was begun anew, and the configuration wasn't read any more either: no call was answered for the whole day.
+// It guards against an overload of the store: all 147 hosts of a site read what
+// the owner wrote, 1.4 MB/s when work began, from a store that delivers 80 MB/s
+// in total. Reads were answered 2 s late and then not at all, each was retried
+// from the start, and the configuration wasn't read any more either: no call of
+// a client was answered for a whole day.
 func TestWhoReadsProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -73,16 +78,16 @@
 		}{{false, false, false}, {true, false, true}, {true, true, false}, {true, false, true}, {false, false, false}} {
 			h.standby.Store(c.standby)
 			h.metrics.owning.Store(c.owning)
-			time.Sleep(2 * jobsWait) // what was under way ends
-			store.since()
+			time.Sleep(2 * jobsWait) // calls in flight end
+			store.takeCalls()
 			time.Sleep(10 * time.Second)
 			synctest.Wait()
-			if got := store.since() > 0; got != c.follows {
-				t.Errorf("standby %t, owner %t: the host follows it: %t", c.standby, c.owning, got)
+			if got := store.takeCalls() > 0; got != c.follows {
+				t.Errorf("standby %t, owner %t: host follows the progress log: %t", c.standby, c.owning, got)
 			}
-			known, _ := ask(ctx, h, func(unit.Instant) bool { return h.progress.complete })
-			if known != c.follows {
-				t.Errorf("standby %t, owner %t: the host keeps it: %t", c.standby, c.owning, known)
+			holds, _ := ask(ctx, h, func(unit.Instant) bool { return h.progress.complete })
+			if holds != c.follows {
+				t.Errorf("standby %t, owner %t: host holds the progress log: %t", c.standby, c.owning, holds)
 			}
 		}
 		cancel()
--- a/internal/entry/silence_test.go
+++ b/internal/entry/silence_test.go
@@ -15,24 +15,25 @@
 	"curlewsill.org/curlewsill/internal/faultproxy"
 )
 
-// between stands before the store and makes hosts reach each other through proxies: it puts these
-// into the store's answers in place of where the hosts listen.
-type between struct {
+// storeProxy stands before the store. It makes hosts reach each other through
+// proxies: it replaces the hosts' addresses in the store's answers by those of
+// the proxies.
+type storeProxy struct {
 	t     *testing.T
 	store http.Handler
 
 	mu sync.Mutex
-	// on is set once a script wants proxies.
+	// on is set once a script has asked for links through proxies.
 	on bool
-	// proxies leads from where a host listens to the proxy before it.
+	// proxies holds the proxy before each host, by the host's address.
 	proxies map[string]*faultproxy.Proxy
 }
 
-// listening finds where a host listens in its name as a member of the group.
-var listening = regexp.MustCompile(`@127\.0\.0\.1:\d+@`)
+// peerAddress matches the address for peers in a host's name in the group.
+var peerAddress = regexp.MustCompile(`@127\.0\.0\.1:\d+@`)
 
 // ServeHTTP implements http.Handler.
-func (b *between) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b.mu.Lock()
 	on := b.on
 	b.mu.Unlock()
@@ -42,7 +43,7 @@
 	}
 	rec := httptest.NewRecorder()
 	b.store.ServeHTTP(rec, r)
-	body := listening.ReplaceAllFunc(rec.Body.Bytes(), func(at []byte) []byte {
+	body := peerAddress.ReplaceAllFunc(rec.Body.Bytes(), func(at []byte) []byte {
 		return []byte("@" + b.proxy(string(at[1:len(at)-1])) + "@")
 	})
 	for k, v := range rec.Header() {
@@ -53,8 +54,8 @@
 	_, _ = w.Write(body)
 }
 
-// proxy returns where the proxy before a host listens.
-func (b *between) proxy(target string) string {
+// proxy returns the address of the proxy before a host.
+func (b *storeProxy) proxy(target string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.proxies[target]
@@ -70,46 +71,49 @@
 	return p.Addr()
 }
 
-// doSilent carries out a command about connections that go silent.
-func (s *site) doSilent(f []string) {
+// doNetwork executes a command about proxies, silent connections or time.
+func (s *site) doNetwork(f []string) {
 	switch f[0] {
 	case "proxied":
 		s.proxied()
 	case "rest":
 		s.rest(f[1])
 	case "links":
-		s.between.mu.Lock()
-		s.between.on = true
-		s.between.mu.Unlock()
+		s.storeProxy.mu.Lock()
+		s.storeProxy.on = true
+		s.storeProxy.mu.Unlock()
 	case "silence":
 		if f[1] == "links" {
-			s.silenceLinks(silences[f[2]])
+			s.silenceLinks(silenceDirections[f[2]])
 			return
 		}
-		s.silence(f[1], silences[f[2]])
+		s.silence(f[1], silenceDirections[f[2]])
 	case "unknown":
 		if got := int(s.unknown.Load()); got != s.number(f[1]) {
-			s.failf("%d calls ended unknown", got)
+			s.failf("%d calls ended with an unknown outcome", got)
 		}
 	case "half":
-		s.halfCall(s.number(f[1]), f[2])
+		s.sendHalfCall(s.number(f[1]), f[2])
 	case "letgo":
-		s.letGo(f[1])
+		s.awaitHalfCallClosed(f[1])
 	}
 }
 
-// proxiedLease is the longest lease behind proxies, as on the users' platform.
+// proxiedLease is the longest lease of a worker behind a proxy, as on the
+// users' platform.
 const proxiedLease = 6 * time.Second
 
-// proxied puts a proxy before the store, and from now on before workers.
+// proxied puts a proxy before the store, and before each worker that starts
+// later.
 func (s *site) proxied() {
 	s.lease = proxiedLease
 	s.proxies = map[string][]*faultproxy.Proxy{}
-	s.address = s.through("store", s.address)
+	s.address = s.proxyFor("store", s.address)
 }
 
-// through returns the address of a proxy before an address, or that itself if there are no proxies.
-func (s *site) through(kind, address string) string {
+// proxyFor returns the address of a new proxy before address, or address itself
+// if the script uses no proxies.
+func (s *site) proxyFor(kind, address string) string {
 	if s.proxies == nil {
 		return address
 	}
@@ -125,12 +129,14 @@
 	return p.Addr()
 }
 
-// silences are the directions that connections can go silent in.
-var silences = map[string]faultproxy.Direction{
+// silenceDirections are the directions in which a connection can go silent, by
+// their names in scripts.
+var silenceDirections = map[string]faultproxy.Direction{
 	"to-target": faultproxy.ToTarget, "from-target": faultproxy.FromTarget, "both": faultproxy.Both,
 }
 
-// silence makes the open connections to the store, the workers or all silent.
+// silence makes the open connections to the store, to the workers or to all of
+// them silent.
 func (s *site) silence(kind string, d faultproxy.Direction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,9 +149,10 @@
 	}
 }
 
-// silenceLinks makes all open links between hosts silent. It fails if there is none.
+// silenceLinks makes all open links between hosts silent. It fails if none is
+// open.
 func (s *site) silenceLinks(d faultproxy.Direction) {
-	b := s.between
+	b := s.storeProxy
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	open := 0
@@ -159,7 +166,7 @@
 	s.unknown.Store(0)
 }
 
-// rest lets time pass.
+// rest waits for a duration.
 func (s *site) rest(text string) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -168,8 +175,8 @@
 	time.Sleep(d)
 }
 
-// halfCall makes a client go silent in the middle of a call's body.
-func (s *site) halfCall(host int, job string) {
+// sendHalfCall sends a call to a host, but stops in the middle of the body.
+func (s *site) sendHalfCall(host int, job string) {
 	c, err := net.Dial("tcp", s.hosts[host].Callers())
 	if err != nil {
 		s.t.Fatal(err)
@@ -180,24 +187,25 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.half = c
+	s.halfConn = c
 }
 
-// letGo waits until the host has answered the half call and closed its connection.
-func (s *site) letGo(status string) {
-	if err := s.half.SetReadDeadline(time.Now().Add(deadline)); err != nil {
+// awaitHalfCallClosed waits until the host has answered the half call and
+// closed its connection.
+func (s *site) awaitHalfCallClosed(status string) {
+	if err := s.halfConn.SetReadDeadline(time.Now().Add(deadline)); err != nil {
 		s.t.Fatal(err)
 	}
-	r := bufio.NewReader(s.half)
+	r := bufio.NewReader(s.halfConn)
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
-		s.failf("no answer: %v", err)
+		s.failf("the half call got no answer: %v", err)
 		return
 	}
-	s.want(status, resp.StatusCode)
+	s.wantStatus(status, resp.StatusCode)
 	_, _ = io.Copy(io.Discard, resp.Body)
 	if _, err := r.ReadByte(); err == nil || isTimeout(err) {
-		s.failf("the connection is not closed: %v", err)
+		s.failf("the host did not close the connection of the half call: %v", err)
 	}
 }
 
--- a/internal/entry/site_test.go
+++ b/internal/entry/site_test.go
@@ -25,58 +25,65 @@
 	"curlewsill.org/curlewsill/platform/standin"
 )
 
-// site is entry hosts between stand-ins of what the platform has.
+// site is a set of entry hosts with stand-ins of the platform's services.
 type site struct {
 	t    *testing.T
 	logs *hostLogs
-	// store stands at address, advice is the address of the advice service.
+	// address is the address of store, or of the proxy before it. advice is the
+	// address of the advice service.
 	store           *standin.Store
 	address, advice string
-	// machines is the address of the service that takes machines down, taken what it did.
-	machines string
-	taken    *standin.Machines
-	// lease is the longest lease of a worker. Strict workers keep to it.
+	// machines is the address of machineService, which takes machines down.
+	machines       string
+	machineService *standin.Machines
+	// lease is the longest lease of a worker. If strict is set, workers enforce
+	// it.
 	lease  time.Duration
 	strict bool
-	// proxies stand before the store and before each worker, by what is behind them; nil unless the
-	// script asks for them.
+	// proxies are the proxies before the store and before each worker, by the
+	// kind of their target; nil unless the script asks for them.
 	proxies map[string][]*faultproxy.Proxy
-	// mu guards the elements of workers.
+	// mu guards the elements of workers and of proxies.
 	mu      sync.Mutex
 	workers []*standin.Worker
-	// tells is the start that workers tell which begin from now on; 0 if they tell none. addresses holds where each is.
-	tells     int64
-	addresses map[int]string
-	// domain is the failure domain of workers that start from now on, domains that of each.
+	// workerStart is the start of the incarnation that later workers report; 0
+	// if they report none. addresses holds the address of each worker.
+	workerStart int64
+	addresses   map[int]string
+	// domain is the failure domain of later workers, domains that of each
+	// worker.
 	domain  string
 	domains map[int]string
 
-	// stops end a host at once, ended are closed when it has ended.
+	// stops stop each host immediately. ended are closed when the host has
+	// ended.
 	hosts []*entry.Host
 	stops []context.CancelFunc
 	ended []chan struct{}
-	// cores is the processor share of each host.
+	// cores is the number of cores of each host.
 	cores []float64
 
-	// between stands before the store; unknown counts the calls that ended unknown since links
-	// were silenced; half is the connection of a client that is silent in the middle of a call.
-	between *between
-	unknown atomic.Int32
-	half    net.Conn
+	// storeProxy stands before the store. unknown counts the calls that ended
+	// with an unknown outcome since the links were silenced. halfConn is the
+	// connection of a client that stopped sending in the middle of a call.
+	storeProxy *storeProxy
+	unknown    atomic.Int32
+	halfConn   net.Conn
 
-	// bodies holds what was submitted, by job, and key is what clients show.
+	// bodies holds the submitted bodies by job. key is the API key that clients
+	// send.
 	bodies map[string]string
 	key    string
-	// line is the script's line that is played.
+	// line is the number of the script's current line.
 	line int
 }
 
-// work is what the payloads of the scripts do.
+// work maps the payloads of the scripts to what they do.
 var work = map[string]standin.Work{
 	"short": {Time: 20 * time.Millisecond}, "long": {Time: 700 * time.Millisecond}, "fails": {Fails: true}, "endless": {Time: time.Hour},
 }
 
-// configuration is what the operator writes at first.
+// configuration is the first configuration that the operator writes.
 const configuration = `{"Version":1,
 "Routes":[{"Name":"q","Hostname":"jobs.example","PathPrefix":"/q/","Priority":1,"Backend":"svc","MaxAttempts":2,"Extension":3,"TargetLatencyMs":1000}],
 "Backends":[{"Name":"svc","RejectsOverload":true}],"Tenants":[{"Name":"c","ApiKeys":["key"],"Guaranteed":{"Gpus":8}},{"Name":"d","ApiKeys":["second"]}]}`
@@ -87,13 +94,13 @@
 		t: t, logs: newHostLogs(t), store: standin.NewStore(), bodies: map[string]string{}, addresses: map[int]string{}, domains: map[int]string{},
 		key: "key", lease: 2 * time.Second,
 	}
-	s.between = &between{t: t, store: s.store, proxies: map[string]*faultproxy.Proxy{}}
-	server := httptest.NewServer(s.between)
+	s.storeProxy = &storeProxy{t: t, store: s.store, proxies: map[string]*faultproxy.Proxy{}}
+	server := httptest.NewServer(s.storeProxy)
 	t.Cleanup(server.CloseClientConnections)
 	s.address = strings.TrimPrefix(server.URL, "http://")
 	s.store.Put("keyed.op", "config", []byte(configuration))
-	s.taken = standin.NewMachines(s.takeDown)
-	cloud := httptest.NewServer(s.taken)
+	s.machineService = standin.NewMachines(s.takeDown)
+	cloud := httptest.NewServer(s.machineService)
 	t.Cleanup(cloud.CloseClientConnections)
 	s.machines = strings.TrimPrefix(cloud.URL, "http://")
 	t.Cleanup(func() {
@@ -104,7 +111,7 @@
 	return s
 }
 
-// startHost starts a host, or starts it again.
+// startHost starts a host, or restarts it.
 func (s *site) startHost(n int) {
 	clock, err := boottime.New()
 	if err != nil {
@@ -132,7 +139,8 @@
 	}()
 }
 
-// startAdvice starts the advice service and makes the queue and the workers ask for it.
+// startAdvice starts the advice service, and makes the queue and the workers
+// require its permits.
 func (s *site) startAdvice(refused []string) {
 	server := httptest.NewServer(standin.NewAdvice(refused...))
 	s.t.Cleanup(server.CloseClientConnections)
@@ -149,12 +157,12 @@
 	n := len(s.workers)
 	s.workers = append(s.workers, nil)
 	s.domains[n] = s.domain
-	s.startLife(n, fmt.Sprintf("w-%d", n))
-	s.taken.SetLife(fmt.Sprintf("m-%d", n), s.workers[n].ID())
+	s.startIncarnation(n, fmt.Sprintf("w-%d", n))
+	s.machineService.SetLife(fmt.Sprintf("m-%d", n), s.workers[n].ID())
 }
 
-// startLife starts a life of the machine of a worker.
-func (s *site) startLife(n int, name string) {
+// startIncarnation starts a new incarnation of the worker of a machine.
+func (s *site) startIncarnation(n int, name string) {
 	w := standin.NewWorker(name, work)
 	if s.strict {
 		w = standin.NewStrictWorker(name, work, standin.Strict{
@@ -167,43 +175,44 @@
 	s.mu.Lock()
 	s.workers[n] = w
 	s.mu.Unlock()
-	s.addresses[n] = s.through("workers", strings.TrimPrefix(server.URL, "http://"))
-	if s.tells != 0 {
-		w.TellStart(s.tells)
+	s.addresses[n] = s.proxyFor("workers", strings.TrimPrefix(server.URL, "http://"))
+	if s.workerStart != 0 {
+		w.TellStart(s.workerStart)
 	}
-	s.putEntry(n, s.tells)
+	s.putEntry(n, s.workerStart)
 }
 
-// putEntry writes the entry of a worker, with a start unless that is 0.
+// putEntry writes a worker's entry in the list, with a start unless that is 0.
 func (s *site) putEntry(n int, start int64) {
 	s.store.PutEntry(s.worker(n).ID(), standin.Entry{
 		Service: standin.SiteService, Address: s.addresses[n], Domain: s.domains[n], Clock: 1, Seq: 1, Start: start,
 	})
 }
 
-// worker returns the present life of a machine's worker. Orders about machines come from
-// other goroutines than the script's.
+// worker returns the current incarnation of a machine's worker. Orders about
+// machines come from other goroutines than the script's.
 func (s *site) worker(n int) *standin.Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.workers[n]
 }
 
-// takeDown ends the life of a machine's worker and starts another one, whose id it returns.
+// takeDown ends the incarnation of a machine's worker, starts another one, and
+// returns the new id.
 func (s *site) takeDown(machine string) string {
 	n, err := strconv.Atoi(strings.TrimPrefix(machine, "m-"))
 	if err != nil {
-		s.t.Errorf("an order about machine %q", machine)
+		s.t.Errorf("order about an unknown machine %q", machine)
 		return ""
 	}
 	w := s.worker(n)
 	w.SetFault(standin.FaultSilent)
 	s.store.Put("keyed.servers", w.ID(), nil)
-	s.startLife(n, w.ID()+"+")
+	s.startIncarnation(n, w.ID()+"+")
 	return s.worker(n).ID()
 }
 
-// fault returns the fault of that name.
+// fault returns the fault with that name.
 func fault(name string) standin.Fault {
 	if name == "none" {
 		return standin.FaultNone
--- a/internal/entry/writer_internal_test.go
+++ b/internal/entry/writer_internal_test.go
@@ -16,18 +16,19 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// storeAnswer is a store that answers each call at once in one way, without a network.
+// storeAnswer is a store without a network that answers each call at once and
+// in the same way.
 type storeAnswer struct {
 	status int
 	body   string
-	// silent makes calls hang until their caller gives up.
+	// silent makes calls hang until the caller gives up.
 	silent bool
-	// mu guards sent, which counts the appends.
+	// mu guards sent, the number of calls.
 	mu   sync.Mutex
 	sent int
 }
 
-// tries returns how many appends were sent.
+// tries returns the number of calls so far.
 func (s *storeAnswer) tries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,8 +47,9 @@
 	return &http.Response{StatusCode: s.status, Body: io.NopCloser(strings.NewReader(s.body)), Header: http.Header{}, Request: req}, nil
 }
 
-// TestStoreRefusals checks that a call is told the truth when its time is over: refused if its
-// record is surely not in the store, and then it never gets there; unknown only if it may.
+// TestStoreRefusals checks the answer to a call whose time ends: refused only
+// if its record isn't in the store and never will be, and unknown only if the
+// record may be there.
 func TestStoreRefusals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -55,11 +57,11 @@
 		time   time.Duration
 		status int
 	}{
-		{"between two tries that were refused", &storeAnswer{status: http.StatusServiceUnavailable}, refusedPause / 2, http.StatusServiceUnavailable},
-		{"early in a short time", &storeAnswer{status: http.StatusServiceUnavailable}, 3 * refusedPause, http.StatusServiceUnavailable},
-		{"after all tries", &storeAnswer{status: http.StatusServiceUnavailable}, time.Second, http.StatusServiceUnavailable},
-		{"while a try hangs", &storeAnswer{silent: true}, refusedPause / 2, http.StatusGatewayTimeout},
-		{"in time", &storeAnswer{status: http.StatusOK, body: `{"offset":0,"end":1}`}, time.Second, http.StatusOK},
+		{"time ends between two refused tries", &storeAnswer{status: http.StatusServiceUnavailable}, refusedPause / 2, http.StatusServiceUnavailable},
+		{"refused early because little time is left", &storeAnswer{status: http.StatusServiceUnavailable}, 3 * refusedPause, http.StatusServiceUnavailable},
+		{"all tries are refused", &storeAnswer{status: http.StatusServiceUnavailable}, time.Second, http.StatusServiceUnavailable},
+		{"time ends while a try hangs", &storeAnswer{silent: true}, refusedPause / 2, http.StatusGatewayTimeout},
+		{"stored in time", &storeAnswer{status: http.StatusOK, body: `{"offset":0,"end":1}`}, time.Second, http.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
