--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// followMembers reads the members of the group again and again, and passes them
-// to the election and to the paths through peers.
+// followMembers repeatedly reads the members of the group, and passes them to
+// the election and to the paths through peers.
 func (h *Host) followMembers(ctx context.Context) {
 	dep := dependency{log: h.log, name: "store members"}
 	for ctx.Err() == nil {
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -30,13 +30,14 @@
 //	maintained N                     waits until the status of wave N is completed
 //	advice WORKER...                 from now on, starts need permits, which these workers
 //	                                 don't get
-//	submit HOST JOB TASKS PAYLOAD STATUS [key=K] [attempts...]
+//	submit HOST JOB TASKS PAYLOAD STATUS
+//	                                 submits a job, repeats until the answer has the status
 //	again HOST JOB STATUS            submits the same job once more
-//	cancel HOST JOB STATUS
-//	state HOST JOB STATUS [STATE]
+//	cancel HOST JOB STATUS           repeats until the answer has the status
+//	state HOST JOB STATUS [STATE]    checks the status and the job's state once
 //	await HOST JOB STATE             repeats until the job is in the state
 //	awaitstatus HOST JOB STATUS      repeats until the answer has the status
-//	pending HOST N
+//	pending HOST N                   repeats until N jobs wait in the queue
 //	store FAULT | worker N FAULT     none, busy, lost, slow or silent
 //	tellstart START                  later workers report this start of their incarnation,
 //	                                 in ms since 1970
@@ -54,7 +55,7 @@
 //	rest DURATION                    waits
 //	forget                           the store drops its history
 //	keepmembers                      the store's group lists dead hosts forever
-//	kill HOST | start HOST
+//	kill HOST | start HOST           a host ends without a planned stop | starts again
 //	stop HOST | gone HOST            a planned stop begins | has ended
 //	config VERSION KEY               the operator writes a configuration with this API key
 //	key KEY                          clients send this API key from now on
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -15,8 +15,8 @@
 const (
 	// jobsWait is how long a read of the job log waits for new records, and
 	// ownerWait the same on the owner. The owner's right to grant leases
-	// depends on reads that it sent within the last 3 s, of which one in a row
-	// may be lost.
+	// depends on reads that it sent within the last 3 s; with this wait it
+	// survives the loss of one of them.
 	jobsWait  = 1500 * time.Millisecond
 	ownerWait = 500 * time.Millisecond
 	// jobsPause is the pause after a read that returned records, because each
--- a/internal/entry/silence_test.go
+++ b/internal/entry/silence_test.go
@@ -33,18 +33,18 @@
 var peerAddress = regexp.MustCompile(`@127\.0\.0\.1:\d+@`)
 
 // ServeHTTP implements http.Handler.
-func (b *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b.mu.Lock()
-	on := b.on
-	b.mu.Unlock()
+func (sp *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	sp.mu.Lock()
+	on := sp.on
+	sp.mu.Unlock()
 	if !on || r.Method != http.MethodGet {
-		b.store.ServeHTTP(w, r)
+		sp.store.ServeHTTP(w, r)
 		return
 	}
 	rec := httptest.NewRecorder()
-	b.store.ServeHTTP(rec, r)
+	sp.store.ServeHTTP(rec, r)
 	body := peerAddress.ReplaceAllFunc(rec.Body.Bytes(), func(at []byte) []byte {
-		return []byte("@" + b.proxy(string(at[1:len(at)-1])) + "@")
+		return []byte("@" + sp.proxy(string(at[1:len(at)-1])) + "@")
 	})
 	for k, v := range rec.Header() {
 		w.Header()[k] = v
@@ -55,18 +55,18 @@
 }
 
 // proxy returns the address of the proxy before a host.
-func (b *storeProxy) proxy(target string) string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.proxies[target]
+func (sp *storeProxy) proxy(target string) string {
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
+	p := sp.proxies[target]
 	if p == nil {
 		var err error
 		if p, err = faultproxy.New(target); err != nil {
-			b.t.Error(err)
+			sp.t.Error(err)
 			return target
 		}
-		b.t.Cleanup(func() { _ = p.Close() })
-		b.proxies[target] = p
+		sp.t.Cleanup(func() { _ = p.Close() })
+		sp.proxies[target] = p
 	}
 	return p.Addr()
 }
@@ -152,11 +152,11 @@
 // silenceLinks makes all open links between hosts silent. It fails if none is
 // open.
 func (s *site) silenceLinks(d faultproxy.Direction) {
-	b := s.storeProxy
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	sp := s.storeProxy
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
 	open := 0
-	for _, p := range b.proxies {
+	for _, p := range sp.proxies {
 		open += p.Open()
 		p.Silence(d)
 	}
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// collect returns the first record and those queued behind it as one batch,
-// without the withdrawn ones.
+// collect returns the first record and those queued behind it, up to
+// batchBytes, as one batch. It leaves out the withdrawn ones.
 func (w *writer) collect(first *pending) []*pending {
 	var batch []*pending
 	size := 0
