--- a/internal/relay/ask_internal_test.go
+++ b/internal/relay/ask_internal_test.go
@@ -10,17 +10,18 @@
 	"go.uber.org/zap"
 )
 
-// errOther stands for what ends the tries.
+// errOther is an error that ends the tries of a call.
 var errOther = errors.New("other")
 
-// TestAsk plays the tries of one call: what becomes of each, how many there are, and what is known of
-// the call then.
+// TestAsk scripts the result of each try of one call, and checks the number of
+// tries and the final error.
 //
-// Symptom: one call of 3,200 on links that had gone silent ended unknown, on a busy machine, though
-// it had seven seconds left. Sequence: the link dies under the call, and the new one isn't opened in
-// time. Cause: the call was made once more at most.
+// It guards against a call that ends with an unknown outcome with time left:
+// the link dies under the call, the next link isn't opened in time, and the
+// call isn't tried a third time. With two tries this hit one of 3,200 calls on
+// silent links on a busy machine, which had seven seconds left.
 func TestAsk(t *testing.T) {
-	fates := map[string]error{"died": errDied, "unsent": errUnsent, "unreached": fmt.Errorf("%w: a", ErrNoPeer), "other": errOther}
+	tryErrors := map[string]error{"died": errLinkDead, "unsent": errUnsent, "unreached": fmt.Errorf("%w: a", ErrNoPeer), "other": errOther}
 	for _, x := range []struct {
 		tries string
 		made  int
@@ -29,22 +30,22 @@
 		{"other", 1, errOther},
 		{"unreached unreached", 1, ErrNoPeer},
 		{"unsent unreached", 2, ErrNoPeer},
-		{"unsent died unreached died", 4, errDied},
-		{"died unreached unreached unreached", 3, errDied},
-		{"died died died died", 3, errDied},
+		{"unsent died unreached died", 4, errLinkDead},
+		{"died unreached unreached unreached", 3, errLinkDead},
+		{"died died died died", 3, errLinkDead},
 	} {
 		t.Run(x.tries, func(t *testing.T) {
 			p := &Path{log: zap.NewNop()}
 			made := 0
-			_, err := p.ask(context.Background(), func(context.Context) (*link, error) {
+			_, err := p.callWithRetry(context.Background(), func(context.Context) (*link, error) {
 				made++
-				return nil, fates[strings.Fields(x.tries)[made-1]]
+				return nil, tryErrors[strings.Fields(x.tries)[made-1]]
 			}, call{})
 			if made != x.made || !errors.Is(err, x.want) {
 				t.Errorf("%d tries, %v; want %d, %v", made, err, x.made, x.want)
 			}
-			if errors.Is(x.want, errDied) && errors.Is(err, ErrNoPeer) {
-				t.Errorf("%v says that nothing was sent", err)
+			if errors.Is(x.want, errLinkDead) && errors.Is(err, ErrNoPeer) {
+				t.Errorf("%v is ErrNoPeer, which says that nothing was sent", err)
 			}
 		})
 	}
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -18,10 +18,11 @@
 	"curlewsill.org/curlewsill/internal/relay"
 )
 
-// BenchmarkSilence measures, over real sockets, the time from the silence of a link to its end on
-// the dialing side, to a call that works again, and to the end of both sides. Run it with
-// -benchtime 50x; it reports the median and the worst in milliseconds, and how many descriptors and
-// goroutines more there are at the end than at the beginning.
+// BenchmarkSilence measures over real sockets, from the moment a link goes
+// silent, the time until the dialing side closes it, until a call succeeds
+// again, and until both sides are closed. Run it with -benchtime 50x. It
+// reports the median and the maximum in milliseconds, and by how many file
+// descriptors and goroutines the process has grown.
 func BenchmarkSilence(b *testing.B) {
 	for name, d := range map[string]faultproxy.Direction{"both": faultproxy.Both, "to-target": faultproxy.ToTarget, "from-target": faultproxy.FromTarget} {
 		b.Run("idle/"+name, func(b *testing.B) { measure(b, d, false) })
@@ -29,7 +30,8 @@
 	}
 }
 
-// measure runs rounds of one link that goes silent, at another moment of its pings each.
+// measure runs b.N rounds in which a link goes silent, each time at another
+// offset from its pings.
 func measure(b *testing.B, d faultproxy.Direction, called bool) {
 	links := relay.NewLinks((&net.Dialer{}).DialContext, zap.NewNop())
 	defer links.Close()
@@ -71,7 +73,7 @@
 	report(b, "found", found)
 	report(b, "repaired", repaired)
 	report(b, "freed", freed)
-	time.Sleep(time.Second) // what has ended leaves
+	time.Sleep(time.Second) // closed connections and goroutines are cleaned up
 	b.ReportMetric(float64(runtime.NumGoroutine()-goroutines), "goroutines-more")
 	b.ReportMetric(float64(openFiles(b)-files), "files-more")
 }
@@ -87,14 +89,14 @@
 	}
 }
 
-// waitFor looks until it sees what is wanted.
+// waitFor polls until seen reports true.
 func waitFor(seen func() bool) {
 	for !seen() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// report tells the median and the worst of some times.
+// report reports the median and the maximum of times.
 func report(b *testing.B, name string, times []time.Duration) {
 	if len(times) == 0 {
 		return
@@ -104,7 +106,7 @@
 	b.ReportMetric(float64(times[len(times)-1].Milliseconds()), name+"-worst-ms")
 }
 
-// openFiles counts the descriptors of this process.
+// openFiles returns the number of open file descriptors of this process.
 func openFiles(b *testing.B) int {
 	b.Helper()
 	files, err := os.ReadDir("/proc/self/fd")
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -14,83 +14,92 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a link: a way takes a
-	// few milliseconds, and a peer behind a cut never answers.
+	// dialTimeout bounds the opening of a link. A handshake takes a few
+	// milliseconds, and a peer behind a network partition never answers.
 	dialTimeout = 400 * time.Millisecond
-	// writeTimeout bounds the writing of one message beside what its size takes; it is as long as a
-	// way may take before the other one is tried.
+	// writeTimeout bounds the writing of one message, in addition to the time
+	// that its size takes at minWriteRate. It equals the time that a path may
+	// take before the second one is tried.
 	writeTimeout = 500 * time.Millisecond
-	// thinnest is how many bytes a second a message may be written with at least, so that
-	// a large page doesn't end each thin link that it is written to.
-	thinnest = 1 << 20
-	// servedAtOnce bounds the calls that are made for one peer at a time: twice the
-	// connections of a host to the store.
-	servedAtOnce = 16
-	// servedWaiting bounds the calls of one peer that wait to be made; further ones are refused.
-	// It bounds memory: they have been read.
-	servedWaiting = 48
+	// minWriteRate is the lowest accepted rate of writing a message, in bytes
+	// per second. Without an allowance for its size, a large page would end
+	// every low-bandwidth link that it is written to.
+	minWriteRate = 1 << 20
+	// maxServed bounds the calls that are made concurrently for one peer: twice
+	// the connections of a host to the store.
+	maxServed = 16
+	// maxServedQueued bounds the calls of one peer that wait for one of these
+	// slots; further ones are refused. It bounds memory, since queued calls are
+	// held whole.
+	maxServedQueued = 48
 )
 
-// The tightest duty that rests on a link is the record of a client's call, which may wait for one
-// second while the store is slow: a dead link has to be found early enough for another try.
+// The tightest deadline on a link is that of recording a client's call, which
+// may wait for one second while the store is slow. A dead link has to be found
+// early enough to leave time for another try.
 const (
-	// waitingQuiet is how long nothing may come from a peer that a call waits for until it is
-	// pinged. A usual answer takes a few milliseconds, so that most calls cost no ping.
-	waitingQuiet = 250 * time.Millisecond
-	// linkAnswer is how long a peer may take to answer a ping. 512 kB that stand before the ping
-	// take 420 ms over 10 Mbit/s, and a quota of processor time ends for
-	// 100 ms at most.
-	linkAnswer = 500 * time.Millisecond
-	// linkQuiet is the same for a link that no call waits on: found within 1.5 s together with
-	// linkAnswer, at one ping a second.
-	linkQuiet = time.Second
-	// linkIdle closes a link that no call uses any more. By their sizes with headers, a ping and
-	// its answer are 200 bytes and the opening of a link 1 kB: an unused link costs as much in
-	// this time as opening it again.
-	linkIdle = 5 * time.Second
-	// acceptedQuiet is linkQuiet of the accepting side: two pings of the other side must be
-	// missing.
-	acceptedQuiet = 2500 * time.Millisecond
+	// inUsePingAfter is how long a peer may send nothing while a call waits for
+	// it before it is pinged. A usual answer takes a few milliseconds, so most
+	// calls cost no ping.
+	inUsePingAfter = 250 * time.Millisecond
+	// pongTimeout is how long a peer may take to answer a ping. 512 kB queued
+	// ahead of the ping take 420 ms at 10 Mbit/s, and throttling by a CPU quota
+	// stops a process for 100 ms at most.
+	pongTimeout = 500 * time.Millisecond
+	// pingAfter is inUsePingAfter for a link on which no call waits. Together
+	// with pongTimeout, a dead link is found within 1.5 s, at one ping per
+	// second.
+	pingAfter = time.Second
+	// idleTimeout closes a link that no call uses. Including headers, a ping
+	// and its answer take 200 bytes and opening a link takes 1 kB: in this
+	// time, an unused link costs as much as opening it again.
+	idleTimeout = 5 * time.Second
+	// acceptedPingAfter is pingAfter for the accepting side. In this time it
+	// must have missed two pings of the other side.
+	acceptedPingAfter = 2500 * time.Millisecond
 )
 
-// Policies returns when links are pinged and ended.
+// Policies returns when links are pinged and when they are closed.
 func Policies() wslink.Policies {
 	return wslink.Policies{
-		Dialed:   wslink.Policy{Quiet: linkQuiet, Waiting: waitingQuiet, Answer: linkAnswer, Idle: linkIdle},
-		Accepted: wslink.Policy{Quiet: acceptedQuiet, Waiting: waitingQuiet, Answer: linkAnswer},
+		Dialed:   wslink.Policy{Quiet: pingAfter, Waiting: inUsePingAfter, Answer: pongTimeout, Idle: idleTimeout},
+		Accepted: wslink.Policy{Quiet: acceptedPingAfter, Waiting: inUsePingAfter, Answer: pongTimeout},
 	}
 }
 
-// NewLinks returns a set of links for New. The function opens their connections.
+// NewLinks returns a set of links for New. The function dial opens their
+// connections.
 func NewLinks(dial wslink.DialFunc, log *zap.Logger) *wslink.Links {
 	return wslink.New(wslink.NewClient(dial), Policies(), maxBody, log)
 }
 
-// Errors of calls on a link. The call may have had its effect, but for errUnsent.
+// Errors of calls on a link. Except for errUnsent, the call may have taken
+// effect.
 var (
-	// errUnsent reports a link that had ended before the call.
+	// errUnsent reports a link that was closed before the call was sent.
 	errUnsent = fmt.Errorf("%w: the link has ended", ErrNoPeer)
-	// errDied reports a link that has ended with calls under way.
-	errDied = errors.New("relay: the link has died")
-	// errOverdue reports an answer that has not come in time.
+	// errLinkDead reports a link that was closed with calls in flight.
+	errLinkDead = errors.New("relay: the link has died")
+	// errOverdue reports that no answer came in time.
 	errOverdue = errors.New("relay: the answer is overdue")
 )
 
-// link is one connection to a peer, for many calls at a time.
+// link is one connection to a peer. It carries many calls concurrently.
 type link struct {
 	address string
 	conn    *wslink.Conn
-	next    atomic.Uint64
+	nextID  atomic.Uint64
 
 	mu sync.Mutex
-	// waiting leads from a call's ID to where its result is waited for; nil once the
-	// link has closed.
-	waiting map[uint64]chan result
-	// closed is set once the link has ended, retired once no further calls are to use it.
+	// pending holds for each call in flight, by its ID, the channel that
+	// receives its result; nil once the link is closed.
+	pending map[uint64]chan result
+	// closed is set once the link is closed, retired once no new calls may use
+	// it.
 	closed, retired bool
 }
 
-// dial opens a link to a peer and begins to read it.
+// dial opens a link to a peer and starts to read from it.
 func dial(ctx context.Context, address string, route Route, links *wslink.Links) (*link, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -98,26 +107,28 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &link{address: address, conn: conn, waiting: map[uint64]chan result{}}
+	l := &link{address: address, conn: conn, pending: map[uint64]chan result{}}
 	go l.read()
 	return l, nil
 }
 
-// works reports whether calls can be made on the link.
-func (l *link) works() bool {
+// usable reports whether new calls may use the link.
+func (l *link) usable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.closed && !l.retired
 }
 
-// retire leaves the link to the calls that are under way on it: the next call opens another one.
+// retire keeps the link for the calls in flight only: the next call opens
+// another link.
 func (l *link) retire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.retired = true
 }
 
-// close ends the link and the calls under way on it. It may be called again.
+// close closes the link and fails the calls in flight on it. It may be called
+// more than once.
 func (l *link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,14 +136,14 @@
 		return
 	}
 	l.closed = true
-	for _, c := range l.waiting {
+	for _, c := range l.pending {
 		close(c)
 	}
-	l.waiting = nil
+	l.pending = nil
 	l.conn.Close()
 }
 
-// read hands results to those who wait until the link closes.
+// read delivers results to the calls in flight until the link is closed.
 func (l *link) read() {
 	defer l.close()
 	for {
@@ -141,8 +152,8 @@
 			return
 		}
 		l.mu.Lock()
-		c := l.waiting[res.ID]
-		delete(l.waiting, res.ID)
+		c := l.pending[res.ID]
+		delete(l.pending, res.ID)
 		l.mu.Unlock()
 		if c != nil {
 			c <- res
@@ -159,27 +170,29 @@
 	return results.Decode(raw)
 }
 
-// expect notes that a call's result is waited for. It reports false if the link has
-// closed. The channel is closed without a result when the link closes.
-func (l *link) expect(id uint64) (<-chan result, bool) {
+// register adds a call in flight and returns the channel for its result. It
+// reports false if the link is closed. The channel is closed without a result
+// when the link is closed.
+func (l *link) register(id uint64) (<-chan result, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return nil, false
 	}
 	answer := make(chan result, 1)
-	l.waiting[id] = answer
+	l.pending[id] = answer
 	return answer, true
 }
 
-// writeLimit returns how long the writing of a message may take.
+// writeLimit returns how long the writing of a message may take, by its size.
 func writeLimit(raw []byte) time.Duration {
-	return writeTimeout + time.Duration(len(raw))*time.Second/thinnest
+	return writeTimeout + time.Duration(len(raw))*time.Second/minWriteRate
 }
 
-// send writes a call. A link that can't be written to is closed, and has logged why. The patience of
-// the call's caller doesn't end the writing: a message that isn't written whole ends the link, and with
-// it all other calls under way there.
+// send writes a call. It closes the link if the write fails; the connection has
+// logged why then. The write doesn't depend on the context of the caller: a
+// message that isn't written completely ends the link and with it all other
+// calls in flight on it.
 func (l *link) send(raw []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeLimit(raw))
 	defer cancel()
@@ -188,18 +201,19 @@
 	}
 }
 
-// do makes a call. A link on which an answer is overdue is retired: whether it is dead is for pings
-// to say, and other answers may still come.
+// do makes a call on the link. A link with an overdue answer is retired, not
+// closed: only pings decide whether it is dead, and other answers may still
+// come.
 func (l *link) do(ctx context.Context, c call) (result, error) {
 	if err := ctx.Err(); err != nil {
 		return result{}, fmt.Errorf("%w: %w", ErrNoPeer, err) // nothing was sent
 	}
-	c.ID = l.next.Add(1)
+	c.ID = l.nextID.Add(1)
 	raw, err := calls.Encode(c)
 	if err != nil {
 		return result{}, err
 	}
-	answer, ok := l.expect(c.ID)
+	answer, ok := l.register(c.ID)
 	if !ok {
 		return result{}, errUnsent
 	}
@@ -207,54 +221,58 @@
 	release := l.conn.Use()
 	defer release()
 	go l.send(raw)
-	overdue := time.NewTimer(c.Limit + hedgeAfter)
+	overdue := time.NewTimer(c.Limit + hedgeDelay)
 	defer overdue.Stop()
 	sent := time.Now()
 	select {
 	case res, ok := <-answer:
-		return l.taken(res, ok)
+		return l.takeResult(res, ok)
 	case <-overdue.C:
-		return l.overdue(answer, errOverdue)
+		return l.handleOverdue(answer, errOverdue)
 	case <-ctx.Done():
-		if errors.Is(ctx.Err(), context.DeadlineExceeded) || time.Since(sent) >= c.Limit-hedgeAfter {
-			return l.overdue(answer, fmt.Errorf("%w: %w", errOverdue, ctx.Err()))
+		if errors.Is(ctx.Err(), context.DeadlineExceeded) || time.Since(sent) >= c.Limit-hedgeDelay {
+			return l.handleOverdue(answer, fmt.Errorf("%w: %w", errOverdue, ctx.Err()))
 		}
 		return result{}, ctx.Err()
 	}
 }
 
-// taken returns what has come for a call, or that the link has died under it.
-func (l *link) taken(res result, ok bool) (result, error) {
+// takeResult returns the result received for a call, or errLinkDead if the link
+// was closed under it.
+func (l *link) takeResult(res result, ok bool) (result, error) {
 	if !ok {
-		return result{}, errDied
+		return result{}, errLinkDead
 	}
 	if res.Status == 0 {
-		l.retire() // this peer's own path fails too; the next call tries another
+		l.retire() // the peer's own direct path fails too; the next call tries another peer
 	}
 	return res, nil
 }
 
-// overdue takes in that a call's time is over. A host that has stood still finds the call overdue and the link silent at the same moment, or
-// before its ping has failed: the call is lost with the link then, and made again on another one. Else the peer lives, though the answer is overdue.
-func (l *link) overdue(answer <-chan result, err error) (result, error) {
-	if time.Since(l.conn.LastHeard()) >= waitingQuiet+linkAnswer {
+// handleOverdue handles a call whose time limit has passed. If this process was
+// paused, the limit of the call and the limit of the link's ping may pass at
+// the same time, or the call's first. If the link has been silent for longer
+// than a ping allows, the call fails with errLinkDead, so that it is retried on
+// another link. Otherwise the peer is alive and only this answer is overdue.
+func (l *link) handleOverdue(answer <-chan result, err error) (result, error) {
+	if time.Since(l.conn.LastHeard()) >= inUsePingAfter+pongTimeout {
 		l.conn.EndSilent()
 	}
 	select {
 	case res, ok := <-answer:
-		return l.taken(res, ok)
+		return l.takeResult(res, ok)
 	default:
 	}
 	if errors.Is(l.conn.Cause(), wslink.ErrSilent) {
-		return result{}, errDied
+		return result{}, errLinkDead
 	}
 	l.retire()
 	return result{}, err
 }
 
-// forget drops a call that nobody waits for.
+// forget removes a call that no one waits for any more.
 func (l *link) forget(n uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.waiting, n)
+	delete(l.pending, n)
 }
--- a/internal/relay/link_internal_test.go
+++ b/internal/relay/link_internal_test.go
@@ -16,14 +16,14 @@
 	"curlewsill.org/curlewsill/internal/wslink"
 )
 
-// TestGivenUpBeforeSending checks that a caller who gives up leaves the link to the other calls on it.
+// TestGivenUpBeforeSending checks that canceling a call doesn't end the other
+// calls on its link.
 //
-// Symptom: calls through a peer were made twice, or ended unknown, though nobody had lost a link.
-// Sequence: several calls are under way on one link; one more is given up before its message is
-// written whole, as when the direct way answers first, or when it waits behind a long message until
-// its time is over. Cause: the writing of a message ended with its caller's patience, and a message
-// that isn't written whole ends the link. Figures: of two calls on a link the one that waited for its
-// answer ended with errDied.
+// A call may be canceled before its message is written completely, as when the
+// direct path answers first, or when the message is queued behind a long one
+// until the call times out. If the context of the call ended the write, the
+// link would be closed, and the other calls on it would fail with errLinkDead:
+// they would be made twice, or end with an unknown outcome.
 func TestGivenUpBeforeSending(t *testing.T) {
 	gate := make(chan struct{})
 	store := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -39,14 +39,14 @@
 		_, err := l.do(context.Background(), call{Method: http.MethodPost, Path: "/", Limit: time.Minute})
 		first <- err
 	}()
-	for l.under() == 0 {
+	for l.inFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	for range 20 { // the library draws whether it sees the end of a context first
+	for range 20 { // whether the library sees the end of a context first is random
 		if _, err := l.do(ctx, call{Method: http.MethodPost, Path: "/", Limit: time.Minute}); !errors.Is(err, context.Canceled) {
-			t.Errorf("the call that was given up ended with %v", err)
+			t.Errorf("the canceled call ended with %v", err)
 		}
 	}
 	close(gate)
@@ -55,29 +55,27 @@
 	}
 }
 
-// TestOverdueIsForgotten checks that nothing is kept of a call whose answer is overdue.
-//
-// Symptom: a link that other calls keep in use holds a channel for each call that it never answered.
-// Sequence: a call's answer is overdue, and the link lives on for the other calls under way. Cause:
-// only calls that their callers had given up were forgotten. Figures: one entry for each such call.
+// TestOverdueIsForgotten checks that a call whose answer is overdue is removed
+// from the link. A link that other calls keep open would otherwise leak one map
+// entry and channel for each such call.
 func TestOverdueIsForgotten(t *testing.T) {
-	l := linkTo(t, mute(newTestLinks(t)))
-	if _, err := l.do(context.Background(), call{Method: http.MethodPost, Path: "/", Limit: -hedgeAfter}); !errors.Is(err, errOverdue) {
+	l := linkTo(t, unansweringHandler(newTestLinks(t)))
+	if _, err := l.do(context.Background(), call{Method: http.MethodPost, Path: "/", Limit: -hedgeDelay}); !errors.Is(err, errOverdue) {
 		t.Fatalf("the call ended with %v", err)
 	}
-	if n := l.under(); n != 0 {
-		t.Errorf("%d calls are expected to be answered", n)
+	if n := l.inFlight(); n != 0 {
+		t.Errorf("%d calls still wait for an answer", n)
 	}
 }
 
-// TestAllLinksSilent checks that a call whose link goes silent together with all others of its host is
-// made again on a new one.
+// TestAllLinksSilent checks that a call is retried on a new link when all links
+// of its host go silent together.
 //
-// Symptom: a call through any peer ends unknown though new links work. Sequence: a host has links to
-// six peers, and all go silent; the call's link is found dead, and the call is made again on another
-// one, which is silent as well. Cause: a link that may have died together with another one was still
-// taken for calls until its own ping had failed. Figures: two of three such calls ended unknown after
-// three tries, 0.95 to 1 s after the silence.
+// A host has links to six peers, and all go silent. The link of a call is found
+// dead and the call is retried. If the retry may use another old link, whose
+// ping hasn't failed yet, it is lost as well: two of three such calls ended
+// with an unknown outcome after three tries, 0.95 to 1 s after the silence,
+// though new links worked.
 func TestAllLinksSilent(t *testing.T) {
 	const peers, limit = 6, 8 * time.Second
 	path := New("http://store", RouteStore, http.DefaultClient, newTestLinks(t), zap.NewNop())
@@ -98,15 +96,15 @@
 	}
 	path.SetPeers(known)
 	for i := range known {
-		if _, err := path.ask(context.Background(), func(ctx context.Context) (*link, error) { return path.peer(ctx, Way(i+1)) }, c); err != nil {
+		if _, err := path.callWithRetry(context.Background(), func(ctx context.Context) (*link, error) { return path.linkFor(ctx, Way(i+1)) }, c); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, p := range proxies {
 		p.Silence(faultproxy.Both)
 	}
-	for range 3 { // which link is taken is drawn
-		if res, err := path.ask(context.Background(), path.pick, c); err != nil || res.Status != http.StatusOK {
+	for range 3 { // the link is chosen at random
+		if res, err := path.callWithRetry(context.Background(), path.pick, c); err != nil || res.Status != http.StatusOK {
 			t.Errorf("status %d, %v", res.Status, err)
 		}
 	}
@@ -119,8 +117,8 @@
 	return l
 }
 
-// mute takes links and answers no call.
-func mute(links *wslink.Links) http.Handler {
+// unansweringHandler accepts links and answers no call.
+func unansweringHandler(links *wslink.Links) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, err := links.Accept(w, r)
 		for err == nil {
@@ -129,7 +127,7 @@
 	})
 }
 
-// linkTo returns a link to a peer with a handler.
+// linkTo returns a link to a peer with the given handler.
 func linkTo(t *testing.T, h http.Handler) *link {
 	t.Helper()
 	peer := httptest.NewServer(h)
@@ -141,9 +139,9 @@
 	return l
 }
 
-// under returns how many calls are expected to be answered.
-func (l *link) under() int {
+// inFlight returns how many calls wait for their result.
+func (l *link) inFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.waiting)
+	return len(l.pending)
 }
--- a/internal/relay/overdue_internal_test.go
+++ b/internal/relay/overdue_internal_test.go
@@ -14,37 +14,46 @@
 	"curlewsill.org/curlewsill/internal/wslink"
 )
 
-// TestOverdueOnSilentLink checks that a call which is overdue on a silent link is made again on a new one, though no ping has failed yet.
+// TestOverdueOnSilentLink checks that a call that is overdue on a silent link
+// is retried on a new one, even if no ping has failed yet.
 //
-// Symptom: calls ended unknown after all links had gone silent, though new links work. Sequence: a host stands still while a call waits on a
-// silent link; when it goes on, the call's limit of 1 s and the ping's, 0.75 s after the call at the latest, are over together. Cause: of the two
-// the call's was taken, or drawn. Settled by: the call ends with "the owner has not answered in time" after 1.0007 s, and its link is found dead
-// 0.002 s later, unheard for 1.02 s.
+// A host is paused while a call waits on a silent link. When it resumes, the
+// call's limit of 1 s and the ping's limit, at most 0.75 s after the call, have
+// both passed. If the call's limit is handled first, the call must not end as
+// overdue: new links work. In the failure seen, the call ended with an unknown
+// outcome after 1.0007 s, and the link was found dead 0.002 s later, after 1.02
+// s without bytes.
 func TestOverdueOnSilentLink(t *testing.T) {
 	late := Policies()
-	late.Dialed.Answer = time.Minute // as of a host on which the ping's timer is late
+	late.Dialed.Answer = time.Minute // as if the ping's timer fires late
 	synctest.Test(t, func(t *testing.T) { callAfterSilence(t, late, http.StatusOK, http.StatusOK) })
 }
 
-// TestRefusedRepeat checks that a call whose link has died is made once more when its repeat is refused.
+// TestRefusedRepeat checks that a call whose link has died is tried once more
+// when its retry is refused.
 //
-// Symptom: calls ended unknown after all links had gone silent, though the owner took records a moment later. Sequence: a call's link dies, the call is
-// made again, and the owner refuses it, since its host has stood still while the record waited behind an append. What the first copy did isn't known, so
-// that the refusal can't be passed on. Cause: a refused repeat was the last try. Settled by: "peer-call-again" with status 503, then the call's 504.
+// A call's link dies, the call is retried, and the owner refuses it, since its
+// host was paused while the record waited behind an append. The effect of the
+// first try is unknown, so the refusal can't be returned; without a further
+// try, the call ends with an unknown outcome (504) though the owner accepts
+// records a moment later.
 func TestRefusedRepeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		callAfterSilence(t, Policies(), http.StatusOK, http.StatusServiceUnavailable, http.StatusOK)
 	})
 }
 
-// TestUnlistedPeerAnswers checks that a call under way at a peer is answered though the platform doesn't list the peer for a moment.
+// TestUnlistedPeerAnswers checks that a call in flight at a peer is answered
+// even if the platform stops listing the peer for a moment.
 //
-// Symptom: calls ended unknown after all links had gone silent, though the owner took records. Sequence: the hosts stand still for longer than the
-// platform lists one that is silent, while the last try of a call is under way. Cause: links to peers that aren't listed were closed with the calls
-// under way. Settled by: "link-closed" with "wslink: closed" for all links to the owner's host, and the calls' 504 0.1 ms later.
+// Hosts that are paused for longer than the platform's timeout are no longer
+// listed. If the links to them are closed at once, the last try of a call in
+// flight ends with an unknown outcome though the owner accepts the record: all
+// links to the owner's host were logged as closed, and the calls failed with
+// 504 0.1 ms later.
 func TestUnlistedPeerAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lis := &thinListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+		lis := &slowListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 		links := NewLinks(lis.dial, zap.NewNop())
 		store := &statusStore{statuses: []int{http.StatusOK}, takes: 500 * time.Millisecond}
 		peer := New("http://store", RouteStore, &http.Client{Transport: store}, links, zap.NewNop())
@@ -60,20 +69,21 @@
 		if err != nil || status != http.StatusOK {
 			t.Errorf("status %d, %v", status, err)
 		}
-		time.Sleep(2 * linkIdle)
+		time.Sleep(2 * idleTimeout)
 		if n := links.Open(); n != 0 {
 			t.Errorf("%d links are open", n)
 		}
 		links.Close()
 		_ = s.Close()
-		time.Sleep(time.Minute) // the bubble's time; what a link still carries comes to its end
+		time.Sleep(time.Minute) // virtual time; data still in transit on links is delivered or dropped
 	})
 }
 
-// callAfterSilence makes a call on a link, and another one after that has gone silent. Both are to succeed; the calls that reach the peer get the
+// callAfterSilence makes a call on a link, and a second one after the link has
+// gone silent. Both must succeed. The calls that reach the peer get the given
 // statuses in turn.
 func callAfterSilence(t *testing.T, policies wslink.Policies, statuses ...int) {
-	lis := &thinListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+	lis := &slowListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	cuts := &cutDialer{dial: lis.dial}
 	links := wslink.New(wslink.NewClient(cuts.open), policies, maxBody, zap.NewNop())
 	peer := New("http://store", RouteStore, &http.Client{Transport: &statusStore{statuses: statuses}}, links, zap.NewNop())
@@ -91,10 +101,11 @@
 	}
 	links.Close()
 	_ = s.Close()
-	time.Sleep(time.Minute) // the bubble's time; what a link still carries comes to its end
+	time.Sleep(time.Minute) // virtual time; data still in transit on links is delivered or dropped
 }
 
-// statusStore answers calls with the statuses in turn, each after a time, and refuses all others.
+// statusStore answers calls with the statuses in turn, each after a delay, and
+// refuses all further calls.
 type statusStore struct {
 	takes time.Duration
 
@@ -115,7 +126,7 @@
 	return Answer(req, status, nil), nil
 }
 
-// cutDialer opens connections and makes those that are open silent.
+// cutDialer opens connections, and can silence all that are open.
 type cutDialer struct {
 	dial wslink.DialFunc
 
@@ -145,7 +156,7 @@
 	}
 }
 
-// cutConn drops what is written once it is cut.
+// cutConn is a connection that drops all writes once it is cut.
 type cutConn struct {
 	net.Conn
 
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -14,60 +14,66 @@
 	"curlewsill.org/curlewsill/internal/wslink"
 )
 
-// errNoAnswer reports a peer that got no answer itself.
+// errNoAnswer reports that the peer made the call and got no answer from the
+// server.
 var errNoAnswer = errors.New("relay: the peer got no answer")
 
-// linkChoice returns the link to the peer that makes a call.
-type linkChoice func(context.Context) (*link, error)
+// linkChooser returns the link on which a call is made.
+type linkChooser func(context.Context) (*link, error)
 
-// mostPeers bounds through how many peers a call is tried that is refused by each: what turns away a third of the hosts seldom
-// refuses three of them.
-const mostPeers = 3
+// maxPeersTried bounds the number of peers through which one refused call is
+// tried. If the server refuses a third of the hosts, three peers are seldom all
+// refused.
+const maxPeersTried = 3
 
-// tryPeer makes the call through some peer, and through others while it is refused: a refusal says that nothing was done, and the other end may
-// turn away that peer like this host.
+// tryPeer makes the call through a peer, and through further peers while the
+// call is refused. That is safe, since a refusal means that the call had no
+// effect; the server may refuse a peer just as it refuses this host.
 func (p *Path) tryPeer(req *http.Request, wait time.Duration) (*http.Response, error) {
-	resp, err := p.through(req, wait, p.pick)
-	for tries := 1; tries < mostPeers && err == nil && refuses(resp.StatusCode) && p.othersLeft(); tries++ {
-		again, errAgain := p.through(req, wait, p.pick)
-		if errors.Is(errAgain, ErrNoPeer) {
+	resp, err := p.callThrough(req, wait, p.pick)
+	for tries := 1; tries < maxPeersTried && err == nil && refuses(resp.StatusCode) && p.hasUsablePeer(); tries++ {
+		retried, retryErr := p.callThrough(req, wait, p.pick)
+		if errors.Is(retryErr, ErrNoPeer) {
 			continue
 		}
-		resp, err = again, errAgain
+		resp, err = retried, retryErr
 	}
 	return resp, err
 }
 
-// refuses reports whether a status says that nothing was done.
+// refuses reports whether a status means that the call had no effect.
 func refuses(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// avoid lets other peers be chosen for a while, because a call through one was refused or not answered.
+// avoid excludes a peer for a while, since a call through it was refused or not
+// answered.
 func (p *Path) avoid(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.avoidedUntil[address] = time.Now().Add(suspectFor)
+	p.avoidedUntil[address] = time.Now().Add(suspectDuration)
 }
 
-// avoided reports whether a call through a peer was refused or not answered lately. The path is locked.
+// avoided reports whether a peer is excluded for now, since a recent call
+// through it was refused or not answered. The caller holds p.mu.
 func (p *Path) avoided(address string) bool { return time.Now().Before(p.avoidedUntil[address]) }
 
-// othersLeft reports whether there is a peer that isn't avoided.
-func (p *Path) othersLeft() bool {
+// hasUsablePeer reports whether there is a peer that isn't avoided.
+func (p *Path) hasUsablePeer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.peers, func(x Peer) bool { return !p.avoided(x.Address) })
 }
 
-// through makes the call through a peer. It may wait at its other end for a time.
-func (p *Path) through(req *http.Request, wait time.Duration, choose linkChoice) (*http.Response, error) {
+// callThrough makes the call on a link to a peer. The call may wait at the
+// server for the given time.
+func (p *Path) callThrough(req *http.Request, wait time.Duration, chooseLink linkChooser) (*http.Response, error) {
 	body, err := bodyOf(req)
 	if err != nil {
 		return nil, err
 	}
-	res, err := p.ask(req.Context(), choose, call{
-		Method: req.Method, Path: req.URL.RequestURI(), Kind: req.Header.Get("Content-Type"), Body: body, Limit: wait + 2*hedgeAfter,
+	res, err := p.callWithRetry(req.Context(), chooseLink, call{
+		Method: req.Method, Path: req.URL.RequestURI(), Kind: req.Header.Get("Content-Type"), Body: body, Limit: wait + 2*hedgeDelay,
 	})
 	if err != nil {
 		return nil, err
@@ -75,50 +81,53 @@
 	return Answer(req, res.Status, res.Body), nil
 }
 
-// mostTries bounds how often a call is made whose links die. A try whose link had died before takes
-// half a second, and the opening of a link 0.4 s at most, so that three fit into what most calls may
-// take. On a busy machine one link in 3,200 was not opened in time for the second.
-const mostTries = 3
-
-// ask makes a call on a link, and again on another one if the link dies under it. What was sent on
-// the dead link may have had its effect: a refusal of a later try doesn't tell, so the outcome stays
-// unknown unless a further try is answered.
-func (p *Path) ask(ctx context.Context, choose linkChoice, c call) (result, error) {
-	res, err := p.askOnce(ctx, choose, c)
+// maxTries bounds how often a call is made whose links die. A try on a dead
+// link takes half a second, and opening a link at most 0.4 s, so three tries
+// fit into the time limit of most calls. Two tries weren't enough: on a busy
+// machine, one of 3,200 calls found that the second link wasn't opened in time.
+const maxTries = 3
+
+// callWithRetry makes a call on a link, and again on another link if the first
+// dies. What was sent on the dead link may have taken effect. A refusal of a
+// retry says nothing about the first try, so the outcome stays unknown unless a
+// further retry is answered.
+func (p *Path) callWithRetry(ctx context.Context, chooseLink linkChooser, c call) (result, error) {
+	res, err := p.callOnce(ctx, chooseLink, c)
 	if errors.Is(err, errUnsent) {
-		res, err = p.askOnce(ctx, choose, c)
-	}
-	for tries := 1; tries < mostTries && errors.Is(err, errDied) && ctx.Err() == nil; tries++ {
-		again, errAgain := p.askOnce(ctx, choose, c)
-		p.log.Info("peer-call-again", zap.String("path", c.Path), zap.Int("status", again.Status), zap.Error(errAgain))
-		if errAgain != nil {
-			// What a later error says of the call's effect doesn't hold for the first try.
-			err = fmt.Errorf("%w; again: %v", err, errAgain)
+		res, err = p.callOnce(ctx, chooseLink, c)
+	}
+	for tries := 1; tries < maxTries && errors.Is(err, errLinkDead) && ctx.Err() == nil; tries++ {
+		retried, retryErr := p.callOnce(ctx, chooseLink, c)
+		p.log.Info("peer-call-again", zap.String("path", c.Path), zap.Int("status", retried.Status), zap.Error(retryErr))
+		if retryErr != nil {
+			// A retry error says nothing about the effect of the first try, so
+			// it is not wrapped.
+			err = fmt.Errorf("%w; again: %v", err, retryErr)
 			continue
 		}
-		if refuses(again.Status) {
-			err = fmt.Errorf("%w; again: status %d", err, again.Status)
+		if refuses(retried.Status) {
+			err = fmt.Errorf("%w; again: status %d", err, retried.Status)
 			continue
 		}
-		return again, nil
+		return retried, nil
 	}
 	return res, err
 }
 
-// askOnce makes a call on a link.
-func (p *Path) askOnce(ctx context.Context, choose linkChoice, c call) (result, error) {
+// callOnce makes a call on one link.
+func (p *Path) callOnce(ctx context.Context, chooseLink linkChooser, c call) (result, error) {
 	if c.patience > 0 {
 		limited, cancel := context.WithTimeout(ctx, c.patience)
 		defer cancel()
 		ctx = limited
 	}
-	l, err := choose(ctx)
+	l, err := chooseLink(ctx)
 	if err != nil {
 		return result{}, err
 	}
 	res, err := l.do(ctx, c)
-	if errors.Is(err, errDied) && errors.Is(l.conn.Cause(), wslink.ErrSilent) {
-		p.retireQuiet()
+	if errors.Is(err, errLinkDead) && errors.Is(l.conn.Cause(), wslink.ErrSilent) {
+		p.retireQuietLinks()
 	}
 	if err == nil && res.Status == 0 {
 		err = fmt.Errorf("%w: %s", errNoAnswer, l.address)
@@ -129,55 +138,59 @@
 	return res, err
 }
 
-// retireQuiet retires the links that may have died together with one that was found silent: those from
-// which nothing has come for waitingQuiet. The dead one was silent for linkAnswer at least. Without it
-// the next tries go to such links, and calls end unknown.
-func (p *Path) retireQuiet() {
+// retireQuietLinks is called when a link was found silent, and retires the
+// links that may have died with it: those that delivered no bytes for
+// inUsePingAfter. The dead link was silent for at least pongTimeout. Without
+// this, retries would use such links and calls would end with an unknown
+// outcome.
+func (p *Path) retireQuietLinks() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
-		if time.Since(l.conn.LastHeard()) >= waitingQuiet {
+		if time.Since(l.conn.LastHeard()) >= inUsePingAfter {
 			l.retire()
 		}
 	}
 }
 
-// pick returns a link to a peer: one that is open, or else to one drawn at random. Peers that are avoided are left out while
-// there are others.
+// pick returns a link to a peer: an open one, or else a new one to a peer
+// chosen at random. Peers that are avoided are used only if there are no
+// others.
 func (p *Path) pick(ctx context.Context) (*link, error) {
 	p.mu.Lock()
 	for a, l := range p.links {
-		if l.works() && !p.avoided(a) {
+		if l.usable() && !p.avoided(a) {
 			p.mu.Unlock()
 			return l, nil
 		}
 	}
-	left := slices.DeleteFunc(slices.Clone(p.peers), func(x Peer) bool { return p.avoided(x.Address) })
-	if len(left) == 0 {
-		left = p.peers
+	candidates := slices.DeleteFunc(slices.Clone(p.peers), func(x Peer) bool { return p.avoided(x.Address) })
+	if len(candidates) == 0 {
+		candidates = p.peers
 	}
-	if len(left) == 0 {
+	if len(candidates) == 0 {
 		p.mu.Unlock()
 		return nil, ErrNoPeer
 	}
-	a := left[rand.IntN(len(left))].Address
+	a := candidates[rand.IntN(len(candidates))].Address
 	p.mu.Unlock()
 	return p.open(ctx, a)
 }
 
 // opening is a link that is being opened.
 type opening struct {
-	// done is closed when link or err is set.
+	// done is closed once link or err is set.
 	done chan struct{}
 	link *link
 	err  error
 }
 
-// open returns the link to a peer: the open one, or else a new one. Calls that need it at the same
-// moment share it: one for each would close the others, with the calls under way on them.
+// open returns the link to a peer: the open one, or else a new one. Calls that
+// need it at the same time share it. If each opened its own, it would replace
+// the links of the others, with their calls in flight.
 func (p *Path) open(ctx context.Context, a string) (*link, error) {
 	p.mu.Lock()
-	if l := p.links[a]; l != nil && l.works() {
+	if l := p.links[a]; l != nil && l.usable() {
 		p.mu.Unlock()
 		return l, nil
 	}
@@ -196,7 +209,7 @@
 	}
 }
 
-// connect opens a link for all who wait for it.
+// connect opens a link for all calls that wait for it.
 func (p *Path) connect(a string, o *opening) {
 	l, err := dial(context.Background(), a, p.route, p.conns)
 	p.mu.Lock()
@@ -210,8 +223,8 @@
 	close(o.done)
 }
 
-// peer returns a link to the peer of a way.
-func (p *Path) peer(ctx context.Context, w Way) (*link, error) {
+// linkFor returns a link to the peer with the given number.
+func (p *Path) linkFor(ctx context.Context, w Way) (*link, error) {
 	p.mu.Lock()
 	if int(w) > len(p.peers) {
 		p.mu.Unlock()
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -8,89 +8,96 @@
 	"time"
 )
 
-// race is one call on its way over at most two ways.
-type race struct {
+// hedgedCall is one call in progress, on the direct path, through a peer, or
+// both in parallel.
+type hedgedCall struct {
 	path *Path
 	req  *http.Request
-	// wait is how long the call may wait at its other end.
-	wait time.Duration
-	out  chan outcome
-	// under counts the ways that are under way.
-	under int
-	// spare is set while the second way is not tried; spareDirect says which it is.
-	spare, spareDirect bool
-	// directSince and peerSince are when the ways were begun; zero for one that isn't under way.
-	directSince, peerSince time.Time
+	// wait is how long the call may wait at the server.
+	wait     time.Duration
+	outcomes chan outcome
+	// inFlight counts the paths on which the call is in flight.
+	inFlight int
+	// backupPending is set while the second path hasn't been tried;
+	// backupDirect is set if that is the direct path.
+	backupPending, backupDirect bool
+	// directStart and peerStart are when each path was started; zero for one
+	// that isn't in flight.
+	directStart, peerStart time.Time
 }
 
-// patience returns how long a way may take before the other one is tried as well.
-func (r *race) patience() time.Duration { return r.wait + hedgeOf(r.req.Context()) }
+// backupDelay returns how long the first path may take before the second is
+// tried as well.
+func (r *hedgedCall) backupDelay() time.Duration { return r.wait + hedgeOf(r.req.Context()) }
 
-// begin tries one way.
-func (r *race) begin(direct bool) {
-	r.under++
-	*r.since(direct) = time.Now()
-	go func() { r.out <- r.path.try(r.req, direct, r.wait) }()
+// start makes the call on one path.
+func (r *hedgedCall) start(direct bool) {
+	r.inFlight++
+	*r.startOf(direct) = time.Now()
+	go func() { r.outcomes <- r.path.try(r.req, direct, r.wait) }()
 }
 
-// since returns when a way was begun.
-func (r *race) since(direct bool) *time.Time {
+// startOf returns a pointer to the start time of a path.
+func (r *hedgedCall) startOf(direct bool) *time.Time {
 	if direct {
-		return &r.directSince
+		return &r.directStart
 	}
-	return &r.peerSince
+	return &r.peerStart
 }
 
-// end notes that a way has ended.
-func (r *race) end(o outcome) {
-	r.under--
-	r.path.learn(o)
+// finish records the outcome of one path.
+func (r *hedgedCall) finish(o outcome) {
+	r.inFlight--
+	r.path.recordOutcome(o)
 	if !o.direct && !o.failed() {
-		r.path.learnSilence(r)
+		r.path.recordSilence(r)
 	}
-	*r.since(o.direct) = time.Time{}
+	*r.startOf(o.direct) = time.Time{}
 }
 
-// beginSpare tries the second way, unless it was tried or there is none.
-func (r *race) beginSpare() {
-	if r.spare {
-		r.spare = false
-		r.begin(r.spareDirect)
+// startBackup starts the second path unless it was started before or there is
+// none.
+func (r *hedgedCall) startBackup() {
+	if r.backupPending {
+		r.backupPending = false
+		r.start(r.backupDirect)
 	}
 }
 
-// RoundTrip makes a call, by the way that it is bound to if there is one. Otherwise it
-// returns the first answer that isn't a refusal: the second way is tried when the first one
-// fails or is slow. If all fail, the answer that leaves the most doubt is returned.
+// RoundTrip implements http.RoundTripper. A call that is bound to a path by
+// OnlyBy is made there. Otherwise the second path is tried when the first one
+// fails or is slow, and the first answer that isn't a refusal is returned. If
+// both fail, RoundTrip returns the outcome for which it is most likely that the
+// call took effect.
 func (p *Path) RoundTrip(req *http.Request) (*http.Response, error) {
 	if w, bound := req.Context().Value(wayKey{}).(Way); bound {
-		return p.by(req, w)
+		return p.callBound(req, w)
 	}
 	plan := p.plan()
-	var arriving atomic.Bool
-	req = req.WithContext(WithArrival(req.Context(), func() { arriving.Store(true) }))
-	r := &race{path: p, req: req, wait: waitOf(req), out: make(chan outcome, 2), spare: plan.usePeers, spareDirect: !plan.directFirst}
-	r.begin(plan.directFirst)
+	var responding atomic.Bool
+	req = req.WithContext(WithArrival(req.Context(), func() { responding.Store(true) }))
+	r := &hedgedCall{path: p, req: req, wait: waitOf(req), outcomes: make(chan outcome, 2), backupPending: plan.usePeers, backupDirect: !plan.directFirst}
+	r.start(plan.directFirst)
 	if plan.probe {
 		go p.probe(req, r.wait)
 	}
-	timer := time.NewTimer(r.patience())
+	timer := time.NewTimer(r.backupDelay())
 	defer timer.Stop()
 	var last outcome
 	for {
 		select {
 		case <-timer.C:
-			if !arriving.Load() { // a second copy would share a slow link with the first
-				r.beginSpare()
+			if !responding.Load() { // a second copy would share a slow link with the first
+				r.startBackup()
 			}
-		case o := <-r.out:
-			r.end(o)
+		case o := <-r.outcomes:
+			r.finish(o)
 			if !o.failed() {
 				return o.resp, nil
 			}
-			last = worse(last, o)
-			r.beginSpare()
-			if r.under == 0 {
+			last = moreUncertain(last, o)
+			r.startBackup()
+			if r.inFlight == 0 {
 				return last.resp, last.err
 			}
 		case <-req.Context().Done():
@@ -99,21 +106,22 @@
 	}
 }
 
-// outcome is what became of one way of a call.
+// outcome is the result of a call on one path.
 type outcome struct {
 	resp   *http.Response
 	err    error
 	direct bool
 }
 
-// failed reports whether another way may do better.
+// failed reports whether another path is worth trying.
 func (o outcome) failed() bool {
 	return o.err != nil || refuses(o.resp.StatusCode)
 }
 
-// doubt orders failed outcomes by how likely the call had its effect: surely not when
-// nothing was sent or the other end refused, perhaps when there was no answer.
-func (o outcome) doubt() int {
+// uncertainty ranks failed outcomes by how likely the call took effect:
+// certainly not if nothing was sent or the server refused, possibly if there
+// was no answer.
+func (o outcome) uncertainty() int {
 	var op *net.OpError
 	switch {
 	case o.err == nil && o.resp == nil:
@@ -128,10 +136,10 @@
 	return 4
 }
 
-// worse returns the outcome that leaves more doubt: a call is surely without effect
-// only if that is so on every way that was tried.
-func worse(a, b outcome) outcome {
-	if b.doubt() > a.doubt() {
+// moreUncertain returns the outcome with the higher uncertainty. A call has
+// certainly had no effect only if that is so on every path that was tried.
+func moreUncertain(a, b outcome) outcome {
+	if b.uncertainty() > a.uncertainty() {
 		return b
 	}
 	return a
--- a/internal/relay/race_internal_test.go
+++ b/internal/relay/race_internal_test.go
@@ -15,33 +15,35 @@
 	"go.uber.org/zap"
 )
 
-// slowBody is a direct way whose answer begins to arrive after a time and ends much later.
-type slowBody struct{ begins time.Duration }
+// slowTransport is a direct path whose answer begins to arrive after a delay
+// and ends much later.
+type slowTransport struct{ begins time.Duration }
 
 // RoundTrip implements http.RoundTripper.
-func (s slowBody) RoundTrip(req *http.Request) (*http.Response, error) {
+func (s slowTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	time.Sleep(s.begins)
-	if arrives, ok := req.Context().Value(arrivalKey{}).(func()); ok {
-		arrives()
+	if onArrival, ok := req.Context().Value(arrivalKey{}).(func()); ok {
+		onArrival()
 	}
-	time.Sleep(3 * hedgeAfter)
+	time.Sleep(3 * hedgeDelay)
 	return Answer(req, http.StatusOK, nil), nil
 }
 
-// TestNoSecondCopy checks that no peer is asked for an answer that arrives already: the copy would
-// share a slow link with it. The peer here can't be reached, which marks the way over peers.
+// TestNoSecondCopy checks that no peer is tried while an answer is already
+// arriving: the second copy would share a slow link with the first. The peer in
+// this test is unreachable, so that trying it sets peersSuspectUntil.
 func TestNoSecondCopy(t *testing.T) {
 	for _, c := range []struct {
 		begins time.Duration
 		asked  bool
 	}{
-		{hedgeAfter / 2, false},
-		{2 * hedgeAfter, true},
+		{hedgeDelay / 2, false},
+		{2 * hedgeDelay, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			links := NewLinks((&net.Dialer{}).DialContext, zap.NewNop())
 			defer links.Close()
-			p := New("http://store", RouteStore, &http.Client{Transport: slowBody{c.begins}}, links, zap.NewNop())
+			p := New("http://store", RouteStore, &http.Client{Transport: slowTransport{c.begins}}, links, zap.NewNop())
 			p.SetPeers([]Peer{{Address: "no address"}})
 			req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://store/x", nil)
 			if err != nil {
@@ -52,28 +54,32 @@
 				t.Fatal(err)
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
-			if asked := !p.peersSuspect.IsZero(); asked != c.asked {
+			if asked := !p.peersSuspectUntil.IsZero(); asked != c.asked {
 				t.Errorf("the answer begins after %v: a peer was asked: %t", c.begins, asked)
 			}
 		})
 	}
 }
 
-// silentWay is a direct way that never answers. It counts the calls that are tried on it.
-type silentWay struct{ tried atomic.Int32 }
+// silentTransport is a direct path that never answers. It counts the calls
+// tried on it.
+type silentTransport struct{ tried atomic.Int32 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *silentWay) RoundTrip(req *http.Request) (*http.Response, error) {
+func (s *silentTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	s.tried.Add(1)
 	<-req.Context().Done()
 	return nil, req.Context().Err()
 }
 
-// TestSilentDirectWay makes a call whose direct way is silent and which a peer answers, and then another one: that one goes to the peer at once.
+// TestSilentDirectWay checks that once a peer has answered a call for which the
+// direct path was silent, the next call goes to the peer at once.
 //
-// The owner's way to the store was silent for 7 s. Each of its calls waited for half a second there before a peer was asked, since a way that is
-// given up because another one has answered isn't noted as one that failed: 52 lines "connection-dead" of the store in those 7 s, and only after them
-// "direct-path works=false". Appends took half a second each, and 512 starts a little more than one: of 130 jobs that came within 6 s 82 were late.
+// The path that loses the race is canceled, so its silence isn't recorded as a
+// failure of that path. Without other detection, every call waits for the hedge
+// delay first: while the owner's path to the store was silent for 7 s, each
+// append took half a second and 512 starts a little more than one. Of 130 jobs
+// that arrived within 6 s, 82 were late.
 func TestSilentDirectWay(t *testing.T) {
 	store := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(store.Close)
@@ -84,8 +90,8 @@
 	t.Cleanup(peer.Close)
 	links := NewLinks(dial, zap.NewNop())
 	t.Cleanup(links.Close)
-	way := &silentWay{}
-	p := New(store.URL, RouteStore, &http.Client{Transport: way}, links, zap.NewNop())
+	direct := &silentTransport{}
+	p := New(store.URL, RouteStore, &http.Client{Transport: direct}, links, zap.NewNop())
 	p.SetPeers([]Peer{{Address: strings.TrimPrefix(peer.URL, "http://")}})
 	for range 2 {
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, store.URL+"/x", nil)
@@ -98,7 +104,7 @@
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
-	if n := way.tried.Load(); n != 1 {
-		t.Errorf("%d of 2 calls were tried on the silent way first, want 1", n)
+	if n := direct.tried.Load(); n != 1 {
+		t.Errorf("%d of 2 calls were tried on the silent direct path first, want 1", n)
 	}
 }
--- a/internal/relay/refused_test.go
+++ b/internal/relay/refused_test.go
@@ -13,23 +13,26 @@
 	"curlewsill.org/curlewsill/internal/relay"
 )
 
-// TestRefusedPeers plays the scripts of testdata/refused, in which the store turns away this host and some of its peers.
+// TestRefusedPeers runs the scripts of testdata/refused, in which the store
+// refuses this host and some of its peers.
 //
-// A store turned away 16 of 45 hosts for 9 s. A host that was refused asked the one peer to which it had a link open; if the store refused that one
-// too, the call was refused, and so were all others for a second. 12 jobs and 27 questions on jobs of such hosts were refused ("the store takes no
-// records", "the newest state can't be read") 1 to 7 ms after they had come, while the store served 29 hosts.
+// It guards against a host that gives up after the first refused peer. When a
+// store refused 16 of 45 hosts for 9 s, such hosts tried only the peer to which
+// they had an open link; if that was refused too, their calls failed, and so
+// did all calls of the next second. 12 jobs and 27 queries were refused within
+// 1 to 7 ms, while the store served 29 hosts.
 //
-//	peers MODE...      these are the peers; a mode is as in TestScripts
-//	calls N OUTCOME    so many calls of a host that the store turns away all end so
-//	made MOST          all peers together have made at most so many calls since they were named
+//	peers MODE...      replaces the peers; a mode is as in TestScripts
+//	calls N OUTCOME    makes N calls from a host that the store refuses; all end so
+//	made MOST          since the last peers command, the peers made at most so many calls
 func TestRefusedPeers(t *testing.T) {
 	scripttest.EachIn(t, "refused", func(t *testing.T, text string) {
 		links := newLinks(t)
-		direct := &way{mode: "busy"}
+		direct := &scriptedPath{mode: "busy"}
 		store := httptest.NewServer(http.HandlerFunc(direct.store))
 		t.Cleanup(store.Close)
 		path := relay.New(store.URL, relay.RouteStore, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, links, zap.NewNop())
-		var ways []*way
+		var paths []*scriptedPath
 		for i, line := range strings.Split(text, "\n") {
 			f := strings.Fields(line)
 			if len(f) == 0 || f[0] == "#" {
@@ -38,12 +41,12 @@
 			switch f[0] {
 			case "peers":
 				var peers []relay.Peer
-				ways = nil
+				paths = nil
 				for _, mode := range f[1:] {
-					w := &way{links: links, mode: mode}
+					w := &scriptedPath{links: links, mode: mode}
 					s := httptest.NewServer(http.HandlerFunc(w.peer))
 					t.Cleanup(s.Close)
-					ways, peers = append(ways, w), append(peers, relay.Peer{Address: strings.TrimPrefix(s.URL, "http://")})
+					paths, peers = append(paths, w), append(peers, relay.Peer{Address: strings.TrimPrefix(s.URL, "http://")})
 				}
 				path.SetPeers(peers)
 			case "calls":
@@ -54,7 +57,7 @@
 				}
 			case "made":
 				made := 0
-				for _, w := range ways {
+				for _, w := range paths {
 					made += int(w.made.Load())
 				}
 				if made > number(t, f[1]) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,15 +1,18 @@
-// Package relay makes HTTP calls through another entry host when the own path fails.
+// Package relay is an HTTP transport that relays calls through another entry
+// host when the direct path to the server fails.
 //
-// The platform's store may turn some hosts away while it serves the others. A Path
-// tries the direct way; when that fails or is slow, it sends the same call to a peer
-// over WebSocket with CBOR, and the peer makes it on its own direct path; while peers are
-// refused, up to mostPeers of them are asked in turn. A direct way on which nothing arrives
-// while peers are answered carries no calls until a probe is answered. Every call
-// that goes this way may be made twice without harm: appends carry a number, and all
-// others are reads or say the same again. A peer never passes a call on.
+// The platform's store may refuse some hosts while it serves others. A Path
+// first sends a call directly. If that fails or is slow, it sends the same call
+// to a peer over WebSocket with CBOR, and the peer makes it on its own direct
+// path. If peers are refused too, up to maxPeersTried of them are tried in
+// turn. A direct path that delivers no bytes while calls through a peer are
+// answered gets no more calls until a probe on it is answered. Every call that
+// is relayed must be safe to repeat: appends carry a number that removes
+// duplicates, and all other calls are reads or idempotent. A peer never
+// forwards a call to another peer.
 //
-// A call can be bound to one way by OnlyBy, which spreads calls over hosts; no other way is
-// tried then.
+// OnlyBy binds a call to one path, to spread calls over hosts; the call isn't
+// retried on another path then.
 package relay
 
 import (
@@ -32,45 +35,48 @@
 )
 
 const (
-	// hedgeAfter is how long the direct way may take, beyond the time that a
-	// call may wait at the store, before a peer is asked as well. A slow store
-	// answers within 300 ms.
-	hedgeAfter = 500 * time.Millisecond
-	// suspectFor is how long a way that failed is not the first choice. One second costs
-	// a host that is turned away for long one failed call a second.
-	suspectFor = time.Second
-	// maxBody bounds a call and an answer in bytes. The store takes 2 MB in an append and
-	// is asked for 1 MB in a read.
+	// hedgeDelay is how long the first path may take, beyond the time that the
+	// call may wait at the server, before a second path is tried as well. A
+	// slow store answers within 300 ms.
+	hedgeDelay = 500 * time.Millisecond
+	// suspectDuration is how long a path that failed isn't tried first. With
+	// one second, a host that the store refuses for long makes one failed call
+	// per second.
+	suspectDuration = time.Second
+	// maxBody bounds the body of a call and of an answer, in bytes. The store
+	// accepts 2 MB in an append, and reads ask it for 1 MB.
 	maxBody = 4 << 20
 )
 
-// errTooLarge reports an answer that was not read whole.
+// errTooLarge reports an answer that exceeds maxBody.
 var errTooLarge = errors.New("relay: the answer is too large")
 
-// ErrNoPeer reports that no peer is known or reachable.
+// ErrNoPeer reports that no peer is known or reachable. The call was not sent.
 var ErrNoPeer = errors.New("relay: no peer")
 
 // Peer is another entry host.
 type Peer struct {
-	// Address is where it listens for its peers.
+	// Address is the address at which it listens for its peers.
 	Address string
 }
 
-// call is one call on its way through a peer. Path includes the query.
+// call is one call to be made by a peer, as sent on a link. Path includes the
+// query.
 type call struct {
 	ID     uint64 `cbor:"1,keyasint"`
 	Method string `cbor:"2,keyasint"`
 	Path   string `cbor:"3,keyasint"`
 	Kind   string `cbor:"4,keyasint"`
 	Body   []byte `cbor:"5,keyasint"`
-	// Limit is how long the peer may take.
+	// Limit is how long the peer may take to make the call.
 	Limit time.Duration `cbor:"6,keyasint"`
-	// patience is how long a try waits, if it isn't left to the caller's context.
+	// patience bounds each try on this side; 0 leaves the bound to the caller's
+	// context.
 	patience time.Duration
 }
 
-// result answers a call. Status is 0 if the peer got no answer; the call may have had
-// its effect then.
+// result answers a call. Status is 0 if the peer got no answer from the server;
+// the call may have taken effect then.
 type result struct {
 	ID     uint64 `cbor:"1,keyasint"`
 	Status int    `cbor:"2,keyasint"`
@@ -82,21 +88,21 @@
 	results = codec.New[result]()
 )
 
-// Route is where a host takes its peers' calls to one address.
+// Route is the URL path at which a host accepts its peers' calls to one server.
 type Route string
 
 // The routes.
 const (
 	RouteStore  Route = "/v1/relay"
 	RouteAdvice Route = "/v1/relay/advice"
-	// RouteRecords leads to the peer's own writer.
+	// RouteRecords relays to the peer's own record writer.
 	RouteRecords Route = "/v1/records"
-	// RouteWatch leads to what the peer knows of the owner.
+	// RouteWatch serves what the peer knows of the owner.
 	RouteWatch Route = "/v1/watch"
 )
 
-// Path is an http.RoundTripper to one address over the direct way and over peers. It
-// is safe for concurrent use.
+// Path is an http.RoundTripper for calls to one server, made directly or
+// through peers. It is safe for concurrent use.
 type Path struct {
 	base   string
 	route  Route
@@ -106,18 +112,21 @@
 
 	mu    sync.Mutex
 	peers []Peer
-	// links holds the newest link to each peer, opening those that are being opened.
+	// links holds the newest link to each peer, opening the links that are
+	// being opened. Both are keyed by the peer's address.
 	links   map[string]*link
 	opening map[string]*opening
-	// avoidedUntil holds until when peers are not chosen, because a call through them was refused or not answered.
+	// avoidedUntil holds for each peer the time until which it isn't chosen,
+	// since a call through it was refused or not answered.
 	avoidedUntil map[string]time.Time
-	direct       directWay
-	// peersSuspect is until when peers are not asked.
-	peersSuspect time.Time
+	direct       directState
+	// peersSuspectUntil is the time until which no peer is tried.
+	peersSuspectUntil time.Time
 }
 
-// New returns a path to the address base (with its scheme) whose direct calls are made
-// by the given client. Peers take its calls on the route, over connections of the given set.
+// New returns a path to the server at base, a URL with scheme and host. The
+// client direct makes the direct calls. Peers accept relayed calls at the
+// route, over connections of conns.
 func New(base string, route Route, direct *http.Client, conns *wslink.Links, log *zap.Logger) *Path {
 	return &Path{
 		base: base, route: route, client: direct, conns: conns, log: log,
@@ -125,8 +134,10 @@
 	}
 }
 
-// SetPeers takes over which peers there are. A link to another one is left to the calls under way on it, and closed when it lies idle: a peer that the
-// platform doesn't list for a moment goes on to answer.
+// SetPeers replaces the list of peers. A link to a peer that is no longer
+// listed gets no new calls and is closed once it is idle. It isn't closed at
+// once, since a peer that the platform fails to list for a moment still answers
+// the calls in flight.
 func (p *Path) SetPeers(peers []Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,28 +151,29 @@
 	}
 }
 
-// plan says which ways a call takes.
+// plan says which paths a call takes.
 type plan struct {
-	// directFirst is set if the direct way comes first, as it does if peers can't be asked.
+	// directFirst is set if the direct path is tried first, as it is if no peer
+	// can be tried.
 	directFirst, usePeers bool
-	// probe is set if the direct way is to be probed beside the call.
+	// probe is set if the direct path has to be probed in parallel to the call.
 	probe bool
 }
 
-// plan returns the plan of a call that begins now.
+// plan returns the plan of a call that starts now.
 func (p *Path) plan() plan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	usePeers := len(p.peers) > 0 && now.After(p.peersSuspect)
+	usePeers := len(p.peers) > 0 && now.After(p.peersSuspectUntil)
 	if usePeers && p.direct.silent {
 		return plan{usePeers: true, probe: p.takeProbe(now)}
 	}
 	return plan{directFirst: !usePeers || now.After(p.direct.suspect), usePeers: usePeers}
 }
 
-// learn notes which ways work.
-func (p *Path) learn(o outcome) {
+// recordOutcome updates which paths are believed to work.
+func (p *Path) recordOutcome(o outcome) {
 	if errors.Is(o.err, context.Canceled) {
 		return
 	}
@@ -169,23 +181,23 @@
 	defer p.mu.Unlock()
 	now, until := time.Now(), time.Time{}
 	if o.failed() {
-		until = now.Add(suspectFor)
+		until = now.Add(suspectDuration)
 	}
 	if !o.direct {
-		p.peersSuspect = until
+		p.peersSuspectUntil = until
 		return
 	}
-	was := p.direct.silent || now.Before(p.direct.suspect)
+	wasFailing := p.direct.silent || now.Before(p.direct.suspect)
 	p.direct.suspect = until
 	if !o.failed() {
 		p.direct.silent = false
 	}
-	if was != o.failed() {
+	if wasFailing != o.failed() {
 		p.log.Info("direct-path", zap.String("to", p.base), zap.Bool("works", !o.failed()))
 	}
 }
 
-// try makes the call on one way.
+// try makes the call on one path: the direct one, or through a peer.
 func (p *Path) try(req *http.Request, direct bool, wait time.Duration) outcome {
 	if direct {
 		resp, err := p.tryDirect(req)
@@ -195,7 +207,7 @@
 	return outcome{resp: resp, err: err}
 }
 
-// tryDirect makes the call on the direct way.
+// tryDirect makes the call on the direct path.
 func (p *Path) tryDirect(req *http.Request) (*http.Response, error) {
 	body, err := bodyOf(req)
 	if err != nil {
@@ -208,9 +220,10 @@
 	return Answer(req, status, data), nil
 }
 
-// Make makes a call on the direct path and reads its answer whole.
+// Make makes a call on the direct path and reads its whole answer. Kind is the
+// content type of the body.
 func (p *Path) Make(ctx context.Context, method, path, kind string, body []byte) (int, []byte, error) {
-	req, err := http.NewRequestWithContext(traced(ctx), method, p.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(withArrivalTrace(ctx), method, p.base+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -221,31 +234,32 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	p.hear()
+	p.recordArrival()
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(arriving{resp.Body, arrivalOf(ctx)}, maxBody+1))
+	data, err := io.ReadAll(io.LimitReader(arrivalReader{resp.Body, arrivalOf(ctx)}, maxBody+1))
 	if err == nil && len(data) > maxBody {
 		err = errTooLarge
 	}
 	return resp.StatusCode, data, err
 }
 
-// arriving is the body of an answer. It tells of each part that arrives.
-type arriving struct {
+// arrivalReader reads the body of an answer and calls onArrival for each part
+// that arrives.
+type arrivalReader struct {
 	io.Reader
-	arrives func()
+	onArrival func()
 }
 
 // Read implements io.Reader.
-func (a arriving) Read(p []byte) (int, error) {
+func (a arrivalReader) Read(p []byte) (int, error) {
 	n, err := a.Reader.Read(p)
 	if n > 0 {
-		a.arrives()
+		a.onArrival()
 	}
 	return n, err
 }
 
-// bodyOf reads a copy of the body, so that both ways can send it.
+// bodyOf returns a copy of the request body, so that each path can send it.
 func bodyOf(req *http.Request) ([]byte, error) {
 	if req.GetBody == nil {
 		return nil, nil
@@ -257,7 +271,7 @@
 	return io.ReadAll(r)
 }
 
-// Answer returns an answer that was read whole, or one that this process gives itself.
+// Answer returns a response with the given status and body.
 func Answer(req *http.Request, status int, body []byte) *http.Response {
 	return &http.Response{
 		StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{},
@@ -265,52 +279,57 @@
 	}
 }
 
-// hedgeKey carries after which time another way is tried.
+// hedgeKey is the context key of WithHedge.
 type hedgeKey struct{}
 
-// WithHedge lets a call take so long on its first way, beyond the time that it may wait, before another one is tried as well, instead of hedgeAfter.
+// WithHedge sets the delay, beyond the time that the call may wait at the
+// server, after which a second path is tried in parallel to the first. It
+// replaces hedgeDelay for calls with the returned context.
 func WithHedge(ctx context.Context, after time.Duration) context.Context {
 	return context.WithValue(ctx, hedgeKey{}, after)
 }
 
-// hedgeOf returns what WithHedge has set.
+// hedgeOf returns the delay set by WithHedge, or hedgeDelay.
 func hedgeOf(ctx context.Context) time.Duration {
 	if after, ok := ctx.Value(hedgeKey{}).(time.Duration); ok {
 		return after
 	}
-	return hedgeAfter
+	return hedgeDelay
 }
 
-// arrivalKey carries what is to be called when a part of an answer arrives.
+// arrivalKey is the context key of WithArrival.
 type arrivalKey struct{}
 
-// WithArrival notes in ctx what is to be called when the answer to a call on the direct way begins to
-// arrive, and with each further part of it.
-func WithArrival(ctx context.Context, arrives func()) context.Context {
+// WithArrival registers a callback in ctx: it is called when the answer to a
+// call on the direct path begins to arrive, and for each further part of it. It
+// adds to the callbacks that ctx already has.
+func WithArrival(ctx context.Context, onArrival func()) context.Context {
 	if outer, ok := ctx.Value(arrivalKey{}).(func()); ok {
-		inner := arrives
-		arrives = func() {
+		inner := onArrival
+		onArrival = func() {
 			inner()
 			outer()
 		}
 	}
-	return context.WithValue(ctx, arrivalKey{}, arrives)
+	return context.WithValue(ctx, arrivalKey{}, onArrival)
 }
 
-// arrivalOf returns what WithArrival has noted.
+// arrivalOf returns the callback set by WithArrival, or one that does nothing.
 func arrivalOf(ctx context.Context) func() {
-	if arrives, ok := ctx.Value(arrivalKey{}).(func()); ok {
-		return arrives
+	if onArrival, ok := ctx.Value(arrivalKey{}).(func()); ok {
+		return onArrival
 	}
 	return func() {}
 }
 
-// traced lets what WithArrival has noted be called as an answer begins to arrive.
-func traced(ctx context.Context) context.Context {
+// withArrivalTrace makes the callback set by WithArrival run on the first byte
+// of an answer.
+func withArrivalTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: arrivalOf(ctx)})
 }
 
-// waitOf returns how long a call may wait at its other end by conntrack.WithWait, or 0.
+// waitOf returns how long the call may wait at the server, as set by
+// conntrack.WithWait, or 0.
 func waitOf(req *http.Request) time.Duration {
 	wait, _ := conntrack.Wait(req.Context())
 	return wait
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,24 +20,26 @@
 	"curlewsill.org/curlewsill/internal/wslink"
 )
 
-// TestScripts makes calls over paths that work or fail. A script has one line a call:
+// TestScripts makes calls over paths that work or fail. A script has one call
+// per line:
 //
 //	DIRECT PEER -> OUTCOME [by WAY]
 //
-// DIRECT and PEER say what becomes of the call on that way: ok, busy (503), lost (the
-// call was read and its connection closed), down (no connection) or none. OUTCOME is
-// ok, busy, unsent (surely no effect) or unknown. A call with a WAY is bound to it. The
-// lines of a script share one path, which learns which way works.
+// DIRECT and PEER say what happens to the call on that path: ok, busy (503),
+// lost (the call is read and its connection closed), down (no connection) or
+// none (no such path). OUTCOME is ok, busy, unsent (certainly no effect) or
+// unknown. A call with a WAY is bound to that path. The lines of a script share
+// one relay.Path, which remembers which path works.
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, run)
 }
 
-// way is one way of a call, scripted.
-type way struct {
+// scriptedPath is one path of a call, with scripted behavior.
+type scriptedPath struct {
 	mode string
-	// links are the connections of both hosts.
+	// links is the set of connections of both hosts.
 	links *wslink.Links
-	// made counts the calls that came to the store.
+	// made counts the calls that reached the store.
 	made atomic.Int32
 }
 
@@ -51,7 +53,7 @@
 
 func run(t *testing.T, text string) {
 	links := newLinks(t)
-	direct, peer := &way{}, &way{links: links}
+	direct, peer := &scriptedPath{}, &scriptedPath{links: links}
 	store := httptest.NewServer(http.HandlerFunc(direct.store))
 	t.Cleanup(store.Close)
 	other := httptest.NewServer(http.HandlerFunc(peer.peer))
@@ -100,14 +102,14 @@
 	return "ok"
 }
 
-func (w *way) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (w *scriptedPath) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if w.mode == "down" {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("refused")}
 	}
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-func (w *way) store(rw http.ResponseWriter, r *http.Request) {
+func (w *scriptedPath) store(rw http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.made.Add(1)
 	switch w.mode {
@@ -118,8 +120,8 @@
 	}
 }
 
-// peer is a peer's side: it answers by handing calls to a path of its own.
-func (w *way) peer(rw http.ResponseWriter, r *http.Request) {
+// peer handles connections as a peer does, making calls on its own direct path.
+func (w *scriptedPath) peer(rw http.ResponseWriter, r *http.Request) {
 	if w.mode == "down" {
 		rw.WriteHeader(http.StatusNotFound)
 		return
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -9,7 +9,8 @@
 	"curlewsill.org/curlewsill/internal/wslink"
 )
 
-// Handler returns the handler of peers' calls. They are made on the direct path.
+// Handler returns the handler for connections of peers. It makes their calls on
+// the direct path.
 func (p *Path) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, err := p.conns.Accept(w, r)
@@ -22,13 +23,13 @@
 	})
 }
 
-// serve makes the calls that come on a peer's connection until it ends. It never waits for one of
-// them, so that pings are answered whatever is under way.
+// serve makes the calls that arrive on a peer's connection until it ends. It
+// never waits for a call, so that pings are answered meanwhile.
 func (p *Path) serve(ctx context.Context, conn *wslink.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	slots := make(chan struct{}, servedAtOnce)
-	taken := make(chan struct{}, servedAtOnce+servedWaiting)
+	slots := make(chan struct{}, maxServed)
+	admitted := make(chan struct{}, maxServed+maxServedQueued)
 	for {
 		raw, err := conn.Read(ctx)
 		if err != nil {
@@ -40,20 +41,20 @@
 			return
 		}
 		select {
-		case taken <- struct{}{}:
+		case admitted <- struct{}{}:
 		default:
 			p.reply(ctx, conn, result{ID: c.ID, Status: http.StatusServiceUnavailable, Body: []byte("too many calls wait")})
 			continue
 		}
 		go func() {
-			defer func() { <-taken }()
+			defer func() { <-admitted }()
 			p.serveCall(ctx, conn, c, slots)
 		}()
 	}
 }
 
-// serveCall makes one call for a peer when it has got a slot. A call without an answer is answered
-// with status 0.
+// serveCall makes one call for a peer once a slot is free. If the call gets no
+// answer, the result has status 0.
 func (p *Path) serveCall(ctx context.Context, conn *wslink.Conn, c call, slots chan struct{}) {
 	select {
 	case slots <- struct{}{}:
@@ -71,7 +72,7 @@
 	p.reply(ctx, conn, res)
 }
 
-// reply writes the answer to a call.
+// reply writes the result of a call.
 func (p *Path) reply(ctx context.Context, conn *wslink.Conn, res result) {
 	raw, err := results.Encode(res)
 	if err != nil {
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -8,57 +8,65 @@
 	"go.uber.org/zap"
 )
 
-// probeLimit is how long a probe of the direct way may take beyond the time that the call may wait.
-const probeLimit = 2 * hedgeAfter
+// probeGrace is how long a probe of the direct path may take beyond the time
+// that the call may wait at the server.
+const probeGrace = 2 * hedgeDelay
 
-// directWay is what is known of the direct way of a path. The path's lock guards it.
-type directWay struct {
-	// suspect is until when the way isn't the first choice.
+// directState is what a Path knows about its direct path. Path.mu guards it.
+type directState struct {
+	// suspect is the time until which the direct path isn't tried first.
 	suspect time.Time
-	// heard is when something last arrived on the way.
-	heard time.Time
-	// silent is set while the way is suspect because nothing arrived on it. A call would wait for its hedge before a peer is
-	// asked, so the way is tried by a probe beside a call, and is the first choice only after an answer.
+	// lastArrival is when bytes last arrived on the direct path.
+	lastArrival time.Time
+	// silent is set while the direct path is suspect because no bytes arrived
+	// on it. Each call would wait for its hedge delay there before a peer is
+	// tried, so the path is only probed, in parallel to calls. It is tried
+	// first again once a probe is answered.
 	silent bool
 }
 
-// hear notes that something has arrived on the direct way.
-func (p *Path) hear() {
+// recordArrival records that bytes have arrived on the direct path.
+func (p *Path) recordArrival() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.direct.heard = time.Now()
+	p.direct.lastArrival = time.Now()
 }
 
-// takeProbe reports whether a probe of the direct way is due, and puts the next one off by suspectFor if so. The path is locked.
+// takeProbe reports whether a probe of the direct path is due. If so, the next
+// one is due after suspectDuration. The caller holds p.mu.
 func (p *Path) takeProbe(now time.Time) bool {
 	if !p.direct.silent || !now.After(p.direct.suspect) {
 		return false
 	}
-	p.direct.suspect = now.Add(suspectFor)
+	p.direct.suspect = now.Add(suspectDuration)
 	return true
 }
 
-// learnSilence notes that the direct way is silent if a peer has answered a call for which it had time enough. A store that is slow
-// for all hosts answers some call on the direct way meanwhile, and the peer as late.
-func (p *Path) learnSilence(r *race) {
+// recordSilence marks the direct path silent if a peer has answered a call that
+// the direct path has had enough time to answer. If the store were slow for all
+// hosts, some other call would have been answered on the direct path in that
+// time, or the peer's answer would have been as late.
+func (p *Path) recordSilence(r *hedgedCall) {
 	now := time.Now()
-	if r.directSince.IsZero() || now.Sub(r.directSince) < r.patience() || now.Sub(r.peerSince) >= hedgeAfter {
+	if r.directStart.IsZero() || now.Sub(r.directStart) < r.backupDelay() || now.Sub(r.peerStart) >= hedgeDelay {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.direct.silent || p.direct.heard.After(r.directSince) {
+	if p.direct.silent || p.direct.lastArrival.After(r.directStart) {
 		return
 	}
 	p.direct.silent = true
-	p.direct.suspect = now.Add(suspectFor)
-	p.log.Info("direct-path", zap.String("to", p.base), zap.Bool("works", false), zap.String("why", "silent while a peer is answered"),
-		zap.Duration("silent", now.Sub(r.directSince)), zap.Duration("peer", now.Sub(r.peerSince)))
+	p.direct.suspect = now.Add(suspectDuration)
+	p.log.Info("direct-path", zap.String("to", p.base), zap.Bool("works", false), zap.String("why", "the direct path is silent while a peer gets answers"),
+		zap.Duration("silent", now.Sub(r.directStart)), zap.Duration("peer", now.Sub(r.peerStart)))
 }
 
-// probe makes a call on the direct way for what becomes of it alone: the caller is answered by a peer, and doesn't end it.
+// probe makes a call on the direct path only to learn whether it is answered.
+// The caller gets its answer from a peer; the end of its request doesn't cancel
+// the probe.
 func (p *Path) probe(req *http.Request, wait time.Duration) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), wait+probeLimit)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), wait+probeGrace)
 	defer cancel()
-	p.learn(p.try(req.WithContext(ctx), true, wait))
+	p.recordOutcome(p.try(req.WithContext(ctx), true, wait))
 }
--- a/internal/relay/silence_internal_test.go
+++ b/internal/relay/silence_internal_test.go
@@ -16,32 +16,35 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// TestSilence judges the direct way as a peer answers a call that is under way on both, by the lines of testdata/silence/cases.txt.
+// TestSilence checks whether the direct path is marked silent when a peer
+// answers a call that is in flight on both, by the lines of
+// testdata/silence/cases.txt.
 //
-// A way that is taken for silent carries no calls until a probe is answered. When the store is slow for all hosts, a host that leaves its way for that
-// makes its calls through peers, which are as slow and have calls of their own.
+// A path that is marked silent gets no calls until a probe is answered. A host
+// must not leave its direct path because the store is slow for all hosts: its
+// calls would go through peers, which are as slow and have calls of their own.
 func TestSilence(t *testing.T) {
 	scripttest.EachLine(t, "silence/cases.txt", func(f []string) {
 		synctest.Test(t, func(t *testing.T) {
 			p := New("http://store", RouteStore, http.DefaultClient, nil, zap.NewNop())
 			waited, peer, now := duration(t, f[0]), duration(t, f[1]), time.Now()
-			r := &race{path: p, req: httptest.NewRequest(http.MethodGet, "/", nil), directSince: now.Add(-waited), peerSince: now.Add(-peer)}
+			r := &hedgedCall{path: p, req: httptest.NewRequest(http.MethodGet, "/", nil), directStart: now.Add(-waited), peerStart: now.Add(-peer)}
 			if f[2] != "never" {
-				p.direct.heard = now.Add(-duration(t, f[2]))
+				p.direct.lastArrival = now.Add(-duration(t, f[2]))
 			}
-			p.learnSilence(r)
+			p.recordSilence(r)
 			got := "works"
 			if p.direct.silent {
 				got = "silent"
 			}
 			if got != f[3] {
-				t.Errorf("%v: the direct way is taken for one that is %s", f, got)
+				t.Errorf("%v: the direct path is taken for one that is %s", f, got)
 			}
 		})
 	})
 }
 
-// get makes a call over a path and wants an answer.
+// get makes a call over a path and requires an answer with status 200.
 func get(t *testing.T, p *Path) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, p.base+"/x", nil)
@@ -66,55 +69,58 @@
 	return d
 }
 
-// mendedWay is a direct way that answers nothing until it is mended.
-type mendedWay struct {
-	silentWay
-	mended atomic.Bool
+// recoveringTransport is a direct path that doesn't answer until recovered is
+// set.
+type recoveringTransport struct {
+	silentTransport
+	recovered atomic.Bool
 }
 
 // RoundTrip implements http.RoundTripper.
-func (m *mendedWay) RoundTrip(req *http.Request) (*http.Response, error) {
-	if m.mended.Load() {
+func (m *recoveringTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+	if m.recovered.Load() {
 		return Answer(req, http.StatusOK, nil), nil
 	}
-	return m.silentWay.RoundTrip(req)
+	return m.silentTransport.RoundTrip(req)
 }
 
-// TestSilentWayReturns checks that the direct way is the first choice again once it answers, and that no call waits for it until then: it is probed
-// beside calls.
+// TestSilentWayReturns checks that a silent direct path is probed in parallel
+// to calls, that no call waits for it meanwhile, and that it is tried first
+// again once it answers.
 func TestSilentWayReturns(t *testing.T) {
-	way := &mendedWay{}
-	p := newPeeredPath(t, way, func(http.ResponseWriter, *http.Request) {})
+	direct := &recoveringTransport{}
+	p := newPeeredPath(t, direct, func(http.ResponseWriter, *http.Request) {})
 	get(t, p)
-	tried := way.tried.Load()
+	tried := direct.tried.Load()
 	p.mu.Lock()
 	p.direct.suspect = time.Now().Add(-time.Millisecond) // a probe is due
 	p.mu.Unlock()
 	get(t, p)
-	for way.tried.Load() == tried {
+	for direct.tried.Load() == tried {
 		time.Sleep(time.Millisecond)
 	}
 	if !p.silent() {
-		t.Error("the direct way is taken for one that works")
+		t.Error("the direct path is marked as working")
 	}
-	way.mended.Store(true)
+	direct.recovered.Store(true)
 	for p.silent() {
 		get(t, p)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// silent reports whether the direct way is taken for silent.
+// silent reports whether the direct path is marked silent.
 func (p *Path) silent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.direct.silent
 }
 
-// TestSilentPeer checks that a peer that got no answer is left out while there are others, as one is whose call was refused. Without it each
-// call was tried through the one peer to which a link was open.
+// TestSilentPeer checks that a peer that got no answer is avoided while there
+// are others, like one that was refused. Otherwise each call would be tried
+// through the one peer with an open link.
 func TestSilentPeer(t *testing.T) {
-	p := newPeeredPath(t, refusedWay{}, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	p := newPeeredPath(t, refusingTransport{}, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, p.base+"/x", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -122,20 +128,21 @@
 	if _, err := p.RoundTrip(req); !errors.Is(err, errNoAnswer) {
 		t.Errorf("the call ended with %v", err)
 	}
-	if p.othersLeft() {
+	if p.hasUsablePeer() {
 		t.Error("the silent peer is not avoided")
 	}
 }
 
-// refusedWay is a direct way on which all calls are refused.
-type refusedWay struct{}
+// refusingTransport is a direct path on which all calls are refused.
+type refusingTransport struct{}
 
 // RoundTrip implements http.RoundTripper.
-func (refusedWay) RoundTrip(req *http.Request) (*http.Response, error) {
+func (refusingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	return Answer(req, http.StatusServiceUnavailable, nil), nil
 }
 
-// newPeeredPath returns a path with a direct way and one peer, whose own direct way leads to a store.
+// newPeeredPath returns a path with the given direct transport and one peer,
+// whose own direct path leads to the store.
 func newPeeredPath(t *testing.T, direct http.RoundTripper, store http.HandlerFunc) *Path {
 	s := httptest.NewServer(store)
 	t.Cleanup(s.Close)
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// limit is how long a call may take that a script makes. A link that has died has to be found
-	// long before; nothing asserts by how much.
+	// limit bounds each call that a script makes. A dead link has to be found
+	// long before; no test asserts how long.
 	limit = 8 * time.Second
-	// patience is when a script that makes no progress is given up.
+	// patience is how long a script waits for a condition before it fails.
 	patience = 20 * time.Second
 )
 
-// TestSilent plays links that go silent for good, without a reset, while new ones work. A script
-// in testdata/silent has one command a line:
+// TestSilent tests links that go silent for good, without a reset, while new
+// ones work. A script in testdata/silent has one command per line:
 //
-//	calls N OUTCOME       makes N calls at once through the peer; ok, or unknown
-//	silence DIRECTION     all open links carry nothing more: to-target, from-target or both
+//	calls N OUTCOME       makes N calls concurrently through the peer; ok, or unknown
+//	silence DIRECTION     drops all data on open links: to-target, from-target or both
 //	open N                waits until N links are open at both ends
-//	made N                the peer has made so many calls
-//	hold | let            the peer's calls wait | go on
-//	start N | ended       begins N calls that have to be ok | waits until they have ended
+//	made N                waits until the peer has made N calls in all
+//	hold | let            blocks the peer's calls | unblocks them
+//	start N | ended       starts N calls that must succeed | waits until they have ended
 func TestSilent(t *testing.T) {
 	scripttest.EachIn(t, "silent", func(t *testing.T, text string) {
 		t.Parallel()
@@ -47,15 +47,15 @@
 	})
 }
 
-// pair is a host and its peer with a proxy between them.
+// pair is a host and its peer, with a proxy between them.
 type pair struct {
-	proxy *faultproxy.Proxy
-	path  *relay.Path
-	made  atomic.Int32
-	under sync.WaitGroup
+	proxy    *faultproxy.Proxy
+	path     *relay.Path
+	made     atomic.Int32
+	inFlight sync.WaitGroup
 
 	mu sync.Mutex
-	// gate is closed while calls go on.
+	// gate blocks the peer's calls until it is closed.
 	gate chan struct{}
 }
 
@@ -78,7 +78,7 @@
 	return w
 }
 
-// store answers a call of the peer.
+// store answers a call of the peer once the gate is open.
 func (w *pair) store(_ http.ResponseWriter, r *http.Request) {
 	w.made.Add(1)
 	w.mu.Lock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// do carries out one command.
+// do runs one command.
 func (w *pair) do(t *testing.T, words []string) {
 	t.Helper()
 	n := 0
@@ -100,11 +100,11 @@
 	switch words[0] {
 	case "calls":
 		w.start(t, n, words[2])
-		w.under.Wait()
+		w.inFlight.Wait()
 	case "start":
 		w.start(t, n, "ok")
 	case "ended":
-		w.under.Wait()
+		w.inFlight.Wait()
 	case "silence":
 		w.proxy.Silence(map[string]faultproxy.Direction{
 			"to-target": faultproxy.ToTarget, "from-target": faultproxy.FromTarget, "both": faultproxy.Both,
@@ -124,10 +124,10 @@
 	}
 }
 
-// start begins calls and checks their outcomes.
+// start starts n calls and checks their outcomes.
 func (w *pair) start(t *testing.T, n int, want string) {
 	for range n {
-		w.under.Go(func() {
+		w.inFlight.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), limit)
 			defer cancel()
 			status, _, err := w.path.To(ctx, w.proxy.Addr(), relay.Request{Method: http.MethodPost, Path: "/", Limit: limit})
@@ -142,12 +142,12 @@
 	}
 }
 
-// await looks until it sees what is wanted.
+// await polls until seen reports true, and fails the test after patience.
 func await(t *testing.T, words []string, seen func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !seen(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%v: not seen", words)
+			t.Fatalf("%v: condition not met in time", words)
 		}
 	}
 }
--- a/internal/relay/thin_internal_test.go
+++ b/internal/relay/thin_internal_test.go
@@ -12,31 +12,33 @@
 )
 
 const (
-	// thinLink is what the link of the tests carries, in bytes a second: 10 Mbit/s.
-	thinLink = 1_250_000
-	// thinChunk is how many bytes it carries at a time.
-	thinChunk = 4 << 10
-	// longAnswer is the size of a page of the store in bytes.
-	longAnswer = 1 << 20
+	// slowLinkRate is the rate of the link in the tests, in bytes per second:
+	// 10 Mbit/s.
+	slowLinkRate = 1_250_000
+	// slowLinkChunk is how many bytes it carries at a time.
+	slowLinkChunk = 4 << 10
+	// pageSize is the size of a page of the store in bytes.
+	pageSize = 1 << 20
 )
 
-// TestLongAnswerOverThinLink checks that a peer's answer may take as long as its size asks for.
+// TestLongAnswerOverThinLink checks that the limit for writing a peer's answer
+// grows with its size.
 //
-// Symptom: a host whose own way to the store fails never gets a page of records through a peer, and
-// calls that are under way there end unknown. Sequence: the peer writes the page for longer than
-// writeTimeout and ends the link; the call is made again, twice, on new links, which end in the same
-// way, with all else that is under way there. Cause: the limit for writing a message didn't depend on
-// its size. Figures: 1 MB over 10 Mbit/s takes 0.84 s; three links ended within 1.5 s.
+// With a fixed limit, a host whose direct path to the store fails never gets a
+// page of records through a peer: 1 MB takes 0.84 s at 10 Mbit/s, longer than
+// writeTimeout, so the peer ends the link with all other calls on it. The call
+// is retried on two more links, which end the same way: three links within 1.5
+// s.
 func TestLongAnswerOverThinLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lis := &thinListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+		lis := &slowListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 		links := NewLinks(lis.dial, zap.NewNop())
 		peer := New("http://store", RouteStore, &http.Client{Transport: pageStore{}}, links, zap.NewNop())
 		s := &http.Server{Handler: peer.Handler(), ReadHeaderTimeout: time.Second}
 		go func() { _ = s.Serve(lis) }()
 		path := New("http://store", RouteStore, http.DefaultClient, links, zap.NewNop())
 		status, body, err := path.To(t.Context(), "peer", Request{Method: http.MethodGet, Path: "/", Limit: 8 * time.Second})
-		if err != nil || status != http.StatusOK || len(body) != longAnswer {
+		if err != nil || status != http.StatusOK || len(body) != pageSize {
 			t.Errorf("status %d, %d bytes, %v", status, len(body), err)
 		}
 		if lis.dialed != 1 {
@@ -44,20 +46,20 @@
 		}
 		links.Close()
 		_ = s.Close()
-		time.Sleep(time.Minute) // the bubble's time; what a link still carries comes to its end
+		time.Sleep(time.Minute) // virtual time; data still in transit on links is delivered or dropped
 	})
 }
 
-// pageStore answers every call with a long page.
+// pageStore answers every call with a page of pageSize bytes.
 type pageStore struct{}
 
 // RoundTrip implements http.RoundTripper.
 func (pageStore) RoundTrip(req *http.Request) (*http.Response, error) {
-	return Answer(req, http.StatusOK, make([]byte, longAnswer)), nil
+	return Answer(req, http.StatusOK, make([]byte, pageSize)), nil
 }
 
-// thinListener takes connections within the process over a thin link.
-type thinListener struct {
+// slowListener accepts in-memory connections over a low-bandwidth link.
+type slowListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	// dialed counts the connections that were opened.
@@ -65,15 +67,15 @@
 }
 
 // dial opens a connection.
-func (l *thinListener) dial(context.Context, string, string) (net.Conn, error) {
+func (l *slowListener) dial(context.Context, string, string) (net.Conn, error) {
 	l.dialed++
 	near, far := net.Pipe()
-	l.conns <- thinConn{far}
+	l.conns <- slowConn{far}
 	return near, nil
 }
 
 // Accept implements net.Listener.
-func (l *thinListener) Accept() (net.Conn, error) {
+func (l *slowListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -83,23 +85,23 @@
 }
 
 // Close implements net.Listener.
-func (l *thinListener) Close() error {
+func (l *slowListener) Close() error {
 	close(l.closed)
 	return nil
 }
 
 // Addr implements net.Listener.
-func (*thinListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (*slowListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// thinConn is a connection that carries bytes as slowly as a thin link.
-type thinConn struct{ net.Conn }
+// slowConn is a connection that writes at slowLinkRate.
+type slowConn struct{ net.Conn }
 
 // Write implements net.Conn.
-func (c thinConn) Write(b []byte) (int, error) {
+func (c slowConn) Write(b []byte) (int, error) {
 	sent := 0
 	for sent < len(b) {
-		part := b[sent:min(len(b), sent+thinChunk)]
-		time.Sleep(time.Duration(len(part)) * time.Second / thinLink)
+		part := b[sent:min(len(b), sent+slowLinkChunk)]
+		time.Sleep(time.Duration(len(part)) * time.Second / slowLinkRate)
 		n, err := c.Conn.Write(part)
 		sent += n
 		if err != nil {
