--- a/internal/wslink/conn.go
+++ b/internal/wslink/conn.go
@@ -16,27 +16,30 @@
 	"curlewsill.org/curlewsill/internal/meter"
 )
 
-// Why a connection has ended.
+// Causes of the end of a connection.
 var (
-	// ErrSilent reports a peer from which nothing came in time.
+	// ErrSilent reports a peer from which nothing arrived in time.
 	ErrSilent = errors.New("wslink: the peer is silent")
-	// ErrIdle reports a connection that nobody has used for a while.
+	// ErrIdle reports a connection that wasn't used for Policy.Idle.
 	ErrIdle = errors.New("wslink: not used for a while")
-	// ErrBroken reports a connection that failed or that the peer ended.
+	// ErrBroken reports a connection that failed or that the peer closed.
 	ErrBroken = errors.New("wslink: the connection broke")
-	// ErrClosed reports a connection that this side has closed.
+	// ErrClosed reports a connection that this side closed.
 	ErrClosed = errors.New("wslink: closed")
 )
 
-// drawnShare is the part of a quiet pause that is drawn: a quarter of a second spreads 40
-// connections by 6 ms each, and costs a third more pings at most.
-const drawnShare = 0.25
+// pingJitter is the part of Policy.Quiet that is random. With Quiet at 1 s, a
+// quarter spreads the pings of 40 connections by 6 ms each, and costs at most a
+// third more pings.
+const pingJitter = 0.25
 
-// slowWrite is how long the writing of a message takes at least that holds up pings. A silent path takes
-// messages at once; one of 10 Mbit/s carries 60 kB in that time.
-const slowWrite = 50 * time.Millisecond
+// slowWriteMin is the shortest write that counts as one that delays pings. A
+// path that drops bytes silently accepts messages at once; one of 10 Mbit/s
+// carries 60 kB in that time.
+const slowWriteMin = 50 * time.Millisecond
 
-// Conn is one connection. Its methods may be called at the same time, but Read only by one.
+// Conn is one connection. Its methods may be called concurrently, except that
+// Read must have a single caller at a time.
 type Conn struct {
 	ws     *websocket.Conn
 	links  *Links
@@ -44,22 +47,25 @@
 	side   string
 	policy Policy
 	opened time.Time
-	// heard tells when the last byte came from the peer, or the last message or answer to a
-	// ping if bytes aren't seen; used tells when the last message was sent or came.
-	heard, used *meter.Meter
-	// heldUp tells when the writing of a message ended last that took slowWrite or longer.
-	heldUp *meter.Meter
-	// uses counts those who wait on the connection, writes the messages that are being written.
-	uses, writes atomic.Int32
-	// doubtful is set until the peer has answered a ping.
-	doubtful atomic.Bool
-	// kick makes watch look again.
-	kick chan struct{}
-
-	end sync.Once
-	// ctx is done once the connection has ended, stop ends it for a reason.
-	ctx  context.Context
-	stop context.CancelCauseFunc
+	// received records when bytes last arrived from the peer, or the last
+	// message or pong if reads of bytes aren't observed. lastUse records when a
+	// message was last sent or received.
+	received, lastUse *meter.Meter
+	// lastSlowWrite records when the last write ended that took slowWriteMin or
+	// longer.
+	lastSlowWrite *meter.Meter
+	// users counts the callers that wait on the connection, activeWrites the
+	// messages that are being written.
+	users, activeWrites atomic.Int32
+	// suspect is set until the peer has answered a ping.
+	suspect atomic.Bool
+	// wake makes watch reconsider its timers.
+	wake chan struct{}
+
+	endOnce sync.Once
+	// ctx is done once the connection has ended; cancel sets the cause.
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 }
 
 // Context is done when the connection has ended.
@@ -68,17 +74,17 @@
 // Cause returns why the connection has ended, or nil while it is open.
 func (c *Conn) Cause() error { return context.Cause(c.ctx) }
 
-// LastHeard returns when the last byte came from the peer.
-func (c *Conn) LastHeard() time.Time { return c.heard.Last() }
+// LastHeard returns when bytes last arrived from the peer.
+func (c *Conn) LastHeard() time.Time { return c.received.Last() }
 
-// Use notes that somebody waits on the connection until release is called: it isn't idle, and it
-// is pinged at once unless something has come from the peer lately.
+// Use marks the connection as in use until release is called: it isn't idle,
+// and it is pinged at once unless bytes have arrived within Policy.Waiting.
 func (c *Conn) Use() (release func()) {
-	c.uses.Add(1)
-	c.look()
+	c.users.Add(1)
+	c.wakeWatch()
 	return func() {
-		c.used.Touch()
-		c.uses.Add(-1)
+		c.lastUse.Touch()
+		c.users.Add(-1)
 	}
 }
 
@@ -86,50 +92,52 @@
 func (c *Conn) Read(ctx context.Context) ([]byte, error) {
 	_, raw, err := c.ws.Read(ctx)
 	if err != nil {
-		c.finish(fmt.Errorf("%w: %w", ErrBroken, err))
+		c.endWith(fmt.Errorf("%w: %w", ErrBroken, err))
 		return nil, c.Cause()
 	}
-	c.heard.Touch()
-	c.used.Touch()
+	c.received.Touch()
+	c.lastUse.Touch()
 	return raw, nil
 }
 
-// Write writes a message. When it fails, as when ctx is done before it is written whole, the
-// connection ends. ctx has to bound it: pings wait behind it.
+// Write writes a message. If it fails, or ctx is done before the message is
+// written completely, the connection ends. ctx must have a deadline, since
+// pings wait behind the message.
 func (c *Conn) Write(ctx context.Context, raw []byte) error {
 	began := time.Now()
-	c.writes.Add(1)
+	c.activeWrites.Add(1)
 	defer func() {
-		if time.Since(began) >= slowWrite {
-			c.heldUp.Touch()
+		if time.Since(began) >= slowWriteMin {
+			c.lastSlowWrite.Touch()
 		}
-		c.writes.Add(-1)
+		c.activeWrites.Add(-1)
 	}()
 	if err := c.ws.Write(ctx, websocket.MessageBinary, raw); err != nil {
-		c.finish(fmt.Errorf("%w: %w", ErrBroken, err))
+		c.endWith(fmt.Errorf("%w: %w", ErrBroken, err))
 		return c.Cause()
 	}
-	c.used.Touch()
+	c.lastUse.Touch()
 	return nil
 }
 
-// Ping asks the peer for a sign of life. It fails with ErrSilent if no byte came within the time
-// that the policy allows for it, and with ErrBroken if the connection has failed. It tells nothing,
-// and doesn't fail, while a long message is being written. It doesn't end the connection.
+// Ping pings the peer. It fails with ErrSilent if no byte arrived within
+// Policy.Answer, and with ErrBroken if the connection has failed. It returns
+// nil without proof while a long message is being written or received. It
+// doesn't close the connection.
 func (c *Conn) Ping(ctx context.Context) error {
-	began, before := time.Now(), c.heard.Last()
+	began, lastReceived := time.Now(), c.received.Last()
 	ctx, cancel := context.WithTimeout(ctx, c.policy.Answer)
 	defer cancel()
 	err := c.ws.Ping(ctx)
 	if err == nil {
-		c.heard.Touch()
+		c.received.Touch()
 		return nil
 	}
-	if !c.heard.Last().Equal(before) {
-		return nil // a long message is on its way, behind which the answer waits
+	if !c.received.Last().Equal(lastReceived) {
+		return nil // a long message is arriving, and the pong is queued behind it
 	}
-	if c.Cause() == nil && (c.writes.Load() > 0 || c.heldUp.Last().After(began)) {
-		return nil // the ping has waited behind a message of this side, whose own limit ends the connection
+	if c.Cause() == nil && (c.activeWrites.Load() > 0 || c.lastSlowWrite.Last().After(began)) {
+		return nil // the ping waited behind a message of this side; that message's own deadline ends the connection
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("%w: %w", ErrSilent, err)
@@ -137,18 +145,19 @@
 	return fmt.Errorf("%w: %w", ErrBroken, err)
 }
 
-// Close ends the connection. It may be called again.
-func (c *Conn) Close() { c.finish(ErrClosed) }
+// Close closes the connection. It may be called more than once.
+func (c *Conn) Close() { c.endWith(ErrClosed) }
 
-// EndSilent ends the connection because nothing has come on it for as long as a peer may be silent. It may be called again.
-func (c *Conn) EndSilent() { c.finish(fmt.Errorf("%w: a call has waited in vain", ErrSilent)) }
+// EndSilent closes the connection with ErrSilent, since nothing has arrived for
+// as long as the policy allows. It may be called more than once.
+func (c *Conn) EndSilent() { c.endWith(fmt.Errorf("%w: a call got no answer in time", ErrSilent)) }
 
-// finish ends the connection for a reason, unless it has ended.
-func (c *Conn) finish(cause error) {
-	c.end.Do(func() {
-		c.links.remove(c)
+// endWith closes the connection with a cause, unless it has ended.
+func (c *Conn) endWith(cause error) {
+	c.endOnce.Do(func() {
+		c.links.forget(c)
 		c.report(cause)
-		c.stop(cause)
+		c.cancel(cause)
 		go func() { _ = c.ws.CloseNow() }()
 		if errors.Is(cause, ErrSilent) {
 			c.links.Doubt()
@@ -160,75 +169,77 @@
 func (c *Conn) report(cause error) {
 	fields := []zap.Field{
 		zap.String("peer", c.peer), zap.String("side", c.side), zap.Duration("age", time.Since(c.opened)),
-		zap.Duration("unheard", c.heard.Ago()), zap.Duration("unused", c.used.Ago()), zap.Int32("waiting", c.uses.Load()), zap.Error(cause),
+		zap.Duration("unheard", c.received.Ago()), zap.Duration("unused", c.lastUse.Ago()), zap.Int32("waiting", c.users.Load()), zap.Error(cause),
 	}
 	switch {
 	case errors.Is(cause, ErrSilent):
-		c.links.silent.Add(1)
+		c.links.silentCount.Add(1)
 		c.links.log.Info("link-found-dead", fields...)
 	case errors.Is(cause, ErrBroken) && !errors.Is(cause, io.EOF):
 		c.links.log.Info("link-lost", fields...)
-	default: // closed by one of the sides on purpose
+	default: // closed on purpose by one of the sides
 		c.links.log.Debug("link-closed", fields...)
 	}
 }
 
-// doubt makes watch ping the peer soon.
-func (c *Conn) doubt() {
-	c.doubtful.Store(true)
-	c.look()
+// markSuspect makes watch ping the peer unless bytes have arrived within
+// Policy.Waiting.
+func (c *Conn) markSuspect() {
+	c.suspect.Store(true)
+	c.wakeWatch()
 }
 
-// look makes watch look at the connection now.
-func (c *Conn) look() {
+// wakeWatch makes watch reconsider its timers now.
+func (c *Conn) wakeWatch() {
 	select {
-	case c.kick <- struct{}{}:
-	default: // it will look anyway
+	case c.wake <- struct{}{}:
+	default: // a wake-up is pending already
 	}
 }
 
-// watch pings the peer whenever that is due, and ends the connection when it is dead or idle.
+// watch pings the peer when a ping is due, and closes the connection when it is
+// dead or idle.
 func (c *Conn) watch() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		wait := c.untilPing()
-		if wait <= 0 {
+		pingIn := c.untilPing()
+		if pingIn <= 0 {
 			if err := c.Ping(context.Background()); err != nil {
-				c.finish(err)
+				c.endWith(err)
 				return
 			}
-			c.doubtful.Store(false)
+			c.suspect.Store(false)
 			continue
 		}
-		left := c.untilIdle()
-		if left <= 0 {
-			c.finish(ErrIdle)
+		idleLeft := c.untilIdle()
+		if idleLeft <= 0 {
+			c.endWith(ErrIdle)
 			return
 		}
-		timer.Reset(min(wait, left))
+		timer.Reset(min(pingIn, idleLeft))
 		select {
 		case <-c.ctx.Done():
 			return
-		case <-c.kick:
+		case <-c.wake:
 		case <-timer.C:
 		}
 	}
 }
 
-// untilPing returns how long no ping is due.
+// untilPing returns the time until the next ping is due.
 func (c *Conn) untilPing() time.Duration {
-	due := c.policy.Quiet - time.Duration(rand.Float64()*drawnShare*float64(c.policy.Quiet))
-	if c.uses.Load() > 0 || c.doubtful.Load() {
+	due := c.policy.Quiet - time.Duration(rand.Float64()*pingJitter*float64(c.policy.Quiet))
+	if c.users.Load() > 0 || c.suspect.Load() {
 		due = c.policy.Waiting
 	}
-	return due - c.heard.Ago()
+	return due - c.received.Ago()
 }
 
-// untilIdle returns how long the connection is not idle yet.
+// untilIdle returns the time until the connection counts as idle.
 func (c *Conn) untilIdle() time.Duration {
-	if c.policy.Idle == 0 || c.uses.Load() > 0 {
+	if c.policy.Idle == 0 || c.users.Load() > 0 {
 		return c.policy.Quiet
 	}
-	return c.policy.Idle - c.used.Ago()
+	return c.policy.Idle - c.lastUse.Ago()
 }
--- a/internal/wslink/metered.go
+++ b/internal/wslink/metered.go
@@ -9,21 +9,22 @@
 	"curlewsill.org/curlewsill/internal/meter"
 )
 
-// metered is a connection with the meter that tells when bytes come on it.
+// metered is a connection that records when bytes arrive on it.
 type metered struct {
 	net.Conn
-	heard *meter.Meter
+	received *meter.Meter
 }
 
-// newMetered returns a connection with a meter.
-func newMetered(c net.Conn, heard *meter.Meter) *metered {
-	return &metered{Conn: heard.Conn(c), heard: heard}
+// newMetered wraps a connection to record the arrival of bytes in received.
+func newMetered(c net.Conn, received *meter.Meter) *metered {
+	return &metered{Conn: received.Conn(c), received: received}
 }
 
-// meteredWriter takes over the connection of an HTTP call as a metered one.
+// meteredWriter wraps the connection in metered when the response writer is
+// hijacked.
 type meteredWriter struct {
 	http.ResponseWriter
-	heard *meter.Meter
+	received *meter.Meter
 }
 
 // Hijack implements http.Hijacker.
@@ -32,13 +33,14 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return newMetered(conn, w.heard), rw, nil
+	return newMetered(conn, w.received), rw, nil
 }
 
 // DialFunc opens a connection, like net.Dialer's DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient returns a client for New whose connections' bytes are seen. It keeps no connections.
+// NewClient returns a client for New that wraps its connections in metered. It
+// keeps no idle connections.
 func NewClient(dial DialFunc) *http.Client {
 	open := func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
--- a/internal/wslink/network_test.go
+++ b/internal/wslink/network_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// direction says which bytes of a connection a fault concerns.
+// direction is a set of the directions that a fault affects.
 type direction int
 
 const (
@@ -15,21 +15,22 @@
 	fromTarget
 )
 
-// network is a listener in memory, for tests in virtual time. What is sent on a silenced connection
-// is taken and dropped, and neither end hears of the other's close.
+// network is an in-memory listener for tests in virtual time. Bytes sent on a
+// silenced connection are accepted and dropped, and neither end sees the
+// other's close.
 type network struct {
 	backlog chan net.Conn
 	once    sync.Once
 	closed  chan struct{}
 
 	mu sync.Mutex
-	// wires are the connections that were opened, in their order.
+	// wires holds the connections that were opened, in order.
 	wires []*wire
-	// pause is how long each chunk takes.
-	pause time.Duration
+	// chunkDelay is how long each chunk takes.
+	chunkDelay time.Duration
 }
 
-// wire is one connection: two pipes and what carries bytes between them.
+// wire is one connection: two pipes whose bytes are forwarded between them.
 type wire struct {
 	mu     sync.Mutex
 	silent direction
@@ -77,7 +78,7 @@
 	}
 }
 
-// pump carries bytes one way until that side ends.
+// pump forwards bytes in one direction until the source is closed.
 func (n *network) pump(w *wire, to, from net.Conn, d direction) {
 	buf := make([]byte, 4<<10)
 	for {
@@ -86,9 +87,9 @@
 			break
 		}
 		n.mu.Lock()
-		pause := n.pause
+		chunkDelay := n.chunkDelay
 		n.mu.Unlock()
-		time.Sleep(pause)
+		time.Sleep(chunkDelay)
 		if w.carries(d) {
 			_, _ = to.Write(buf[:k]) // a closed end is seen by the other pump
 		}
@@ -105,7 +106,8 @@
 	return w.silent&d == 0
 }
 
-// silence makes the connections from the first one on that are open now carry nothing more.
+// silence makes the open connections drop all bytes in direction d, starting
+// with the connection number first.
 func (n *network) silence(first int, d direction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,9 +118,9 @@
 	}
 }
 
-// setPause sets how long each chunk takes.
-func (n *network) setPause(d time.Duration) {
+// setChunkDelay sets how long each chunk takes.
+func (n *network) setChunkDelay(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.pause = d
+	n.chunkDelay = d
 }
--- a/internal/wslink/wslink.go
+++ b/internal/wslink/wslink.go
@@ -1,12 +1,14 @@
-// Package wslink opens and accepts the WebSocket connections between entry hosts, and finds those
-// that have died without a sign.
+// Package wslink opens and accepts the WebSocket connections between entry
+// hosts, and detects connections that have died without a reset.
 //
-// A path may take bytes, acknowledge them and carry nothing on: writes succeed and TCP's own probes
-// are answered. Only an answer that is missing shows it. So each side pings a connection from which
-// it has heard nothing for a while, sooner while somebody waits on it, and ends it when nothing at
-// all comes back in time. Any byte from the peer counts, so that a long message on a thin link isn't
-// taken for silence. A connection that is found dead makes all others of the host doubtful: they are
-// pinged at once.
+// A network path may accept and acknowledge bytes without delivering them:
+// writes succeed, and TCP keepalive probes are answered. Only a missing answer
+// from the peer shows it. So each side pings a connection on which it has
+// received nothing for a while, sooner if a caller waits on it, and closes it
+// when no bytes come back in time. Any byte from the peer counts as an answer,
+// so that a long message on a low-bandwidth link isn't mistaken for silence.
+// When a connection is found dead, all other connections of the host become
+// suspect and are pinged at once.
 package wslink
 
 import (
@@ -24,45 +26,51 @@
 	"curlewsill.org/curlewsill/internal/meter"
 )
 
-// Policy says when a connection is pinged and when it is ended.
+// Policy says when a connection is pinged and when it is closed.
 type Policy struct {
-	// Quiet is after which time without a byte from the peer it is pinged. Each pause is drawn
-	// between three quarters of it and the whole: connections that died together are then not
-	// found, and opened again, all at once.
+	// Quiet is how long nothing may arrive from the peer before it is pinged.
+	// The actual time is random between three quarters of it and the whole:
+	// connections that died together are then not detected, and opened again,
+	// all at once.
 	Quiet time.Duration
-	// Waiting is the same while somebody waits on the connection or it is doubtful.
+	// Waiting replaces Quiet while the connection is in use or suspect. It has
+	// no jitter.
 	Waiting time.Duration
-	// Answer is how long a peer that was pinged may be silent.
+	// Answer is how long a pinged peer may send nothing before the connection
+	// counts as dead.
 	Answer time.Duration
-	// Idle is after which time without use the connection is ended; 0 is never.
+	// Idle is how long the connection may be unused before it is closed; 0
+	// disables this.
 	Idle time.Duration
 }
 
-// Policies are those of the two sides of a connection. The accepting side's Quiet is best longer
-// than the dialing side's, whose pings it hears: it then pings only those that don't.
+// Policies holds the policies of the two sides of a connection. The accepting
+// side's Quiet should be longer than the dialing side's: it then pings only
+// peers whose own pings don't arrive.
 type Policies struct {
 	Dialed, Accepted Policy
 }
 
 // Links is a host's set of connections. It is safe for concurrent use.
 type Links struct {
-	client   *http.Client
-	policies Policies
-	limit    int64
-	log      *zap.Logger
+	client     *http.Client
+	policies   Policies
+	maxMessage int64
+	log        *zap.Logger
 
 	mu sync.Mutex
-	// open holds the connections that have not ended.
+	// open holds the connections that have not been closed.
 	open map[*Conn]struct{}
-	// closed is set once no further connections are taken.
+	// closed is set once the set accepts no more connections.
 	closed bool
 
-	silent atomic.Uint64
+	silentCount atomic.Uint64
 }
 
-// New returns an empty set. The client opens its connections, and limit bounds a message in bytes.
-func New(c *http.Client, p Policies, limit int64, log *zap.Logger) *Links {
-	return &Links{client: c, policies: p, limit: limit, log: log, open: map[*Conn]struct{}{}}
+// New returns an empty set. The client opens its connections, and maxMessage
+// bounds a message in bytes.
+func New(c *http.Client, p Policies, maxMessage int64, log *zap.Logger) *Links {
+	return &Links{client: c, policies: p, maxMessage: maxMessage, log: log, open: map[*Conn]struct{}{}}
 }
 
 // Open returns how many connections are open.
@@ -72,15 +80,17 @@
 	return len(l.open)
 }
 
-// Silent returns how many connections were found dead because their peers said nothing.
-func (l *Links) Silent() uint64 { return l.silent.Load() }
+// Silent returns how many connections were closed because nothing came from
+// their peers.
+func (l *Links) Silent() uint64 { return l.silentCount.Load() }
 
-// Dial opens a connection. The URL's scheme is ws or wss. A dialed connection has to be read.
+// Dial opens a connection. The URL's scheme is ws or wss. The caller must keep
+// calling Read on it, so that pings are answered.
 func (l *Links) Dial(ctx context.Context, url string) (*Conn, error) {
-	var heard *meter.Meter
+	var received *meter.Meter
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		if m, ok := i.Conn.(*metered); ok {
-			heard = m.heard
+			received = m.received
 		}
 	}})
 	ws, resp, err := websocket.Dial(ctx, url, &websocket.DialOptions{HTTPClient: l.client})
@@ -90,31 +100,33 @@
 	if err != nil {
 		return nil, fmt.Errorf("wslink: %w", err)
 	}
-	return l.add(ws, url, "dialed", l.policies.Dialed, heard)
+	return l.add(ws, url, "dialed", l.policies.Dialed, received)
 }
 
-// Accept takes a connection that a peer opens. It answers the peer also if it fails. An accepted
-// connection has to be read, and its reader may not block.
+// Accept accepts a connection that a peer opens. It also writes the response if
+// it fails. The caller must keep calling Read on it, without blocking in
+// between, so that pings are answered.
 func (l *Links) Accept(w http.ResponseWriter, r *http.Request) (*Conn, error) {
-	m := &meteredWriter{ResponseWriter: w, heard: meter.New()}
+	m := &meteredWriter{ResponseWriter: w, received: meter.New()}
 	ws, err := websocket.Accept(m, r, nil)
 	if err != nil {
 		return nil, fmt.Errorf("wslink: %w", err)
 	}
-	return l.add(ws, r.RemoteAddr, "accepted", l.policies.Accepted, m.heard)
+	return l.add(ws, r.RemoteAddr, "accepted", l.policies.Accepted, m.received)
 }
 
-// add begins to watch a connection. Heard is nil if its bytes aren't seen.
-func (l *Links) add(ws *websocket.Conn, peer, side string, p Policy, heard *meter.Meter) (*Conn, error) {
-	ws.SetReadLimit(l.limit)
-	if heard == nil {
-		heard = meter.New()
+// add adds a connection to the set and starts to watch it. received is nil if
+// reads of its bytes aren't observed.
+func (l *Links) add(ws *websocket.Conn, peer, side string, p Policy, received *meter.Meter) (*Conn, error) {
+	ws.SetReadLimit(l.maxMessage)
+	if received == nil {
+		received = meter.New()
 	}
 	c := &Conn{
 		ws: ws, links: l, peer: peer, side: side, policy: p, opened: time.Now(),
-		heard: heard, used: meter.New(), heldUp: meter.New(), kick: make(chan struct{}, 1),
+		received: received, lastUse: meter.New(), lastSlowWrite: meter.New(), wake: make(chan struct{}, 1),
 	}
-	c.ctx, c.stop = context.WithCancelCause(context.Background())
+	c.ctx, c.cancel = context.WithCancelCause(context.Background())
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
@@ -127,22 +139,22 @@
 	return c, nil
 }
 
-// remove forgets a connection that has ended.
-func (l *Links) remove(c *Conn) {
+// forget removes a connection that was closed.
+func (l *Links) forget(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
 }
 
-// Doubt makes all open connections doubtful: those that haven't brought anything lately are pinged
-// at once.
+// Doubt marks all open connections suspect: those that have received nothing
+// for Policy.Waiting are pinged at once.
 func (l *Links) Doubt() {
 	for _, c := range l.all() {
-		c.doubt()
+		c.markSuspect()
 	}
 }
 
-// Close ends all connections and takes no more.
+// Close closes all connections; the set accepts no more.
 func (l *Links) Close() {
 	l.mu.Lock()
 	l.closed = true
--- a/internal/wslink/wslink_test.go
+++ b/internal/wslink/wslink_test.go
@@ -19,28 +19,29 @@
 	"curlewsill.org/curlewsill/internal/wslink"
 )
 
-// policies are those of the tests, with times that are easy to reckon with.
+// policies has round durations, to make the scripts easy to follow.
 var policies = wslink.Policies{
 	Dialed:   wslink.Policy{Quiet: time.Second, Waiting: 200 * time.Millisecond, Answer: 500 * time.Millisecond, Idle: 10 * time.Second},
 	Accepted: wslink.Policy{Quiet: 3 * time.Second, Waiting: 200 * time.Millisecond, Answer: 500 * time.Millisecond},
 }
 
-// TestScripts plays connections between two hosts in virtual time. A script has one command a line:
+// TestScripts runs scripts with connections between two hosts in virtual time.
+// A script has one command per line:
 //
 //	dial NAME               opens a connection
-//	use NAME | release NAME somebody waits on it | waits no longer
+//	use NAME | release NAME a caller starts | stops waiting on it
 //	close NAME              the dialing side closes it
-//	silence DIR [FIRST]     connections carry nothing more: to-target, from-target, both; from the
-//	                        one with that number on, counted from 0
-//	thin DURATION           each 4 kB take so long from now on
-//	send BYTES              the newest connection's accepting side sends a message
+//	silence DIR [FIRST]     connections drop all bytes: to-target, from-target, both; starts with
+//	                        the connection of that number, counted from 0
+//	thin DURATION           from now on, each 4 kB take so long
+//	send BYTES              the accepting side of the newest connection sends a message
 //	write NAME BYTES        the dialing side sends a message
-//	doubt SIDE              all connections of a side become doubtful: dialed or accepted
+//	doubt SIDE              all connections of a side become suspect: dialed or accepted
 //	wait DURATION
-//	open DIALED ACCEPTED    so many are open on the two sides
-//	silent DIALED ACCEPTED  so many were found dead
-//	cause NAME WHY          why the dialing side's connection has ended: silent, idle, broken,
-//	                        closed, or open
+//	open DIALED ACCEPTED    checks how many connections are open on the two sides
+//	silent DIALED ACCEPTED  checks how many were found dead
+//	cause NAME WHY          checks why the connection ended on the dialing side: silent, idle,
+//	                        broken, closed, or open
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
 		synctest.Test(t, func(t *testing.T) {
@@ -66,7 +67,7 @@
 	releases map[string]func()
 
 	mu sync.Mutex
-	// newest is the newest accepted connection.
+	// newest is the connection that was accepted last.
 	newest *wslink.Conn
 }
 
@@ -80,7 +81,7 @@
 	return w
 }
 
-// accept reads a connection until it ends.
+// accept accepts a connection and reads it until it ends.
 func (w *hosts) accept(rw http.ResponseWriter, r *http.Request) {
 	c, err := w.accepts.Accept(rw, r)
 	if err != nil {
@@ -94,8 +95,8 @@
 	}
 }
 
-// stop ends all that runs. In the virtual time after it, what is still on its way arrives; the
-// test fails if a goroutine remains.
+// stop closes everything. Bytes still in transit arrive in the virtual time
+// that follows; the test fails if a goroutine remains.
 func (w *hosts) stop() {
 	w.opens.Close()
 	w.accepts.Close()
@@ -103,7 +104,7 @@
 	time.Sleep(time.Minute)
 }
 
-// do carries out one command.
+// do runs one command.
 func (w *hosts) do(t *testing.T, f []string) {
 	t.Helper()
 	switch f[0] {
@@ -122,7 +123,7 @@
 		}
 		w.network.silence(first, map[string]direction{"to-target": toTarget, "from-target": fromTarget, "both": toTarget | fromTarget}[f[1]])
 	case "thin":
-		w.network.setPause(duration(t, f[1]))
+		w.network.setChunkDelay(duration(t, f[1]))
 	case "send":
 		w.mu.Lock()
 		c := w.newest
@@ -139,7 +140,7 @@
 	}
 }
 
-// check compares what is seen with what a script says.
+// check compares the state of the hosts with what a script expects.
 func (w *hosts) check(t *testing.T, f []string) {
 	t.Helper()
 	var got []string
@@ -173,12 +174,12 @@
 	return c
 }
 
-// send sends a message without waiting for it.
+// send sends a message asynchronously.
 func send(c *wslink.Conn, n int) {
 	go func() { _ = c.Write(context.Background(), make([]byte, n)) }()
 }
 
-// why names the cause of an end.
+// why returns the script's name for the cause of an end.
 func why(err error) string {
 	for name, cause := range map[string]error{
 		"silent": wslink.ErrSilent, "idle": wslink.ErrIdle, "broken": wslink.ErrBroken, "closed": wslink.ErrClosed,
@@ -208,8 +209,8 @@
 	return d
 }
 
-// TestNothingStays silences ten connections a hundred times, in each direction, and counts
-// goroutines before and after.
+// TestNothingStays checks that no goroutine leaks when ten connections are
+// silenced, a hundred times, in each direction.
 func TestNothingStays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newHosts(t)
@@ -231,14 +232,14 @@
 	})
 }
 
-// goroutines returns how many goroutines the test has. The runtime's own, which come and go with the
-// collection of garbage, aren't among them.
+// goroutines returns the number of goroutines in the test's bubble. The
+// runtime's own, which come and go with garbage collection, aren't counted.
 func goroutines() int {
 	all := make([]byte, 1<<20)
 	return strings.Count(string(all[:runtime.Stack(all, true)]), "synctest bubble")
 }
 
-// TestPing checks that a ping has an answer, and none on a silent connection.
+// TestPing checks that a ping succeeds, and fails on a silent connection.
 func TestPing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newHosts(t)
