--- a/internal/conntrack/call.go
+++ b/internal/conntrack/call.go
@@ -8,83 +8,89 @@
 	"time"
 )
 
-// waitKey carries how long a call may wait at its other end.
+// waitKey is the context key of WithWait.
 type waitKey struct{}
 
-// WithWait notes in ctx how long a call may wait at its other end for news.
+// WithWait sets in ctx how long a call may wait at the server for an event, as
+// a long poll does.
 func WithWait(ctx context.Context, wait time.Duration) context.Context {
 	return context.WithValue(ctx, waitKey{}, wait)
 }
 
-// Wait returns what WithWait has noted, or false if nothing was.
+// Wait returns the duration set by WithWait, or false if none was set.
 func Wait(ctx context.Context) (time.Duration, bool) {
 	wait, known := ctx.Value(waitKey{}).(time.Duration)
 	return wait, known
 }
 
-// call is one call under way.
+// call is one call in flight.
 type call struct {
 	transport *Transport
 	began     time.Time
-	// address is where it goes, life the one there that it is for; empty if any will do.
-	address, life string
-	// wait is how long it may wait at its other end; known is set if the caller said so.
+	// address is where the call goes, incarnation the process there that it is
+	// for; empty if any will do.
+	address, incarnation string
+	// wait is how long the call may wait at the server; known is set if the
+	// caller specified it.
 	wait  time.Duration
 	known bool
 
-	// conn is the connection that it was sent on, nil before; idle is for how long that lay unused,
-	// first whether it is the first call there. Guarded by the transport's lock.
+	// conn is the connection that the call was sent on, nil before; idle is for
+	// how long it was unused, first whether this is its first call. Guarded by
+	// the transport's lock.
 	conn  *conn
 	idle  time.Duration
 	first bool
-	// misdirected is set once another life has answered, settled once the call has ended. Guarded by the
-	// transport's lock.
-	misdirected, settled bool
+	// misdirected is set once another incarnation has answered, ended once the
+	// call has ended. Guarded by the transport's lock.
+	misdirected, ended bool
 }
 
 func newCall(req *http.Request, t *Transport) *call {
 	c := &call{transport: t, began: time.Now(), address: req.URL.Host}
-	if t.perLife {
-		c.life = lifeOf(req.Context())
+	if t.perIncarnation {
+		c.incarnation = incarnationOf(req.Context())
 	}
 	c.wait, c.known = Wait(req.Context())
 	return c
 }
 
-// got notes the connection that the call goes on. A suspect one is closed: the base transport takes
-// another, since nothing was sent.
-func (c *call) got(info httptrace.GotConnInfo) {
+// gotConn records the connection that the call uses. A suspect one is closed:
+// the base transport retries on another, since nothing was sent.
+func (c *call) gotConn(info httptrace.GotConnInfo) {
 	x, ok := info.Conn.(*conn)
 	if !ok {
 		return
 	}
-	if c.take(x, info.IdleTime) {
+	if c.setConn(x, info.IdleTime) {
 		_ = x.Close()
 	}
 }
 
-// take notes the connection that the call goes on, and reports whether that is suspect.
-func (c *call) take(x *conn, idle time.Duration) bool {
+// setConn records the connection that the call uses, and reports whether it is
+// suspect.
+func (c *call) setConn(x *conn, idle time.Duration) bool {
 	t := c.transport
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c.conn, c.idle, c.first = x, idle, !x.used
 	x.call = c
 	p := t.peers[x.to]
-	return p != nil && p.suspects(x)
+	return p != nil && p.isSuspect(x)
 }
 
-// leave notes that the call has ended, and returns its connection; nil if it had none or has ended
-// before. An answer proves the connection for the time when the call left. retire is set if that
-// isn't enough to use it again.
-func (c *call) leave(answered bool) (x *conn, retire bool) {
+// finish records that the call has ended, and returns its connection; nil if it
+// had none or had ended before. An answer proves that the connection worked
+// when the call was sent. retire is set if the connection is suspect all the
+// same and must not be used again.
+func (c *call) finish(answered bool) (x *conn, retire bool) {
 	t := c.transport
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c.settled {
+	if c.ended {
 		return nil, false
 	}
-	c.settled = true
+	c.ended = true
 	x = c.conn
 	if x == nil {
 		return nil, false
@@ -100,29 +106,29 @@
 		x.call = nil
 	}
 	p := t.peers[x.to]
-	return x, answered && idle && p != nil && p.suspects(x)
+	return x, answered && idle && p != nil && p.isSuspect(x)
 }
 
-// answered notes that the answer was read whole.
+// answered records that the answer was read completely.
 func (c *call) answered() {
-	if x, retire := c.leave(true); retire {
+	if x, retire := c.finish(true); retire {
 		_ = x.Close()
 	}
 }
 
-// failed notes that the call ended without an answer.
+// failed records that the call ended without an answer.
 func (c *call) failed(err error) {
-	x, _ := c.leave(false)
+	x, _ := c.finish(false)
 	if x == nil {
 		return
 	}
 	now := time.Now()
-	if w := why(err, now.Sub(c.began), c.wait, c.known); w != "" {
-		c.transport.suspect(x, Found{To: x.to, Age: now.Sub(x.opened), Idle: c.idle, First: c.first, Why: w})
+	if w := deadReason(err, now.Sub(c.began), c.wait, c.known); w != "" {
+		c.transport.reportDead(x, Found{To: x.to, Age: now.Sub(x.opened), Idle: c.idle, First: c.first, Why: w})
 	}
 }
 
-// body is an answer's body, which tells its call when it has been read.
+// body is the body of an answer. It notifies its call when it has been read.
 type body struct {
 	io.ReadCloser
 	call *call
@@ -144,6 +150,6 @@
 // Close implements io.Closer.
 func (b *body) Close() error {
 	err := b.ReadCloser.Close()
-	b.call.leave(false)
+	b.call.finish(false)
 	return err
 }
--- a/internal/conntrack/life.go
+++ b/internal/conntrack/life.go
@@ -7,31 +7,36 @@
 	"net/http"
 )
 
-// errGone reports a connection to a life that has turned out to be gone while it was opened.
+// errGone reports that another incarnation answered while a connection was
+// being opened.
 var errGone = errors.New("conntrack: another life has answered")
 
-// lifeKey carries the life that a call is for, callKey the call for the dialer.
+// incarnationKey is the context key of WithLife, callKey the one under which
+// the dialer finds the call.
 type (
-	lifeKey struct{}
-	callKey struct{}
+	incarnationKey struct{}
+	callKey        struct{}
 )
 
-// WithLife notes in ctx which life of the process at an address a call is for. The process of an earlier
-// life may go on answering on connections that it has accepted, and its answer says nothing of this one.
-func WithLife(ctx context.Context, life string) context.Context {
-	return context.WithValue(ctx, lifeKey{}, life)
+// WithLife sets in ctx the incarnation of the process at an address that a call
+// is for. An earlier incarnation may keep answering on connections that it has
+// accepted, and its answers say nothing about this one.
+func WithLife(ctx context.Context, incarnation string) context.Context {
+	return context.WithValue(ctx, incarnationKey{}, incarnation)
 }
 
-// lifeOf returns the life that a call is for; empty if any will do.
-func lifeOf(ctx context.Context) string {
-	life, _ := ctx.Value(lifeKey{}).(string)
-	return life
+// incarnationOf returns the incarnation that a call is for; empty if any will
+// do.
+func incarnationOf(ctx context.Context) string {
+	incarnation, _ := ctx.Value(incarnationKey{}).(string)
+	return incarnation
 }
 
-// send makes the call. One for a life has a URL of its own, so that the base transport keeps its
-// connections apart. What is sent stays as it is, also the Host; the dialer finds the call in the context.
+// send makes the call. A call for an incarnation uses its own URL host, so that
+// the base transport pools its connections separately. What is sent doesn't
+// change, including the Host header; the dialer finds the call in the context.
 func (c *call) send(ctx context.Context, req *http.Request) (*http.Response, error) {
-	if c.life == "" {
+	if c.incarnation == "" {
 		return c.transport.base.RoundTrip(req.WithContext(ctx))
 	}
 	out := req.WithContext(context.WithValue(ctx, callKey{}, c))
@@ -49,36 +54,39 @@
 	return resp, nil
 }
 
-// poolHost returns a host for URLs that no call for another life or another address has.
+// poolHost returns a URL host that is unique to the call's incarnation and
+// address.
 func (c *call) poolHost() string {
 	out := make([]byte, 0, 128)
-	out = hex.AppendEncode(out, []byte(c.life))
+	out = hex.AppendEncode(out, []byte(c.incarnation))
 	out = append(out, '.')
 	return string(append(out, c.address...))
 }
 
-// opener returns the call that opens a connection; host is what the base transport believes to be its
-// address.
-func opener(ctx context.Context, host string) *call {
+// dialingCall returns the call for which a connection is opened; host is the
+// address as the base transport knows it.
+func dialingCall(ctx context.Context, host string) *call {
 	if c, apart := ctx.Value(callKey{}).(*call); apart {
 		return c
 	}
 	return &call{address: host}
 }
 
-// misdirected takes in that another life answered a call: the connections that were opened for the
-// call's life are not used again. A later call for it asks whoever listens then.
+// misdirected handles an answer from another incarnation: the connections that
+// were opened for the call's incarnation are not used again. A later call for
+// it connects to the process that listens then.
 func (t *Transport) misdirected(c *call) {
-	for _, x := range t.spend(c) {
+	for _, x := range t.markStale(c) {
 		_ = x.Close()
 	}
 }
 
-// spend marks the connections that were opened for a call's life, and returns the idle ones.
-func (t *Transport) spend(c *call) (idle []*conn) {
+// markStale marks the connections that were opened for a call's incarnation,
+// and returns the idle ones.
+func (t *Transport) markStale(c *call) (idle []*conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c.conn == nil || c.conn.life == "" {
+	if c.conn == nil || c.conn.incarnation == "" {
 		return nil
 	}
 	c.misdirected = true
@@ -87,10 +95,10 @@
 		return nil
 	}
 	for x := range p.conns {
-		if x.life != c.conn.life {
+		if x.incarnation != c.conn.incarnation {
 			continue
 		}
-		x.spent = true
+		x.stale = true
 		if x.call == nil {
 			idle = append(idle, x)
 		}
--- a/internal/conntrack/life_test.go
+++ b/internal/conntrack/life_test.go
@@ -13,16 +13,17 @@
 	"curlewsill.org/curlewsill/internal/conntrack"
 )
 
-// TestLives makes calls one after the other and checks which of them open a connection, and to where.
-// What is sent names the address as it was given, whatever the life is called.
+// TestLives makes calls one after the other and checks which of them open a
+// connection, and to which address. What is sent names the address as the
+// caller gave it, whatever the incarnation is called.
 func TestLives(t *testing.T) {
 	served := &echo{}
 	transport := conntrack.NewPerLife(&http.Transport{DialContext: served.dial}, func(conntrack.Found) {})
 	t.Cleanup(transport.CloseIdleConnections)
 	for _, c := range []struct {
-		life, address string
-		status        string
-		opens         bool
+		incarnation, address string
+		status               string
+		opens                bool
 	}{
 		{"", "10.0.0.1:80", "200", true},
 		{"", "10.0.0.1:80", "200", false},
@@ -35,28 +36,28 @@
 		{"i-1", "[::1]:80", "200", false},
 		{"i:1/@é", "worker.example:80", "200", true},
 		{"i:1/@é", "worker.example:80", "200", false},
-		{"i-2", "10.0.0.1:80", "421", false}, // its connections go with it
+		{"i-2", "10.0.0.1:80", "421", false}, // also closes the incarnation's connections
 		{"i-2", "10.0.0.1:80", "200", true},
 		{"i-1", "10.0.0.1:80", "200", false},
-		{"", "10.0.0.1:80", "421", false}, // nobody was asked for, so nobody has gone
+		{"", "10.0.0.1:80", "421", false}, // the call names no incarnation, so no connection becomes stale
 		{"", "10.0.0.1:80", "200", false},
 	} {
 		before := served.opened()
-		served.call(t, transport, c.life, c.address, c.status)
+		served.call(t, transport, c.incarnation, c.address, c.status)
 		got := served.opened()[len(before):]
 		if opens := slices.Equal(got, []string{c.address}); opens != c.opens || !opens && len(got) > 0 {
-			t.Errorf("a call for %q at %s, answered %s, opened %v", c.life, c.address, c.status, got)
+			t.Errorf("a call for %q at %s, answered %s, opened %v", c.incarnation, c.address, c.status, got)
 		}
 	}
 }
 
-// echo answers calls over connections within the process.
+// echo answers calls over in-memory connections.
 type echo struct {
 	mu    sync.Mutex
 	dials []string
 }
 
-// opened returns the addresses that connections were opened to.
+// opened returns the addresses that were dialed.
 func (e *echo) opened() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -73,7 +74,8 @@
 	return near, nil
 }
 
-// ServeHTTP answers with the status that the call asks for, and with the Host that it named.
+// ServeHTTP answers with the status that the call requests, and with the Host
+// that it named.
 func (e *echo) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Status") == "421" {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
@@ -81,11 +83,11 @@
 	_, _ = io.WriteString(rw, r.Host)
 }
 
-// call makes a call and checks that it was sent as it was given.
-func (e *echo) call(t *testing.T, c *conntrack.Transport, life, address, status string) {
+// call makes a call and checks that it was sent as given.
+func (e *echo) call(t *testing.T, c *conntrack.Transport, incarnation, address, status string) {
 	ctx := t.Context()
-	if life != "" {
-		ctx = conntrack.WithLife(ctx, life)
+	if incarnation != "" {
+		ctx = conntrack.WithLife(ctx, incarnation)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/hold", nil)
 	if err != nil {
@@ -99,12 +101,12 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	host, err := io.ReadAll(resp.Body)
-	if err != nil || string(host) != address || req.URL.Host != address || resp.Request != req && life != "" {
-		t.Errorf("a call for %q at %s came with the Host %q (%v); its URL is now %s", life, address, host, err, req.URL)
+	if err != nil || string(host) != address || req.URL.Host != address || resp.Request != req && incarnation != "" {
+		t.Errorf("a call for %q at %s came with the Host %q (%v); its URL is now %s", incarnation, address, host, err, req.URL)
 	}
 }
 
-// single is a listener that takes one connection.
+// single is a listener that accepts one connection.
 type single struct {
 	conn  net.Conn
 	taken sync.Once
--- a/internal/wslink/conn.go
+++ b/internal/wslink/conn.go
@@ -33,10 +33,10 @@
 // third more pings.
 const pingJitter = 0.25
 
-// slowWriteMin is the shortest write that counts as one that delays pings. A
+// minSlowWrite is the shortest write that counts as one that delays pings. A
 // path that drops bytes silently accepts messages at once; one of 10 Mbit/s
 // carries 60 kB in that time.
-const slowWriteMin = 50 * time.Millisecond
+const minSlowWrite = 50 * time.Millisecond
 
 // Conn is one connection. Its methods may be called concurrently, except that
 // Read must have a single caller at a time.
@@ -51,7 +51,7 @@
 	// message or pong if reads of bytes aren't observed. lastUse records when a
 	// message was last sent or received.
 	received, lastUse *meter.Meter
-	// lastSlowWrite records when the last write ended that took slowWriteMin or
+	// lastSlowWrite records when the last write ended that took minSlowWrite or
 	// longer.
 	lastSlowWrite *meter.Meter
 	// users counts the callers that wait on the connection, activeWrites the
@@ -107,7 +107,7 @@
 	began := time.Now()
 	c.activeWrites.Add(1)
 	defer func() {
-		if time.Since(began) >= slowWriteMin {
+		if time.Since(began) >= minSlowWrite {
 			c.lastSlowWrite.Touch()
 		}
 		c.activeWrites.Add(-1)
