--- a/internal/peerlink/bench_test.go
+++ b/internal/peerlink/bench_test.go
@@ -8,9 +8,10 @@
 	"curlewsill.org/curlewsill/internal/faultproxy"
 )
 
-// BenchmarkSilence measures, over real sockets, the time from the silence of a connection to the next
-// frame that its peer hears, and to the end of both sides. Run it with -benchtime 50x; it reports the
-// median and the worst in milliseconds.
+// BenchmarkSilence measures over real sockets, from the moment a connection
+// goes silent, the time until its peer receives the next frame and until both
+// sides are closed. Run it with -benchtime 50x. It reports the median and the
+// maximum in milliseconds.
 func BenchmarkSilence(b *testing.B) {
 	for name, d := range map[string]faultproxy.Direction{"both": faultproxy.Both, "to-target": faultproxy.ToTarget} {
 		b.Run(name, func(b *testing.B) {
@@ -22,7 +23,7 @@
 				await(b, nil, func() bool { return w.heard.Load() > from && w.proxy.Open() == 1 })
 				time.Sleep(time.Duration(i%10) * 100 * time.Millisecond)
 				w.proxy.Silence(d)
-				time.Sleep(2 * every) // what was on its way
+				time.Sleep(2 * every) // frames in transit arrive
 				from = w.heard.Load()
 				began := time.Now()
 				await(b, nil, func() bool { return w.heard.Load() > from })
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -1,13 +1,15 @@
-// Package peerlink carries frames between entry hosts over WebSocket, each frame one
-// binary message of CBOR.
+// Package peerlink carries frames between entry hosts over WebSocket. Each
+// frame is one binary message of CBOR.
 //
-// A host opens one connection to each of its neighbors and only writes to it; what it
-// hears comes over connections that others opened. A neighbor that doesn't take
-// frames fast enough loses the oldest news, never the host's time: frames that find
-// no room are dropped, and the next one says everything again.
+// A host opens one connection to each of its neighbors and only writes to it;
+// it receives frames over connections that others opened. A neighbor that
+// doesn't accept frames fast enough misses some of them, but never delays the
+// host: a frame that finds the queue full is dropped, which is safe, as the
+// next frame repeats the whole state.
 //
-// Writes into a connection that has died without a sign succeed. So both sides ping, and the next
-// frame goes over a new connection.
+// Writes to a connection that has died without a reset succeed. So both sides
+// send pings, and when a connection is found dead, the next frame goes over a
+// new one.
 package peerlink
 
 import (
@@ -28,39 +30,43 @@
 	"curlewsill.org/curlewsill/internal/wslink"
 )
 
-// Path is where a host takes connections of its peers.
+// Path is the URL path at which a host accepts connections of its peers.
 const Path = "/v1/peer"
 
 const (
 	// maxFrame bounds a frame in bytes.
 	maxFrame = 512 << 10
-	// queued is how many frames wait for one neighbor.
-	queued = 4
+	// queueSize is how many frames may wait for one neighbor.
+	queueSize = 4
 	// writeTimeout bounds the writing of one frame.
 	writeTimeout = time.Second
 	// dialTimeout bounds the opening of a connection.
 	dialTimeout = 2 * time.Second
-	// retryLeast and retryMost bound the pause before a connection is tried again.
-	// The pause is drawn anew each time, so that hosts don't come back together.
-	retryLeast = 200 * time.Millisecond
-	retryMost  = 3 * time.Second
-	// idleAfter closes a connection to a host that is no longer a neighbor.
+	// minRetryPause and maxRetryPause bound the pause before a connection is
+	// tried again. The pause is random each time, so that hosts don't reconnect
+	// all at once.
+	minRetryPause = 200 * time.Millisecond
+	maxRetryPause = 3 * time.Second
+	// idleAfter closes the connection to a host for which there were no frames
+	// for so long, since it is no longer a neighbor.
 	idleAfter = 30 * time.Second
-	// linkQuiet and linkAnswer are after which time without a word a neighbor is pinged, and how
-	// long it may take to answer. A host counts as up for 4 s without a frame: a dead connection
-	// is found after 2 s, and the next frame comes within half a second. By its size with headers,
-	// a ping and its answer take 200 bytes: four neighbors cost 0.8 kB a second.
-	linkQuiet  = time.Second
-	linkAnswer = time.Second
-	// acceptedQuiet is linkQuiet of the accepting side: five frames and two pings of the other
-	// side must be missing.
-	acceptedQuiet = 2500 * time.Millisecond
+	// pingAfter is how long a neighbor may send nothing before it is pinged,
+	// and pongTimeout how long it may take to answer. A host counts as up for 4
+	// s without a frame: a dead connection is found after 2 s, and the next
+	// frame follows within half a second. Including headers, a ping and its
+	// answer take 200 bytes: four neighbors cost 0.8 kB a second.
+	pingAfter   = time.Second
+	pongTimeout = time.Second
+	// acceptedPingAfter is pingAfter for the accepting side. In this time it
+	// must have missed five frames and two pings of the other side.
+	acceptedPingAfter = 2500 * time.Millisecond
 )
 
-// policies are when connections are pinged. Frames are only sent, so that nobody waits on one.
+// policies says when connections are pinged. Frames are one-way, so no caller
+// waits on a connection.
 var policies = wslink.Policies{
-	Dialed:   wslink.Policy{Quiet: linkQuiet, Waiting: linkQuiet, Answer: linkAnswer},
-	Accepted: wslink.Policy{Quiet: acceptedQuiet, Waiting: linkQuiet, Answer: linkAnswer},
+	Dialed:   wslink.Policy{Quiet: pingAfter, Waiting: pingAfter, Answer: pongTimeout},
+	Accepted: wslink.Policy{Quiet: acceptedPingAfter, Waiting: pingAfter, Answer: pongTimeout},
 }
 
 var frames = codec.New[peer.Frame]()
@@ -70,42 +76,43 @@
 	log   *zap.Logger
 	conns *wslink.Links
 	// scheme is ws or wss.
-	scheme string
-	heard  func(context.Context, peer.Frame)
+	scheme  string
+	onFrame func(context.Context, peer.Frame)
 
-	mu      sync.Mutex
-	address map[id.Host]string
-	out     map[id.Host]*ring.Ring[[]byte]
+	mu        sync.Mutex
+	addresses map[id.Host]string
+	queues    map[id.Host]*ring.Ring[[]byte]
 
 	sent, received, dropped atomic.Uint64
 }
 
-// New returns links that hand what they hear to heard, which may block.
-func New(log *zap.Logger, c *http.Client, tls bool, heard func(context.Context, peer.Frame)) *Links {
+// New returns links that pass received frames to onFrame, which may block.
+func New(log *zap.Logger, c *http.Client, tls bool, onFrame func(context.Context, peer.Frame)) *Links {
 	scheme := "ws"
 	if tls {
 		scheme = "wss"
 	}
 	return &Links{
-		log: log, conns: wslink.New(c, policies, maxFrame, log), scheme: scheme, heard: heard,
-		address: map[id.Host]string{}, out: map[id.Host]*ring.Ring[[]byte]{},
+		log: log, conns: wslink.New(c, policies, maxFrame, log), scheme: scheme, onFrame: onFrame,
+		addresses: map[id.Host]string{}, queues: map[id.Host]*ring.Ring[[]byte]{},
 	}
 }
 
 // Bytes returns how many bytes of frames were sent and received.
 func (l *Links) Bytes() (sent, received uint64) { return l.sent.Load(), l.received.Load() }
 
-// Dropped returns how many frames found no room.
+// Dropped returns how many frames were dropped because a queue was full.
 func (l *Links) Dropped() uint64 { return l.dropped.Load() }
 
-// Silent returns how many connections were found dead because nothing came from the peer.
+// Silent returns how many connections were closed because nothing came from the
+// peer.
 func (l *Links) Silent() uint64 { return l.conns.Silent() }
 
-// Addresses takes over where the hosts listen.
+// Addresses replaces the addresses at which the hosts listen.
 func (l *Links) Addresses(m map[id.Host]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.address = m
+	l.addresses = m
 }
 
 // Send queues a frame for a peer. It never blocks.
@@ -116,10 +123,10 @@
 		return
 	}
 	l.mu.Lock()
-	r := l.out[to]
+	r := l.queues[to]
 	if r == nil {
-		r = ring.New[[]byte](queued)
-		l.out[to] = r
+		r = ring.New[[]byte](queueSize)
+		l.queues[to] = r
 		go l.write(ctx, to, r)
 	}
 	l.mu.Unlock()
@@ -128,7 +135,8 @@
 	}
 }
 
-// write is the goroutine of one neighbor.
+// write sends the queued frames to one neighbor. It runs in a goroutine of its
+// own until ctx is done or no frame was queued for idleAfter.
 func (l *Links) write(ctx context.Context, to id.Host, r *ring.Ring[[]byte]) {
 	defer l.forget(to)
 	var conn *wslink.Conn
@@ -153,7 +161,7 @@
 			if conn != nil && !l.writeFrame(ctx, conn, raw) {
 				conn.Close()
 				if errors.Is(conn.Cause(), wslink.ErrSilent) {
-					continue // the pause would take what is left of the time for which this host counts as up
+					continue // no pause: it would use up the rest of the time for which this host counts as up
 				}
 				conn = nil
 			}
@@ -167,12 +175,12 @@
 func (l *Links) forget(to id.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.out, to)
+	delete(l.queues, to)
 }
 
 func (l *Links) dial(ctx context.Context, to id.Host) *wslink.Conn {
 	l.mu.Lock()
-	address := l.address[to]
+	address := l.addresses[to]
 	l.mu.Unlock()
 	if address == "" {
 		return nil
@@ -188,8 +196,8 @@
 	return conn
 }
 
-// drain reads a connection that is only written to, until it ends: pings are answered, and nothing
-// else is expected.
+// drain reads from a connection that is only written to, until it ends, so that
+// pings are answered. No messages are expected.
 func drain(conn *wslink.Conn) {
 	_, _ = conn.Read(conn.Context()) // the cause is logged by the connection
 	conn.Close()
@@ -207,7 +215,7 @@
 
 // pause waits for a random time.
 func pause(ctx context.Context) {
-	t := time.NewTimer(retryLeast + rand.N(retryMost-retryLeast))
+	t := time.NewTimer(minRetryPause + rand.N(maxRetryPause-minRetryPause))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -215,7 +223,7 @@
 	}
 }
 
-// ServeHTTP takes a connection of a peer and reads frames until it ends.
+// ServeHTTP accepts a connection of a peer and reads frames until it ends.
 func (l *Links) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := l.conns.Accept(w, r)
 	if err != nil {
@@ -234,6 +242,6 @@
 			l.log.Warn("peer frame not understood", zap.Error(err))
 			return
 		}
-		l.heard(conn.Context(), f) // it waits no longer than the connection lasts
+		l.onFrame(conn.Context(), f) // the context ends the wait when the connection ends
 	}
 }
--- a/internal/peerlink/silent_test.go
+++ b/internal/peerlink/silent_test.go
@@ -22,18 +22,18 @@
 const (
 	// every is the time between two frames.
 	every = 20 * time.Millisecond
-	// patience is when a script that makes no progress is given up.
+	// patience is how long a script waits for a condition before it fails.
 	patience = 20 * time.Second
 )
 
-// TestSilent plays connections that go silent for good, without a reset, while new ones work. A
-// script has one command a line:
+// TestSilent tests connections that go silent for good, without a reset, while
+// new ones work. A script has one command per line:
 //
 //	beat               from now on a host sends frames to its peer
-//	heard              waits until the peer hears a frame that was sent from now on
-//	silence DIRECTION  all open connections carry nothing more: to-target, from-target or both
+//	heard              waits until the peer receives a frame that was sent from now on
+//	silence DIRECTION  drops all data on open connections: to-target, from-target or both
 //	open N             waits until N connections are open at both ends
-//	stop               the host ends
+//	stop               stops the host
 func TestSilent(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
 		t.Parallel()
@@ -46,11 +46,11 @@
 	})
 }
 
-// pair is a host that sends frames and the proxy before its peer.
+// pair is a host that sends frames, and a proxy in front of its peer.
 type pair struct {
 	links *peerlink.Links
 	proxy *faultproxy.Proxy
-	// sent and heard number the newest frame.
+	// sent and heard are the numbers of the newest frame sent and received.
 	sent, heard atomic.Uint64
 	stop        context.CancelFunc
 	ctx         context.Context
@@ -75,7 +75,7 @@
 	return w
 }
 
-// do carries out one command.
+// do runs one command.
 func (w *pair) do(t *testing.T, f []string) {
 	t.Helper()
 	switch f[0] {
@@ -97,7 +97,7 @@
 	}
 }
 
-// beat sends frames until the host ends.
+// beat sends frames until the host stops.
 func (w *pair) beat() {
 	for w.ctx.Err() == nil {
 		w.links.Send(w.ctx, "other", peer.Frame{From: "self", Check: w.sent.Add(1)})
@@ -105,7 +105,7 @@
 	}
 }
 
-// await looks until it sees what is wanted.
+// await polls until seen reports true, and fails the test after patience.
 func await(t testing.TB, words []string, seen func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !seen(); time.Sleep(5 * time.Millisecond) {
