--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,8 +1,10 @@
 // Package outbox sends orders from a bounded number of goroutines.
 //
-// Orders wait in a bounded queue for each receiver; receivers that have room take turns. An order
-// that has been under way for a while no longer keeps others from leaving: receivers that hang
-// delay the rest by a part of a second at most, and only the bound on all of them remains.
+// Orders are queued per receiver in a bounded queue; receivers that are ready
+// are served round-robin. An order that has been in flight for a while no
+// longer counts against the limit on recent orders. So receivers that hang
+// delay the others by a fraction of a second at most, and after that only the
+// limit on all orders in flight applies.
 package outbox
 
 import (
@@ -10,15 +12,16 @@
 	"time"
 )
 
-// Limits bound the orders of a box. All are at least 1.
+// Limits holds the limits of a Box. All are at least 1.
 type Limits struct {
-	// Waiting is how many orders may wait.
+	// Waiting is how many orders may be queued.
 	Waiting int
-	// Fresh is how many orders may be under way that have left less than Settles ago, and All is
-	// how many at most, which is also the most goroutines.
+	// Fresh is how many orders may be in flight that were sent less than
+	// Settles ago. All is how many may be in flight in all, which is also the
+	// maximum number of goroutines.
 	Fresh, All int
 	Settles    time.Duration
-	// Each is how many orders to one receiver may be under way.
+	// Each is how many orders to one receiver may be in flight.
 	Each int
 }
 
@@ -27,22 +30,24 @@
 	limits Limits
 
 	mu sync.Mutex
-	// receivers holds those with orders that wait or are under way.
+	// receivers holds those with orders that are queued or in flight.
 	receivers map[K]*receiver
-	// turns holds the receivers with an order that may leave, each once, in their turn.
-	turns []*receiver
-	// waiting, fresh and all count orders.
-	waiting, fresh, all int
-	closed              bool
+	// ready is the round-robin queue of the receivers with an order that may be
+	// sent, each once.
+	ready []*receiver
+	// waiting, recent and inFlight count orders: those queued, those sent less
+	// than Settles ago, and all those in flight.
+	waiting, recent, inFlight int
+	closed                    bool
 }
 
-// receiver is one that orders are sent to.
+// receiver is the state of one receiver of orders.
 type receiver struct {
-	waiting []func()
-	under   int
-	// queued is set while the receiver is among the turns.
+	waiting  []func()
+	inFlight int
+	// queued is set while the receiver is in the ready queue.
 	queued bool
-	forget func()
+	remove func()
 }
 
 // New returns an empty box.
@@ -50,8 +55,8 @@
 	return &Box[K]{limits: l, receivers: map[K]*receiver{}}
 }
 
-// Put queues an order, which send makes. It never blocks, and reports false if too many wait or the
-// box is closed; the order is dropped then.
+// Put queues an order, which is sent by calling send. It never blocks. It drops
+// the order and reports false if too many are queued or the box is closed.
 func (b *Box[K]) Put(to K, send func()) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +65,7 @@
 	}
 	r := b.receivers[to]
 	if r == nil {
-		r = &receiver{forget: func() { delete(b.receivers, to) }}
+		r = &receiver{remove: func() { delete(b.receivers, to) }}
 		b.receivers[to] = r
 	}
 	r.waiting = append(r.waiting, send)
@@ -70,102 +75,103 @@
 	return true
 }
 
-// Close drops the orders that wait; those under way go on.
+// Close drops the queued orders; those in flight are completed.
 func (b *Box[K]) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
-	b.waiting, b.turns = 0, nil
+	b.waiting, b.ready = 0, nil
 	clear(b.receivers)
 }
 
-// queue gives a receiver a turn if it has an order that may leave.
+// queue adds a receiver to the ready queue if it has an order that may be sent.
 func (b *Box[K]) queue(r *receiver) {
-	if r.queued || len(r.waiting) == 0 || r.under >= b.limits.Each {
+	if r.queued || len(r.waiting) == 0 || r.inFlight >= b.limits.Each {
 		return
 	}
 	r.queued = true
-	b.turns = append(b.turns, r)
+	b.ready = append(b.ready, r)
 }
 
-// fill starts goroutines for orders that may leave now.
+// fill starts goroutines for the orders that may be sent now.
 func (b *Box[K]) fill() {
 	for {
-		l, ok := b.next()
+		l, ok := b.takeNext()
 		if !ok {
 			return
 		}
-		go b.work(l)
+		go b.sendLoop(l)
 	}
 }
 
-// leaving is an order that leaves.
-type leaving struct {
+// sending is an order in flight.
+type sending struct {
 	to   *receiver
 	send func()
-	// settled is set once the order doesn't count as fresh any more.
-	settled bool
+	// aged is set once the order no longer counts as recent.
+	aged bool
 }
 
-// next takes the order whose turn it is, if one may leave.
-func (b *Box[K]) next() (*leaving, bool) {
-	if b.closed || len(b.turns) == 0 || b.fresh >= b.limits.Fresh || b.all >= b.limits.All {
+// takeNext removes the next order from the queues, if one may be sent.
+func (b *Box[K]) takeNext() (*sending, bool) {
+	if b.closed || len(b.ready) == 0 || b.recent >= b.limits.Fresh || b.inFlight >= b.limits.All {
 		return nil, false
 	}
-	r := b.turns[0]
-	b.turns = b.turns[1:]
+	r := b.ready[0]
+	b.ready = b.ready[1:]
 	r.queued = false
-	l := &leaving{to: r, send: r.waiting[0]}
+	l := &sending{to: r, send: r.waiting[0]}
 	r.waiting = r.waiting[1:]
-	r.under++
+	r.inFlight++
 	b.waiting--
-	b.fresh++
-	b.all++
+	b.recent++
+	b.inFlight++
 	b.queue(r)
 	return l, true
 }
 
-// work sends one order after the other while some may leave.
-func (b *Box[K]) work(l *leaving) {
+// sendLoop sends orders, starting with l, until none may be sent.
+func (b *Box[K]) sendLoop(l *sending) {
 	for ok := true; ok; {
 		b.send(l)
-		l, ok = b.done(l)
+		l, ok = b.finish(l)
 	}
 }
 
-// send sends one order, which settles after a while.
-func (b *Box[K]) send(l *leaving) {
-	timer := time.AfterFunc(b.limits.Settles, func() { b.settle(l) })
+// send sends one order, which counts as recent until Settles has passed.
+func (b *Box[K]) send(l *sending) {
+	timer := time.AfterFunc(b.limits.Settles, func() { b.ageOut(l) })
 	defer timer.Stop()
 	l.send()
 }
 
-// settle lets another order leave while one stays under way.
-func (b *Box[K]) settle(l *leaving) {
+// ageOut stops counting an order in flight as recent, so that another may be
+// sent.
+func (b *Box[K]) ageOut(l *sending) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.notFresh(l)
+	b.dropRecent(l)
 	b.fill()
 }
 
-// notFresh stops counting an order as fresh.
-func (b *Box[K]) notFresh(l *leaving) {
-	if !l.settled {
-		l.settled = true
-		b.fresh--
+// dropRecent stops counting an order as recent, if it still does.
+func (b *Box[K]) dropRecent(l *sending) {
+	if !l.aged {
+		l.aged = true
+		b.recent--
 	}
 }
 
-// done takes in that an order has ended, and returns the next one.
-func (b *Box[K]) done(l *leaving) (*leaving, bool) {
+// finish records that an order has ended, and returns the next one.
+func (b *Box[K]) finish(l *sending) (*sending, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.notFresh(l)
-	b.all--
-	l.to.under--
-	if l.to.under == 0 && len(l.to.waiting) == 0 {
-		l.to.forget()
+	b.dropRecent(l)
+	b.inFlight--
+	l.to.inFlight--
+	if l.to.inFlight == 0 && len(l.to.waiting) == 0 {
+		l.to.remove()
 	}
 	b.queue(l.to)
-	return b.next()
+	return b.takeNext()
 }
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -13,22 +13,22 @@
 	"curlewsill.org/curlewsill/internal/outbox"
 )
 
-// TestScripts sends orders by the scripts in testdata, with a clock of its own:
+// TestScripts runs the scripts in testdata in virtual time:
 //
 //	limits WAITING FRESH ALL SETTLES EACH
-//	put RECEIVER ORDER... true|false    queues orders; checks whether the last was taken
-//	hold ORDER...                       these stay under way until released
-//	release ORDER                       it ends
-//	pass TIME
-//	close
-//	left ORDER...                       checks which orders have left since the last check, in any order
+//	put RECEIVER ORDER... true|false    queues orders; checks whether the last was accepted
+//	hold ORDER...                       these stay in flight until released
+//	release ORDER                       ends a held order
+//	pass TIME                           lets time pass
+//	close                               closes the box
+//	left ORDER...                       checks which orders were sent since the last check, in any order
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
 		synctest.Test(t, func(t *testing.T) { play(t, text) })
 	})
 }
 
-// player is what a script has done so far.
+// player is the state of a running script.
 type player struct {
 	box  *outbox.Box[string]
 	held map[string]chan struct{}
@@ -48,7 +48,7 @@
 	}
 }
 
-// end lets all orders end.
+// end closes the box and ends all held orders.
 func (p *player) end() {
 	p.box.Close()
 	for _, c := range p.held {
@@ -127,12 +127,14 @@
 	return d
 }
 
-// TestEndsAsItSettles sends orders that end just when they stop counting as fresh.
+// TestEndsAsItSettles sends orders that end at the moment they stop counting as
+// recent.
 //
-// Symptom: the owner's process ended by itself (nil pointer in settle, one play of 41 hosts, 10.5 s
-// after all hosts had come back). Sequence: an order's timer fires while the order ends; its
-// goroutine goes on to the next order, or to none. Cause: the timer's function read the variable in
-// which the goroutine keeps its present order. The counts of orders under way were wrong after it.
+// It guards against a data race that ended the owner's process with a nil
+// pointer: an order's timer fires while the order ends, and its goroutine
+// continues with the next order, or with none. If the timer's function reads
+// the variable in which the goroutine keeps its current order, it counts the
+// wrong order, or dereferences nil.
 func TestEndsAsItSettles(t *testing.T) {
 	const settles, orders = 100 * time.Millisecond, 500
 	synctest.Test(t, func(t *testing.T) {
