--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,10 +1,11 @@
-// Package host is the shell around the decision core of one entry host.
+// Package host runs the decision core of one entry host and does its I/O.
 //
-// One goroutine owns the core and is the only one to call it. Every other duty has
-// goroutines of its own: reading the log, appending to it, the host list, peers,
-// workers, backend servers and callers. Duties hand events to the core over one
-// bounded ring and get their work over bounded rings of their own. The shell decides
-// nothing: it turns bytes into events and actions into bytes.
+// One goroutine owns the core and is the only one to call it. Each I/O task has
+// goroutines of its own: reading the log, appending to it, reading the host
+// list, and talking to peers, workers, backend servers and callers. They pass
+// events to the core through one bounded queue and get their work through
+// bounded queues of their own. This package decides nothing: it turns received
+// bytes into events, and the core's actions into I/O.
 package host
 
 import (
@@ -35,35 +36,36 @@
 )
 
 const (
-	// eventRing and appendRing bound what waits for the core and for the log.
-	eventRing  = 4096
-	appendRing = 4
-	// maxSyncs bounds the worker syncs under way.
-	maxSyncs = 512
-	// tick is how often the core is told that time passed.
-	tick = 50 * time.Millisecond
-	// readWait is how long a read of the log waits for news.
+	// eventQueueSize bounds the events queued for the core, appendQueueSize the
+	// records queued for the log.
+	eventQueueSize  = 4096
+	appendQueueSize = 4
+	// maxSyncsInFlight bounds the worker syncs in flight.
+	maxSyncsInFlight = 512
+	// tickInterval is how often the core gets a Tick event.
+	tickInterval = 50 * time.Millisecond
+	// readWait is how long a read of the log waits for new records.
 	readWait = time.Second
 	// appendTimeout bounds one append.
 	appendTimeout = 5 * time.Second
-	// listEvery is how often the host list is read.
-	listEvery = 3 * time.Second
-	// retryPause is the mean pause after a failed read of the log.
+	// listInterval is the pause between two reads of the host list.
+	listInterval = 3 * time.Second
+	// retryPause is the mean pause before a failed read of the log is retried.
 	retryPause = 300 * time.Millisecond
 )
 
 // ErrStopped reports that the host stopped before it could answer.
 var ErrStopped = errors.New("host: stopped")
 
-// Calls is the side of the callers and backend servers.
+// Calls sends the core's actions to callers and backend servers.
 type Calls interface {
-	// Send sends a request to a backend server and reports the end as an Ended
-	// event. It must not block.
+	// Send sends a request to a backend server and reports the result as an
+	// Ended event. It must not block.
 	Send(route.Attempt)
-	// Probe asks a backend server whether it takes requests and reports the end
-	// as a Probed event. It must not block.
+	// Probe asks a backend server whether it accepts requests and reports the
+	// result as a Probed event. It must not block.
 	Probe(context.Context, route.Probe)
-	// Reply gives a request its final answer. It must not block.
+	// Reply sends the final answer to a request. It must not block.
 	Reply(route.Reply)
 }
 
@@ -82,40 +84,43 @@
 	calls    Calls
 	core     *node.Node
 
-	events  *ring.Ring[node.Event]
-	appends *ring.Ring[[]byte]
-	syncs   chan struct{}
-	// applied is where the log reader goes on; it is told after each step.
+	events    *ring.Ring[node.Event]
+	appends   *ring.Ring[[]byte]
+	syncSlots chan struct{}
+	// applied holds the offset of the newest applied record, updated after each
+	// step; the log reader continues after it.
 	applied chan id.Offset
 
-	// gate guards closed, which is set once the core takes no more requests.
-	gate   sync.RWMutex
-	closed bool
+	// closeMu guards closed, which is set once the core accepts no more
+	// requests.
+	closeMu sync.RWMutex
+	closed  bool
 
 	mu      sync.Mutex
 	ticket  node.Ticket
 	waiting map[node.Ticket]chan any
 	done    chan struct{}
-	faults  func(error)
+	onFault func(error)
 }
 
-// New returns a host that is not running yet. Faults is told of every violated
-// invariant.
-func New(self id.Host, log *zap.Logger, p Platform, links *http.Client, tls bool, faults func(error)) *Host {
+// New returns a host that is not running yet. onFault is called for each
+// violated invariant.
+func New(self id.Host, log *zap.Logger, p Platform, links *http.Client, tls bool, onFault func(error)) *Host {
 	h := &Host{
 		log: log, platform: p,
-		events:  ring.New[node.Event](eventRing),
-		appends: ring.New[[]byte](appendRing),
-		syncs:   make(chan struct{}, maxSyncs),
-		applied: make(chan id.Offset, 1),
-		waiting: map[node.Ticket]chan any{},
-		done:    make(chan struct{}),
-		faults:  faults,
+		events:    ring.New[node.Event](eventQueueSize),
+		appends:   ring.New[[]byte](appendQueueSize),
+		syncSlots: make(chan struct{}, maxSyncsInFlight),
+		applied:   make(chan id.Offset, 1),
+		waiting:   map[node.Ticket]chan any{},
+		done:      make(chan struct{}),
+		onFault:   onFault,
 	}
 	h.links = peerlink.New(log, links, tls, func(ctx context.Context, f peer.Frame) {
 		h.events.Push(ctx, node.Heard{Frame: f})
 	})
-	// The seed is drawn anew for each life, so that hosts don't choose alike.
+	// Each incarnation uses a random seed, so that hosts don't make the same
+	// choices.
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	h.core = node.New(self, id.Incarnation(rng.Uint64()), now(), place.Packing(), rng)
 	return h
@@ -126,20 +131,20 @@
 // Links returns the handler for peers' connections.
 func (h *Host) Links() *peerlink.Links { return h.links }
 
-// Offer hands an event of a caller to the core. It reports false, and does nothing,
-// if the core has too much to do or has stopped.
+// Offer queues a caller's event for the core. It reports false, and does
+// nothing, if the queue is full or the core has stopped.
 func (h *Host) Offer(ev node.Event) bool {
-	h.gate.RLock()
-	defer h.gate.RUnlock()
+	h.closeMu.RLock()
+	defer h.closeMu.RUnlock()
 	return !h.closed && h.events.Offer(ev)
 }
 
-// refuseRest closes the host for callers and answers the requests that reached the
-// ring after the core had stopped. Nothing of them ran.
-func (h *Host) refuseRest() {
-	h.gate.Lock()
+// refuseQueued closes the host to callers and refuses the requests that were
+// queued after the core had stopped. None of them ran.
+func (h *Host) refuseQueued() {
+	h.closeMu.Lock()
 	h.closed = true
-	h.gate.Unlock()
+	h.closeMu.Unlock()
 	for {
 		select {
 		case ev := <-h.events.C():
@@ -154,28 +159,30 @@
 	}
 }
 
-// Push hands an event to the core that must not be lost.
+// Push queues an event that must not be lost for the core, waiting for room
+// until ctx is done. It reports whether the event was queued.
 func (h *Host) Push(ctx context.Context, ev node.Event) bool { return h.events.Push(ctx, ev) }
 
-// Run runs all duties until the planned stop is complete or ctx is done.
+// Run runs the host until the planned stop is complete or ctx is done.
 func (h *Host) Run(ctx context.Context, calls Calls) {
 	h.calls = calls
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer close(h.done)
 	var wg sync.WaitGroup
-	for _, duty := range []func(context.Context){h.readLog, h.appendLog, h.listHosts} {
-		wg.Go(func() { duty(ctx) })
+	for _, loop := range []func(context.Context){h.readLog, h.appendLog, h.listHosts} {
+		wg.Go(func() { loop(ctx) })
 	}
-	h.decide(ctx)
-	h.refuseRest()
+	h.runCore(ctx)
+	h.refuseQueued()
 	cancel()
 	wg.Wait()
 }
 
-// decide is the goroutine of the core.
-func (h *Host) decide(ctx context.Context) {
-	t := time.NewTicker(tick)
+// runCore steps the core with each event until the host has stopped. It runs in
+// the only goroutine that calls the core.
+func (h *Host) runCore(ctx context.Context) {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		var ev node.Event
@@ -186,14 +193,15 @@
 		case <-t.C:
 			ev = node.Tick{}
 		}
-		if h.carryOut(ctx, h.core.Step(now(), ev)) {
+		if h.execute(ctx, h.core.Step(now(), ev)) {
 			return
 		}
 	}
 }
 
-// carryOut hands each action to its duty. It reports whether the host has stopped.
-func (h *Host) carryOut(ctx context.Context, a node.Actions) bool {
+// execute passes each action on to the goroutines that perform it. It reports
+// whether the host has stopped.
+func (h *Host) execute(ctx context.Context, a node.Actions) bool {
 	for _, s := range a.Sends {
 		h.calls.Send(s)
 	}
@@ -213,17 +221,17 @@
 		h.sync(ctx, s)
 	}
 	for _, s := range a.Settled {
-		h.tell(s.Ticket, s)
+		h.deliver(s.Ticket, s)
 	}
 	for _, d := range a.Drawn {
-		h.tell(d.Ticket, d)
+		h.deliver(d.Ticket, d)
 	}
 	for _, i := range a.Inspected {
-		h.tell(i.Ticket, i)
+		h.deliver(i.Ticket, i)
 	}
 	for _, err := range a.Faults {
 		h.log.Error("invariant violated; the decision was not taken", zap.Error(err))
-		h.faults(err)
+		h.onFault(err)
 	}
 	select {
 	case <-h.applied:
@@ -233,7 +241,7 @@
 	return a.Stopped
 }
 
-// readLog is the duty that follows the log.
+// readLog follows the log and passes its records to the core.
 func (h *Host) readLog(ctx context.Context) {
 	var next id.Offset = 1
 	for ctx.Err() == nil {
@@ -248,7 +256,7 @@
 		if n := len(got.Records); n > 0 {
 			next = got.First + id.Offset(n)
 		}
-		// Peers may have been faster; what they passed on need not be read again.
+		// Records that peers have already delivered need not be read again.
 		select {
 		case a := <-h.applied:
 			next = max(next, a+1)
@@ -257,7 +265,7 @@
 	}
 }
 
-// appendLog is the duty that appends.
+// appendLog appends the queued records to the log.
 func (h *Host) appendLog(ctx context.Context) {
 	for {
 		select {
@@ -274,13 +282,13 @@
 	}
 }
 
-// listHosts is the duty that reads the host list.
+// listHosts reads the host list periodically.
 func (h *Host) listHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		list, err := h.platform.Hosts.List(ctx)
 		if err != nil {
 			h.log.Debug("host list not readable", zap.Error(err))
-			sleep(ctx, listEvery)
+			sleep(ctx, listInterval)
 			continue
 		}
 		ev := node.Hosts{Backends: map[id.Service]map[id.Backend]bool{}}
@@ -297,20 +305,20 @@
 		}
 		h.links.Addresses(at)
 		h.Push(ctx, ev)
-		sleep(ctx, listEvery)
+		sleep(ctx, listInterval)
 	}
 }
 
-// sync sends one worker its tasks, without waiting.
+// sync sends a worker its tasks, asynchronously.
 func (h *Host) sync(ctx context.Context, s worker.Sync) {
 	select {
-	case h.syncs <- struct{}{}:
+	case h.syncSlots <- struct{}{}:
 	default:
 		h.log.Warn("worker sync dropped: too many under way", zap.String("worker", string(s.Worker)))
 		return
 	}
 	go func() {
-		defer func() { <-h.syncs }()
+		defer func() { <-h.syncSlots }()
 		rep, err := h.platform.Workers.Sync(ctx, s)
 		if err != nil {
 			h.log.Debug("worker sync failed", zap.Error(err))
@@ -320,8 +328,8 @@
 	}()
 }
 
-// ask hands a question to the core and waits for the answer.
-func (h *Host) ask(ctx context.Context, question func(node.Ticket) node.Event) (any, error) {
+// query passes a query to the core and waits for the answer.
+func (h *Host) query(ctx context.Context, question func(node.Ticket) node.Event) (any, error) {
 	answer := make(chan any, 1)
 	h.mu.Lock()
 	h.ticket++
@@ -346,7 +354,7 @@
 	}
 }
 
-func (h *Host) tell(t node.Ticket, a any) {
+func (h *Host) deliver(t node.Ticket, a any) {
 	h.mu.Lock()
 	c := h.waiting[t]
 	h.mu.Unlock()
@@ -355,10 +363,10 @@
 	}
 }
 
-// Propose writes an entry to the log and returns the verdict. If ctx ends first, it
-// is open whether the entry was or will be accepted.
+// Propose writes an entry to the log and returns the verdict. If ctx ends
+// first, the entry may still be or have been accepted.
 func (h *Host) Propose(ctx context.Context, e record.Entry) (id.Offset, error) {
-	a, err := h.ask(ctx, func(t node.Ticket) node.Event { return node.Propose{Ticket: t, Entry: e} })
+	a, err := h.query(ctx, func(t node.Ticket) node.Event { return node.Propose{Ticket: t, Entry: e} })
 	if err != nil {
 		return 0, err
 	}
@@ -366,9 +374,9 @@
 	return s.Offset, s.Verdict
 }
 
-// Draw returns the plan for changes.
+// Draw returns the plan for the changes.
 func (h *Host) Draw(ctx context.Context, changes []config.Change) (plan.Plan, error) {
-	a, err := h.ask(ctx, func(t node.Ticket) node.Event { return node.Draw{Ticket: t, Changes: changes} })
+	a, err := h.query(ctx, func(t node.Ticket) node.Event { return node.Draw{Ticket: t, Changes: changes} })
 	if err != nil {
 		return plan.Plan{}, err
 	}
@@ -376,9 +384,9 @@
 	return d.Plan, d.Err
 }
 
-// View returns what the host believes, with the jobs if asked for.
+// View returns the host's view of the state, with the jobs if requested.
 func (h *Host) View(ctx context.Context, jobs bool) (node.View, error) {
-	a, err := h.ask(ctx, func(t node.Ticket) node.Event { return node.Inspect{Ticket: t, Jobs: jobs} })
+	a, err := h.query(ctx, func(t node.Ticket) node.Event { return node.Inspect{Ticket: t, Jobs: jobs} })
 	if err != nil {
 		return node.View{}, err
 	}
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -16,15 +16,16 @@
 	"curlewsill.org/curlewsill/internal/platform/workers"
 )
 
-// replies collects the answers to callers.
+// replies is a Calls that collects the answers to callers.
 type replies struct{ got chan route.Reply }
 
 func (replies) Send(route.Attempt)                 {}
 func (replies) Probe(context.Context, route.Probe) {}
 func (r replies) Reply(rep route.Reply)            { r.got <- rep }
 
-// TestLateRequests offers requests until a stopping host takes no more. Each that was
-// taken has to be answered, also those that reach the ring after the core has stopped.
+// TestLateRequests offers requests until a stopping host accepts no more. Each
+// accepted request must be answered, including those that are queued after the
+// core has stopped.
 func TestLateRequests(t *testing.T) {
 	platform := httptest.NewServer(http.NotFoundHandler())
 	defer platform.Close()
