--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,4 +1,5 @@
-// Package meter tells when something happened last, such as the coming of bytes on a connection.
+// Package meter records when an event last happened, such as the arrival of
+// bytes on a connection.
 package meter
 
 import (
@@ -7,40 +8,41 @@
 	"time"
 )
 
-// Meter tells when something happened last, by a clock that never jumps. It is safe for concurrent
-// use. The zero value is not ready; call New.
+// Meter records when an event last happened, by the monotonic clock. It is safe
+// for concurrent use. The zero value is not ready for use; call New.
 type Meter struct {
 	since time.Time
-	// last counts from since.
+	// last is the time of the event as nanoseconds after since.
 	last atomic.Int64
 }
 
-// New returns a meter of something that happens now.
+// New returns a meter whose event happens now.
 func New() *Meter { return &Meter{since: time.Now()} }
 
-// Touch notes that it happens now.
+// Touch records that the event happens now.
 func (m *Meter) Touch() { m.last.Store(int64(time.Since(m.since))) }
 
-// Last returns when it happened last.
+// Last returns when the event last happened.
 func (m *Meter) Last() time.Time { return m.since.Add(time.Duration(m.last.Load())) }
 
-// Ago returns how long ago it happened.
+// Ago returns the time since the event last happened.
 func (m *Meter) Ago() time.Duration { return time.Since(m.Last()) }
 
-// Conn returns a connection that touches the meter whenever bytes come on it.
-func (m *Meter) Conn(c net.Conn) net.Conn { return &metered{Conn: c, heard: m} }
+// Conn wraps a connection so that the meter is touched whenever bytes arrive on
+// it.
+func (m *Meter) Conn(c net.Conn) net.Conn { return &metered{Conn: c, received: m} }
 
-// metered is a connection that notes when bytes come.
+// metered is a connection that records when bytes arrive.
 type metered struct {
 	net.Conn
-	heard *Meter
+	received *Meter
 }
 
 // Read implements net.Conn.
 func (c *metered) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.heard.Touch()
+		c.received.Touch()
 	}
 	return n, err
 }
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,5 +1,6 @@
-// Package problem writes answers of our own to callers and operators as problem
-// details (RFC 9457), with a stable code and whether the request ran.
+// Package problem writes the answers that this service itself gives to callers
+// and operators as problem details (RFC 9457), with a stable code and whether
+// the request ran.
 package problem
 
 import (
@@ -12,22 +13,22 @@
 	"curlewsill.org/curlewsill/core/route"
 )
 
-// Problem is the body of an answer that isn't a backend server's.
+// Problem is the body of an answer that doesn't come from a backend server.
 type Problem struct {
 	// Status is the HTTP status.
 	Status int `json:"status"`
-	// Code is stable; programs test it. docs/API.md lists the codes.
+	// Code is stable, for programs to test. docs/API.md lists the codes.
 	Code route.Code `json:"code"`
-	// Title and Detail are for people.
+	// Title and Detail are for people to read.
 	Title  string `json:"title"`
 	Detail string `json:"detail,omitempty"`
 	// Ran says whether the request ran.
 	Ran route.Ran `json:"ran"`
-	// RetryAfter is when to come back; 0 if coming back is no use.
+	// RetryAfter is when to retry; 0 if a retry is useless.
 	RetryAfter time.Duration `json:"-"`
 }
 
-// meaning is how a code is shown.
+// meaning is the HTTP status and the title of a code.
 type meaning struct {
 	status int
 	title  string
@@ -56,7 +57,7 @@
 	return Problem{Status: m.status, Code: rep.Code, Title: m.title, Ran: rep.Ran, RetryAfter: rep.RetryAfter}
 }
 
-// Write writes the problem as the whole answer.
+// Write writes the problem as the whole response.
 func Write(w http.ResponseWriter, p Problem) {
 	if p.Title == "" {
 		p.Title = http.StatusText(p.Status)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,8 @@
-// Package trace makes the spans of requests and jobs, one for each hop.
+// Package trace creates the spans of requests and jobs, one per hop.
 //
-// Spans are queued in memory and sent by a goroutine of their own. When the receiver
-// is slow or gone, spans are dropped and counted by the library; work never waits.
+// Spans are queued in memory and exported by a goroutine of its own. When the
+// receiver is slow or unreachable, the library drops and counts spans; requests
+// and jobs never wait for it.
 package trace
 
 import (
@@ -19,19 +20,19 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// maxQueue bounds the spans that wait to be sent.
+// maxQueue bounds the spans that wait for export.
 const maxQueue = 512
 
-// Tracer starts spans and carries their context between processes.
+// Tracer starts spans and propagates their context between processes.
 type Tracer struct {
 	trace.Tracer
 	propagation.TraceContext
 	stop func(context.Context) error
 }
 
-// New returns a tracer that sends spans to the OTLP receiver at url. Requests whose
-// caller asked for a trace are always traced, of the others a share in percent. An
-// empty url gives a tracer that only passes trace contexts on.
+// New returns a tracer that exports spans to the OTLP receiver at url. Requests
+// whose caller sampled them are always traced; of the others, sharePercent are.
+// If url is empty, the tracer only propagates trace contexts.
 func New(ctx context.Context, host id.Host, url string, sharePercent int) (*Tracer, error) {
 	if url == "" {
 		t := noop.NewTracerProvider().Tracer("")
@@ -44,7 +45,7 @@
 	return With(host, sdk.NewBatchSpanProcessor(exporter, sdk.WithMaxQueueSize(maxQueue)), sharePercent), nil
 }
 
-// With returns a tracer that hands its spans to p.
+// With returns a tracer that passes its spans to p.
 func With(host id.Host, p sdk.SpanProcessor, sharePercent int) *Tracer {
 	provider := sdk.NewTracerProvider(
 		sdk.WithSpanProcessor(p),
@@ -64,5 +65,5 @@
 	return c["traceparent"]
 }
 
-// Stop sends what is queued, until ctx is done.
+// Stop exports the queued spans, until ctx is done, and ends the tracer.
 func (t *Tracer) Stop(ctx context.Context) error { return t.stop(ctx) }
