--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -57,6 +57,6 @@
 	}
 	<-ended
 	if left := taken - len(r.got); left != 0 {
-		t.Errorf("%d requests were taken and not answered", left)
+		t.Errorf("%d requests were accepted and not answered", left)
 	}
 }
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,10 +1,10 @@
 // Package outbox sends orders from a bounded number of goroutines.
 //
-// Orders are queued per receiver in a bounded queue; receivers that are ready
-// are served round-robin. An order that has been in flight for a while no
-// longer counts against the limit on recent orders. So receivers that hang
-// delay the others by a fraction of a second at most, and after that only the
-// limit on all orders in flight applies.
+// Orders wait in one queue per receiver, and the queues together are bounded.
+// Receivers that are ready are served round-robin. An order that has been in
+// flight for a while no longer counts against the limit on recent orders. So
+// receivers that hang delay the others by a fraction of a second at most, and
+// after that only the limit on all orders in flight applies.
 package outbox
 
 import (
@@ -14,7 +14,7 @@
 
 // Limits holds the limits of a Box. All are at least 1.
 type Limits struct {
-	// Waiting is how many orders may be queued.
+	// Waiting is how many orders may be queued in all.
 	Waiting int
 	// Fresh is how many orders may be in flight that were sent less than
 	// Settles ago. All is how many may be in flight in all, which is also the
@@ -96,11 +96,11 @@
 // fill starts goroutines for the orders that may be sent now.
 func (b *Box[K]) fill() {
 	for {
-		l, ok := b.takeNext()
+		order, ok := b.takeNext()
 		if !ok {
 			return
 		}
-		go b.sendLoop(l)
+		go b.sendLoop(order)
 	}
 }
 
@@ -120,58 +120,58 @@
 	r := b.ready[0]
 	b.ready = b.ready[1:]
 	r.queued = false
-	l := &sending{to: r, send: r.waiting[0]}
+	order := &sending{to: r, send: r.waiting[0]}
 	r.waiting = r.waiting[1:]
 	r.inFlight++
 	b.waiting--
 	b.recent++
 	b.inFlight++
 	b.queue(r)
-	return l, true
+	return order, true
 }
 
-// sendLoop sends orders, starting with l, until none may be sent.
-func (b *Box[K]) sendLoop(l *sending) {
+// sendLoop sends orders, starting with order, until none may be sent.
+func (b *Box[K]) sendLoop(order *sending) {
 	for ok := true; ok; {
-		b.send(l)
-		l, ok = b.finish(l)
+		b.send(order)
+		order, ok = b.finish(order)
 	}
 }
 
 // send sends one order, which counts as recent until Settles has passed.
-func (b *Box[K]) send(l *sending) {
-	timer := time.AfterFunc(b.limits.Settles, func() { b.ageOut(l) })
+func (b *Box[K]) send(order *sending) {
+	timer := time.AfterFunc(b.limits.Settles, func() { b.ageOut(order) })
 	defer timer.Stop()
-	l.send()
+	order.send()
 }
 
 // ageOut stops counting an order in flight as recent, so that another may be
 // sent.
-func (b *Box[K]) ageOut(l *sending) {
+func (b *Box[K]) ageOut(order *sending) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.dropRecent(l)
+	b.dropRecent(order)
 	b.fill()
 }
 
 // dropRecent stops counting an order as recent, if it still does.
-func (b *Box[K]) dropRecent(l *sending) {
-	if !l.aged {
-		l.aged = true
+func (b *Box[K]) dropRecent(order *sending) {
+	if !order.aged {
+		order.aged = true
 		b.recent--
 	}
 }
 
 // finish records that an order has ended, and returns the next one.
-func (b *Box[K]) finish(l *sending) (*sending, bool) {
+func (b *Box[K]) finish(order *sending) (*sending, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.dropRecent(l)
+	b.dropRecent(order)
 	b.inFlight--
-	l.to.inFlight--
-	if l.to.inFlight == 0 && len(l.to.waiting) == 0 {
-		l.to.remove()
+	order.to.inFlight--
+	if order.to.inFlight == 0 && len(order.to.waiting) == 0 {
+		order.to.remove()
 	}
-	b.queue(l.to)
+	b.queue(order.to)
 	return b.takeNext()
 }
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -85,18 +85,18 @@
 
 func (p *player) put(t *testing.T, line int, f []string) {
 	last := len(f) - 1
-	taken := false
+	accepted := false
 	for _, o := range f[2:last] {
 		wait := p.held[o]
-		taken = p.box.Put(f[1], func() {
+		accepted = p.box.Put(f[1], func() {
 			p.left <- o
 			if wait != nil {
 				<-wait
 			}
 		})
 	}
-	if strconv.FormatBool(taken) != f[last] {
-		t.Errorf("line %d: taken %t", line, taken)
+	if strconv.FormatBool(accepted) != f[last] {
+		t.Errorf("line %d: accepted %t", line, accepted)
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 	names := slices.Sorted(maps.Keys(got))
 	if !slices.Equal(names, slices.Sorted(slices.Values(want))) {
-		t.Errorf("line %d: %v have left, want %v", line, names, want)
+		t.Errorf("line %d: %v were sent, want %v", line, names, want)
 	}
 }
 
@@ -149,7 +149,7 @@
 		time.Sleep(orders * settles)
 		synctest.Wait()
 		if len(sent) != orders {
-			t.Errorf("%d of %d orders have left", len(sent), orders)
+			t.Errorf("%d of %d orders were sent", len(sent), orders)
 		}
 	})
 }
--- a/internal/peerlink/silent_test.go
+++ b/internal/peerlink/silent_test.go
@@ -110,7 +110,7 @@
 	t.Helper()
 	for end := time.Now().Add(patience); !seen(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%v: not seen", words)
+			t.Fatalf("%v: condition not met in time", words)
 		}
 	}
 }
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -29,8 +29,8 @@
 	// the connections of a host to the store.
 	maxServed = 16
 	// maxServedQueued bounds the calls of one peer that wait for one of these
-	// slots; further ones are refused. It bounds memory, since queued calls are
-	// held whole.
+	// slots; further ones are refused. It bounds memory, since queued calls
+	// have been read completely.
 	maxServedQueued = 48
 )
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -7,9 +7,8 @@
 // path. If peers are refused too, up to maxPeersTried of them are tried in
 // turn. A direct path that delivers no bytes while calls through a peer are
 // answered gets no more calls until a probe on it is answered. Every call that
-// is relayed must be safe to repeat: appends carry a number that removes
-// duplicates, and all other calls are reads or idempotent. A peer never
-// forwards a call to another peer.
+// is relayed must be safe to repeat: appends carry a number, and all other
+// calls are reads or idempotent. A peer never forwards a call to another peer.
 //
 // OnlyBy binds a call to one path, to spread calls over hosts; the call isn't
 // retried on another path then.
@@ -169,7 +168,7 @@
 	if usePeers && p.direct.silent {
 		return plan{usePeers: true, probe: p.takeProbe(now)}
 	}
-	return plan{directFirst: !usePeers || now.After(p.direct.suspect), usePeers: usePeers}
+	return plan{directFirst: !usePeers || now.After(p.direct.suspectUntil), usePeers: usePeers}
 }
 
 // recordOutcome updates which paths are believed to work.
@@ -187,8 +186,8 @@
 		p.peersSuspectUntil = until
 		return
 	}
-	wasFailing := p.direct.silent || now.Before(p.direct.suspect)
-	p.direct.suspect = until
+	wasFailing := p.direct.silent || now.Before(p.direct.suspectUntil)
+	p.direct.suspectUntil = until
 	if !o.failed() {
 		p.direct.silent = false
 	}
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -14,8 +14,8 @@
 
 // directState is what a Path knows about its direct path. Path.mu guards it.
 type directState struct {
-	// suspect is the time until which the direct path isn't tried first.
-	suspect time.Time
+	// suspectUntil is the time until which the direct path isn't tried first.
+	suspectUntil time.Time
 	// lastArrival is when bytes last arrived on the direct path.
 	lastArrival time.Time
 	// silent is set while the direct path is suspect because no bytes arrived
@@ -35,10 +35,10 @@
 // takeProbe reports whether a probe of the direct path is due. If so, the next
 // one is due after suspectDuration. The caller holds p.mu.
 func (p *Path) takeProbe(now time.Time) bool {
-	if !p.direct.silent || !now.After(p.direct.suspect) {
+	if !p.direct.silent || !now.After(p.direct.suspectUntil) {
 		return false
 	}
-	p.direct.suspect = now.Add(suspectDuration)
+	p.direct.suspectUntil = now.Add(suspectDuration)
 	return true
 }
 
@@ -57,7 +57,7 @@
 		return
 	}
 	p.direct.silent = true
-	p.direct.suspect = now.Add(suspectDuration)
+	p.direct.suspectUntil = now.Add(suspectDuration)
 	p.log.Info("direct-path", zap.String("to", p.base), zap.Bool("works", false), zap.String("why", "the direct path is silent while a peer gets answers"),
 		zap.Duration("silent", now.Sub(r.directStart)), zap.Duration("peer", now.Sub(r.peerStart)))
 }
--- a/internal/relay/silence_internal_test.go
+++ b/internal/relay/silence_internal_test.go
@@ -93,7 +93,7 @@
 	get(t, p)
 	tried := direct.tried.Load()
 	p.mu.Lock()
-	p.direct.suspect = time.Now().Add(-time.Millisecond) // a probe is due
+	p.direct.suspectUntil = time.Now().Add(-time.Millisecond) // a probe is due
 	p.mu.Unlock()
 	get(t, p)
 	for direct.tried.Load() == tried {
--- a/internal/wslink/wslink_test.go
+++ b/internal/wslink/wslink_test.go
@@ -249,7 +249,7 @@
 			t.Error(err)
 		}
 		if ago := time.Since(c.LastHeard()); ago != 0 {
-			t.Errorf("heard %v ago", ago)
+			t.Errorf("last bytes arrived %v ago", ago)
 		}
 		w.network.silence(0, fromTarget)
 		if err := c.Ping(context.Background()); !errors.Is(err, wslink.ErrSilent) {
