--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -51,8 +51,8 @@
 	// for so long, since it is no longer a neighbor.
 	idleAfter = 30 * time.Second
 	// pingAfter is how long a neighbor may send nothing before it is pinged,
-	// and pongTimeout how long it may take to answer. A host counts as up for 4
-	// s without a frame: a dead connection is found after 2 s, and the next
+	// and pongTimeout how long it may take to answer. A host counts as up for
+	// 4 s without a frame: a dead connection is found after 2 s, and the next
 	// frame follows within half a second. Including headers, a ping and its
 	// answer take 200 bytes: four neighbors cost 0.8 kB a second.
 	pingAfter   = time.Second
--- a/internal/relay/overdue_internal_test.go
+++ b/internal/relay/overdue_internal_test.go
@@ -21,8 +21,8 @@
 // call's limit of 1 s and the ping's limit, at most 0.75 s after the call, have
 // both passed. If the call's limit is handled first, the call must not end as
 // overdue: new links work. In the failure seen, the call ended with an unknown
-// outcome after 1.0007 s, and the link was found dead 0.002 s later, after 1.02
-// s without bytes.
+// outcome after 1.0007 s, and the link was found dead 0.002 s later, after
+// 1.02 s without bytes.
 func TestOverdueOnSilentLink(t *testing.T) {
 	late := Policies()
 	late.Dialed.Answer = time.Minute // as if the ping's timer fires late
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -212,16 +212,16 @@
 	if err != nil {
 		return nil, err
 	}
-	status, data, err := p.Make(req.Context(), req.Method, req.URL.RequestURI(), req.Header.Get("Content-Type"), body)
+	status, data, err := p.CallDirect(req.Context(), req.Method, req.URL.RequestURI(), req.Header.Get("Content-Type"), body)
 	if err != nil {
 		return nil, err
 	}
 	return Answer(req, status, data), nil
 }
 
-// Make makes a call on the direct path and reads its whole answer. Kind is the
+// CallDirect makes a call on the direct path and reads its whole answer. Kind is the
 // content type of the body.
-func (p *Path) Make(ctx context.Context, method, path, kind string, body []byte) (int, []byte, error) {
+func (p *Path) CallDirect(ctx context.Context, method, path, kind string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(withArrivalTrace(ctx), method, p.base+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -65,7 +65,7 @@
 	limited, cancel := context.WithTimeout(ctx, c.Limit)
 	defer cancel()
 	res := result{ID: c.ID}
-	status, body, err := p.Make(limited, c.Method, c.Path, c.Kind, c.Body)
+	status, body, err := p.CallDirect(limited, c.Method, c.Path, c.Kind, c.Body)
 	if err == nil {
 		res.Status, res.Body = status, body
 	}
--- a/internal/relay/thin_internal_test.go
+++ b/internal/relay/thin_internal_test.go
@@ -27,8 +27,8 @@
 // With a fixed limit, a host whose direct path to the store fails never gets a
 // page of records through a peer: 1 MB takes 0.84 s at 10 Mbit/s, longer than
 // writeTimeout, so the peer ends the link with all other calls on it. The call
-// is retried on two more links, which end the same way: three links within 1.5
-// s.
+// is retried on two more links, which end the same way: three links within
+// 1.5 s.
 func TestLongAnswerOverThinLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lis := &slowListener{conns: make(chan net.Conn), closed: make(chan struct{})}
--- a/internal/wslink/conn.go
+++ b/internal/wslink/conn.go
@@ -160,7 +160,7 @@
 		c.cancel(cause)
 		go func() { _ = c.ws.CloseNow() }()
 		if errors.Is(cause, ErrSilent) {
-			c.links.Doubt()
+			c.links.MarkAllSuspect()
 		}
 	})
 }
--- a/internal/wslink/wslink.go
+++ b/internal/wslink/wslink.go
@@ -146,9 +146,9 @@
 	delete(l.open, c)
 }
 
-// Doubt marks all open connections suspect: those that have received nothing
+// MarkAllSuspect marks all open connections suspect: those that have received nothing
 // for Policy.Waiting are pinged at once.
-func (l *Links) Doubt() {
+func (l *Links) MarkAllSuspect() {
 	for _, c := range l.all() {
 		c.markSuspect()
 	}
--- a/internal/wslink/wslink_test.go
+++ b/internal/wslink/wslink_test.go
@@ -132,7 +132,7 @@
 	case "write":
 		send(w.conns[f[1]], number(t, f[2]))
 	case "doubt":
-		map[string]*wslink.Links{"dialed": w.opens, "accepted": w.accepts}[f[1]].Doubt()
+		map[string]*wslink.Links{"dialed": w.opens, "accepted": w.accepts}[f[1]].MarkAllSuspect()
 	case "wait":
 		time.Sleep(duration(t, f[1]))
 	default:
