--- a/internal/inifile/fuzz_test.go
+++ b/internal/inifile/fuzz_test.go
@@ -8,7 +8,7 @@
 	"curlewsill.org/curlewsill/internal/settings"
 )
 
-// FuzzFiles checks that no file breaks the readers of settings and intents.
+// FuzzFiles checks that no input makes the readers of settings and intents panic.
 func FuzzFiles(f *testing.F) {
 	for _, site := range examples.Sites() {
 		for _, file := range []string{"host.ini", "site.ini"} {
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,10 +1,10 @@
 // Package inifile reads INI files strictly.
 //
-// A reader asks a section for each key that it knows, with the values that it
-// allows. Whatever is wrong is noted and not returned, so that one run shows every
-// fault of a file; keys and sections that nobody asked for are faults too. Err
-// returns them all, each with file, section, key, what was found and what is
-// allowed.
+// A reader requests each key that it knows from its section, together with the
+// values that it allows. Faults are collected instead of returned at once, so that a
+// single run reports every fault of a file. Keys and sections that the reader never
+// requested are faults too. Err returns all faults, each with the file, the section,
+// the key, the value found and the values allowed.
 package inifile
 
 import (
@@ -23,7 +23,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// ErrInvalid is what every fault of a file wraps.
+// ErrInvalid is wrapped by the error of every fault in a file.
 var ErrInvalid = errors.New("invalid file")
 
 // File is a parsed file.
@@ -38,11 +38,11 @@
 	// Kind is the first word of the header and Name the rest.
 	Kind, Name string
 
-	file   *File
-	header string
-	keys   map[string][]string
-	asked  map[string]bool
-	used   bool
+	file      *File
+	header    string
+	keys      map[string][]string
+	knownKeys map[string]bool
+	requested bool
 }
 
 // Read reads the file with the given name.
@@ -54,7 +54,7 @@
 	return Parse(name, data)
 }
 
-// Parse reads a file's content. The name appears in errors.
+// Parse parses the content of a file. Errors refer to the file as name.
 func Parse(name string, data []byte) (*File, error) {
 	parsed, err := ini.LoadSources(ini.LoadOptions{
 		AllowNonUniqueSections:     true,
@@ -74,7 +74,7 @@
 			continue
 		}
 		if seen[s.Name()] {
-			f.fault(s.Name(), "", "a second section of that name", "one section of each name")
+			f.addFault(s.Name(), "", "a second section of that name", "one section of each name")
 		}
 		seen[s.Name()] = true
 		f.add(s)
@@ -86,7 +86,7 @@
 	kind, name, _ := strings.Cut(s.Name(), " ")
 	sec := &Section{
 		Kind: kind, Name: strings.TrimSpace(name), file: f, header: s.Name(),
-		keys: map[string][]string{}, asked: map[string]bool{},
+		keys: map[string][]string{}, knownKeys: map[string]bool{},
 	}
 	for _, k := range s.Keys() {
 		sec.keys[k.Name()] = k.ValueWithShadows()
@@ -94,24 +94,24 @@
 	f.sections = append(f.sections, sec)
 }
 
-// Section returns the only section of a kind without a name. A missing one is
-// empty.
+// Section returns the section with the header [KIND]. If the file has none, the
+// section returned has no keys.
 func (f *File) Section(kind string) *Section {
 	for _, s := range f.sections {
 		if s.Kind == kind && s.Name == "" {
-			s.used = true
+			s.requested = true
 			return s
 		}
 	}
-	return &Section{Kind: kind, header: kind, file: f, keys: map[string][]string{}, asked: map[string]bool{}}
+	return &Section{Kind: kind, header: kind, file: f, keys: map[string][]string{}, knownKeys: map[string]bool{}}
 }
 
-// Sections returns all sections of a kind with a name, in the order of the file.
+// Sections returns all sections with a header [KIND NAME], in the order of the file.
 func (f *File) Sections(kind string) []*Section {
 	var out []*Section
 	for _, s := range f.sections {
 		if s.Kind == kind && s.Name != "" {
-			s.used = true
+			s.requested = true
 			out = append(out, s)
 		}
 	}
@@ -122,24 +122,24 @@
 func (f *File) Err() error {
 	out := slices.Clone(f.faults)
 	for _, s := range f.sections {
-		if !s.used {
-			out = append(out, f.describe(s.header, "", "an unknown section", "a known section"))
+		if !s.requested {
+			out = append(out, f.faultError(s.header, "", "an unknown section", "a known section"))
 			continue
 		}
 		for _, k := range sortedKeys(s.keys) {
-			if !s.asked[k] {
-				out = append(out, f.describe(s.header, k, "an unknown key", "one of "+strings.Join(sortedKeys(s.asked), ", ")))
+			if !s.knownKeys[k] {
+				out = append(out, f.faultError(s.header, k, "an unknown key", "one of "+strings.Join(sortedKeys(s.knownKeys), ", ")))
 			}
 		}
 	}
 	return errors.Join(out...)
 }
 
-func (f *File) fault(section, key, found, want string) {
-	f.faults = append(f.faults, f.describe(section, key, found, want))
+func (f *File) addFault(section, key, found, want string) {
+	f.faults = append(f.faults, f.faultError(section, key, found, want))
 }
 
-func (f *File) describe(section, key, found, want string) error {
+func (f *File) faultError(section, key, found, want string) error {
 	where := fmt.Sprintf("%s: [%s]", f.name, section)
 	if key != "" {
 		where += " " + key
@@ -147,28 +147,29 @@
 	return fmt.Errorf("%w: %s: found %s, want %s", ErrInvalid, where, found, want)
 }
 
-// Fault notes a fault that the reader found in the value of a key.
-func (s *Section) Fault(key, want string) { s.bad(key, s.raw(key), want) }
+// Fault records that the value of a key isn't what the reader wants.
+func (s *Section) Fault(key, want string) { s.addFault(key, s.firstValue(key), want) }
 
-func (s *Section) bad(key, found, want string) {
-	s.file.fault(s.header, key, strconv.Quote(found), want)
+func (s *Section) addFault(key, found, want string) {
+	s.file.addFault(s.header, key, strconv.Quote(found), want)
 }
 
-func (s *Section) raw(key string) string {
+func (s *Section) firstValue(key string) string {
 	if v := s.keys[key]; len(v) > 0 {
 		return v[0]
 	}
 	return ""
 }
 
-// get returns the value of a key, and whether it is there and not empty.
+// get returns the value of a key and whether it is present and not empty. It marks
+// the key as known.
 func (s *Section) get(key string) (string, bool) {
-	s.asked[key] = true
+	s.knownKeys[key] = true
 	v := s.keys[key]
 	if len(v) > 1 {
-		s.file.fault(s.header, key, "the key "+strconv.Itoa(len(v))+" times", "one value")
+		s.file.addFault(s.header, key, "the key "+strconv.Itoa(len(v))+" times", "one value")
 	}
-	return s.raw(key), s.raw(key) != ""
+	return s.firstValue(key), s.firstValue(key) != ""
 }
 
 // Text returns a string, or def if the key is missing.
@@ -179,124 +180,125 @@
 	return def
 }
 
-// Need returns a string that must be there.
+// Need returns a string. A missing or empty value is a fault.
 func (s *Section) Need(key string) string {
 	v, ok := s.get(key)
 	if !ok {
-		s.bad(key, "", "a value")
+		s.addFault(key, "", "a value")
 	}
 	return v
 }
 
-// OneOf returns one of the allowed values. The first is the default.
+// OneOf returns one of the allowed values, by default the first.
 func (s *Section) OneOf(key string, allowed ...string) string {
 	v, ok := s.get(key)
 	if !ok {
 		return allowed[0]
 	}
 	if !slices.Contains(allowed, v) {
-		s.bad(key, v, "one of "+strings.Join(allowed, ", "))
+		s.addFault(key, v, "one of "+strings.Join(allowed, ", "))
 	}
 	return v
 }
 
-// Int returns a number between least and most, or def if the key is missing.
-func (s *Section) Int(key string, def, least, most int) int {
+// Int returns a whole number from minValue to maxValue, or def if the key is missing.
+func (s *Section) Int(key string, def, minValue, maxValue int) int {
 	v, ok := s.get(key)
 	if !ok {
 		return def
 	}
 	n, err := strconv.Atoi(v)
-	if err != nil || n < least || n > most {
-		s.bad(key, v, fmt.Sprintf("a whole number from %d to %d", least, most))
+	if err != nil || n < minValue || n > maxValue {
+		s.addFault(key, v, fmt.Sprintf("a whole number from %d to %d", minValue, maxValue))
 		return def
 	}
 	return n
 }
 
-// Number returns a number, perhaps with a fraction, between least and most, or def if the
-// key is missing.
-func (s *Section) Number(key string, def, least, most float64) float64 {
+// Number returns a decimal number from minValue to maxValue, or def if the key is
+// missing.
+func (s *Section) Number(key string, def, minValue, maxValue float64) float64 {
 	v, ok := s.get(key)
 	if !ok {
 		return def
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(n >= least && n <= most) {
-		s.bad(key, v, fmt.Sprintf("a number from %g to %g", least, most))
+	if err != nil || !(n >= minValue && n <= maxValue) {
+		s.addFault(key, v, fmt.Sprintf("a number from %g to %g", minValue, maxValue))
 		return def
 	}
 	return n
 }
 
-// Bool returns yes or no, or def if the key is missing.
+// Bool returns true for yes and false for no, or def if the key is missing.
 func (s *Section) Bool(key string, def bool) bool {
 	v, ok := s.get(key)
 	if !ok {
 		return def
 	}
 	if v != "yes" && v != "no" {
-		s.bad(key, v, "yes or no")
+		s.addFault(key, v, "yes or no")
 	}
 	return v == "yes"
 }
 
-// Duration returns a time with its unit between least and most, or def if the key
-// is missing.
-func (s *Section) Duration(key string, def, least, most time.Duration) time.Duration {
+// Duration returns a duration, written with its unit, from minValue to maxValue, or
+// def if the key is missing.
+func (s *Section) Duration(key string, def, minValue, maxValue time.Duration) time.Duration {
 	v, ok := s.get(key)
 	if !ok {
 		return def
 	}
 	d, err := time.ParseDuration(v)
-	if err != nil || d < least || d > most {
-		s.bad(key, v, fmt.Sprintf("a time with its unit from %s to %s", least, most))
+	if err != nil || d < minValue || d > maxValue {
+		s.addFault(key, v, fmt.Sprintf("a time with its unit from %s to %s", minValue, maxValue))
 		return def
 	}
 	return d
 }
 
-// The units of sizes, largest first, so that the longest suffix is tried first.
-var sizes = []struct {
+// sizeUnits are the units in which sizes are written, largest first.
+var sizeUnits = []struct {
 	suffix string
 	unit   unit.Bytes
 }{{"GiB", unit.GiB}, {"MiB", unit.MiB}, {"KiB", unit.KiB}}
 
-// Size returns an amount of memory with its unit between least and most, or def if
-// the key is missing.
-func (s *Section) Size(key string, def, least, most unit.Bytes) unit.Bytes {
+// Size returns a size in bytes, written with its unit, from minValue to maxValue, or
+// def if the key is missing.
+func (s *Section) Size(key string, def, minValue, maxValue unit.Bytes) unit.Bytes {
 	v, ok := s.get(key)
 	if !ok {
 		return def
 	}
-	for _, x := range sizes {
+	for _, x := range sizeUnits {
 		number, found := strings.CutSuffix(v, x.suffix)
 		if !found {
 			continue
 		}
 		n, err := strconv.ParseInt(number, 10, 32)
-		if size := unit.Bytes(n) * x.unit; err == nil && size >= least && size <= most {
+		if size := unit.Bytes(n) * x.unit; err == nil && size >= minValue && size <= maxValue {
 			return size
 		}
 	}
-	s.bad(key, v, fmt.Sprintf("a size in KiB, MiB or GiB from %dKiB to %dKiB", least/unit.KiB, most/unit.KiB))
+	s.addFault(key, v, fmt.Sprintf("a size in KiB, MiB or GiB from %dKiB to %dKiB", minValue/unit.KiB, maxValue/unit.KiB))
 	return def
 }
 
-// Address returns a listening address HOST:PORT with an IP number.
+// Address returns an address IP:PORT, or def if the key is missing.
 func (s *Section) Address(key, def string) string {
 	v, ok := s.get(key)
 	if !ok {
 		v = def
 	}
 	host, port, err := net.SplitHostPort(v)
-	if _, perr := strconv.ParseUint(port, 10, 16); err != nil || perr != nil || net.ParseIP(host) == nil {
-		s.bad(key, v, "an IP number and a port, as in 127.0.0.1:8080")
+	if _, portErr := strconv.ParseUint(port, 10, 16); err != nil || portErr != nil || net.ParseIP(host) == nil {
+		s.addFault(key, v, "an IP number and a port, as in 127.0.0.1:8080")
 	}
 	return v
 }
 
-// OptionalAddress returns an address, or an empty text if the key is missing.
+// OptionalAddress returns an address IP:PORT, or an empty string if the key is
+// missing.
 func (s *Section) OptionalAddress(key string) string {
 	if _, ok := s.get(key); !ok {
 		return ""
@@ -304,17 +306,18 @@
 	return s.Address(key, "")
 }
 
-// URL returns an http or https address that must be there.
+// URL returns an http or https URL without a trailing slash. A missing value is a
+// fault.
 func (s *Section) URL(key string) string {
 	v, ok := s.get(key)
 	u, err := url.Parse(v)
 	if !ok || err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-		s.bad(key, v, "an address that begins with http:// or https://")
+		s.addFault(key, v, "an address that begins with http:// or https://")
 	}
 	return strings.TrimSuffix(v, "/")
 }
 
-// List returns the elements of a comma-separated list.
+// List returns the non-empty elements of a comma-separated list.
 func (s *Section) List(key string) []string {
 	v, ok := s.get(key)
 	if !ok {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,64 +9,66 @@
 	"curlewsill.org/curlewsill/internal/inifile"
 )
 
-// Settings is everything that an entry host learns from outside the log.
+// Settings holds the configuration of an entry host that doesn't come from the log.
 type Settings struct {
-	// Host and Domain say who and where this process is.
+	// Host is the name of this process and Domain its failure domain.
 	Host   id.Host
 	Domain id.Domain
 	// Callers, Operators and Peers are the addresses to listen on. Port 0 lets
-	// the system choose.
+	// the operating system choose a free port.
 	Callers, Operators, Peers string
-	// LogURL, HostsURL and WorkersURL are the platform's services.
+	// LogURL, HostsURL and WorkersURL are the base URLs of the platform's services.
 	LogURL, HostsURL, WorkersURL string
-	// TokenFile holds the token that operators must show; never empty.
+	// TokenFile is the file with the operators' bearer token. It is required.
 	TokenFile string
-	// CertFile and KeyFile turn TLS on if they are set; both or neither.
+	// CertFile and KeyFile enable TLS. Either both are set or neither.
 	CertFile, KeyFile string
-	// BodyLimit bounds a request's body and an answer's; Requests bounds how many
-	// requests are under way at a time.
+	// BodyLimit is the maximum size of a request body and of a response body.
+	// Requests is the maximum number of requests in flight.
 	BodyLimit unit.Bytes
 	Requests  int
-	// MemoryLimit is the soft limit handed to the Go runtime.
+	// MemoryLimit is the soft memory limit of the Go runtime.
 	MemoryLimit unit.Bytes
-	// StopWait bounds a planned stop.
+	// StopWait is how long a planned stop waits for the callers' connections to
+	// close.
 	StopWait time.Duration
-	// LogLevel and LogFormat are for the process's own log.
+	// LogLevel and LogFormat configure the log lines that the process writes.
 	LogLevel, LogFormat string
-	// TraceURL is where spans go; empty for nowhere. TraceShare is the part of
-	// the requests, in percent, for which spans are made without being asked.
+	// TraceURL is the endpoint to which spans are exported. If it is empty, no
+	// spans are exported. TraceShare is the percentage of requests without a
+	// trace context of their own that are sampled.
 	TraceURL   string
 	TraceShare int
 }
 
-// Bounds and defaults.
+// Upper bounds of the settings.
 const (
 	maxBody     = 64 * unit.MiB
 	maxRequests = 65536
 	maxStopWait = time.Hour
 )
 
-// Load reads and checks the file. The error lists every fault.
+// Load reads and validates the file. The error lists every fault.
 func Load(name string) (Settings, error) {
 	f, err := inifile.Read(name)
 	if err != nil {
 		return Settings{}, err
 	}
-	s := read(f)
+	s := readSettings(f)
 	return s, f.Err()
 }
 
-// Parse is Load for a file's content.
+// Parse is like Load, for the content of a file. Errors refer to the file as name.
 func Parse(name string, data []byte) (Settings, error) {
 	f, err := inifile.Parse(name, data)
 	if err != nil {
 		return Settings{}, err
 	}
-	s := read(f)
+	s := readSettings(f)
 	return s, f.Err()
 }
 
-func read(f *inifile.File) Settings {
+func readSettings(f *inifile.File) Settings {
 	host, platform, limits := f.Section("host"), f.Section("platform"), f.Section("limits")
 	logs, traces, tls := f.Section("log"), f.Section("traces"), f.Section("tls")
 	s := Settings{
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -10,40 +10,42 @@
 	"curlewsill.org/curlewsill/internal/inifile"
 )
 
-// Site is the settings of an entry host on the users' platform.
+// Site holds the settings of an entry host on the users' platform.
 type Site struct {
-	// Host and Domain say who and where this process is.
+	// Host is the name of this process and Domain its failure domain.
 	Host   id.Host
 	Domain id.Domain
 	// Callers, Readiness, Peers and Metrics are the addresses to listen on.
 	Callers, Readiness, Peers, Metrics string
 	// Store is the address of the platform's metadata store.
 	Store string
-	// Partitions is how many partitions a topic of the store has.
+	// Partitions is the number of partitions of each topic in the store.
 	Partitions int
-	// LeastTTL is the shortest time after which the store drops a silent member.
+	// LeastTTL is the shortest TTL after which the store removes a member that
+	// sends no heartbeats.
 	LeastTTL time.Duration
-	// ConfigBound is within which time a configuration must be in force on all hosts.
+	// ConfigBound is the time within which a new configuration must be in force
+	// on all hosts.
 	ConfigBound time.Duration
-	// Memory is what the process may use before the platform ends it.
+	// Memory is the memory limit above which the platform kills the process.
 	Memory unit.Bytes
-	// Descriptors is how many files and connections the process may have open.
+	// Descriptors is the limit on the process's open files and connections.
 	Descriptors int
-	// Cores is the part of a core that the process may use, 1 for a whole one.
+	// Cores is the process's CPU limit in cores. It may be a fraction.
 	Cores float64
-	// Link is what the host can send or receive.
+	// Link is the bandwidth of the host's network link in each direction.
 	Link unit.MegabitsPerSecond
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration
-	// Machines is the address of the service that takes machines down for maintenance;
-	// empty if there is none.
+	// Machines is the address of the service that takes machines down for
+	// maintenance, or empty if there is none.
 	Machines string
-	// Advice is the address of the service that says where steps of some queues may
-	// run; empty if there is none.
+	// Advice is the address of the service that restricts where the steps of some
+	// queues may run, or empty if there is none.
 	Advice string
-	// Workers holds the bounds that workers and machines keep to.
+	// Workers holds the time limits for workers and machine maintenance.
 	Workers dispatch.Config
-	// Policy says which mechanisms the owner decides by.
+	// Policy says which scheduling mechanisms the owner uses.
 	Policy   policy.Policy
 	LogLevel string
 }
@@ -52,17 +54,19 @@
 const (
 	maxPartitions = 4096
 	maxPeriod     = 24 * time.Hour
-	// leastEvacuation is the shortest bound that a host keeps: an order takes up to 1 s of it.
-	leastEvacuation = 1500 * time.Millisecond
-	// leastDescriptors leaves some beside the connections to the store, to peers and to callers.
-	leastDescriptors, mostDescriptors = 256, 1 << 24
-	// leastCores and mostCores bound the processor share, leastLink and mostLink the link in
-	// Mbit/s.
-	leastCores, mostCores = 0.01, 1024
-	leastLink, mostLink   = 0.1, 1_000_000
+	// minEvacuation is the shortest evacuation bound that a host can meet: sending
+	// a start or stop order takes up to 1 s of it.
+	minEvacuation = 1500 * time.Millisecond
+	// minDescriptors leaves spare descriptors beside the connections to the store,
+	// to peers and to callers.
+	minDescriptors, maxDescriptors = 256, 1 << 24
+	// minCores and maxCores bound the CPU limit, minLink and maxLink the link's
+	// bandwidth in Mbit/s.
+	minCores, maxCores = 0.01, 1024
+	minLink, maxLink   = 0.1, 1_000_000
 )
 
-// LoadSite reads and checks the file. The error lists every fault.
+// LoadSite reads and validates the file. The error lists every fault.
 func LoadSite(name string) (Site, error) {
 	f, err := inifile.Read(name)
 	if err != nil {
@@ -72,7 +76,7 @@
 	return s, f.Err()
 }
 
-// readSite reads the sections. Faults are kept in f.
+// readSite reads the sections and records faults in f.
 func readSite(f *inifile.File) Site {
 	host, store, limits := f.Section("host"), f.Section("store"), f.Section("limits")
 	workers, machines := f.Section("workers"), f.Section("machines")
@@ -88,20 +92,21 @@
 		LeastTTL:    store.Duration("least_ttl", time.Second, time.Millisecond, time.Minute),
 		ConfigBound: store.Duration("config_bound", 2*time.Second, time.Second, time.Minute),
 		Memory:      limits.Size("memory", 256*unit.MiB, 24*unit.MiB, 64*unit.GiB),
-		Descriptors: limits.Int("descriptors", 1024, leastDescriptors, mostDescriptors),
-		Cores:       limits.Number("cores", 1, leastCores, mostCores),
-		Link:        unit.MegabitsPerSecond(limits.Number("link_mbps", 1000, leastLink, mostLink)),
+		Descriptors: limits.Int("descriptors", 1024, minDescriptors, maxDescriptors),
+		Cores:       limits.Number("cores", 1, minCores, maxCores),
+		Link:        unit.MegabitsPerSecond(limits.Number("link_mbps", 1000, minLink, maxLink)),
 		Grace:       limits.Duration("grace", 6*time.Second, time.Second, time.Hour),
 		Machines:    machines.OptionalAddress("address"),
 		Advice:      workers.OptionalAddress("advice"),
-		Workers:     readBounds(workers, machines),
+		Workers:     readWorkerConfig(workers, machines),
 		Policy:      readPolicy(f.Section("policy")),
 		LogLevel:    f.Section("log").OneOf("level", "info", "debug", "warn", "error"),
 	}
 }
 
-// readBounds reads the bounds of workers and machines, and how long ended jobs are kept.
-func readBounds(workers, machines *inifile.Section) dispatch.Config {
+// readWorkerConfig reads the time limits for workers and machine maintenance, and
+// how long ended jobs are kept.
+func readWorkerConfig(workers, machines *inifile.Section) dispatch.Config {
 	return dispatch.Config{
 		MaxLease:  workers.Duration("max_lease", 10*time.Second, time.Second, maxPeriod),
 		StopTime:  workers.Duration("stop", time.Second, time.Millisecond, time.Minute),
@@ -109,12 +114,13 @@
 		KeepEnded: workers.Duration("keep_ended", 2*time.Minute, time.Second, maxPeriod),
 		Handover:  machines.Duration("handover", 3*time.Second, time.Millisecond, time.Minute),
 		Away:      machines.Duration("away", 2*time.Second, time.Millisecond, time.Hour),
-		// Where no bound is set, starts don't wait for news of evacuations: a host that can't read them would stop all work.
-		Evacuation: workers.Duration("evacuation", 0, leastEvacuation, time.Minute),
+		// Without a bound, starts don't depend on up-to-date evacuation records:
+		// otherwise a host that can't read these records would start no tasks.
+		Evacuation: workers.Duration("evacuation", 0, minEvacuation, time.Minute),
 	}
 }
 
-// readPolicy reads the switches of the policy. All are on unless it says otherwise.
+// readPolicy reads the policy's switches. A switch that is missing is on.
 func readPolicy(s *inifile.Section) policy.Policy {
 	p := policy.New()
 	for _, name := range policy.Names() {
--- a/internal/settings/site_test.go
+++ b/internal/settings/site_test.go
@@ -10,11 +10,14 @@
 	"curlewsill.org/curlewsill/internal/settings"
 )
 
-// TestEvacuationBound reads the bound of testdata/evacuation.txt, a line each: what the settings say, or "none", and how long a task may still start in
-// an evacuated failure domain by that.
+// TestEvacuationBound checks the evacuation bounds in testdata/evacuation.txt. Each
+// line has the value of the setting, or "none" if it is absent, and the bound that
+// follows: how long a task may still start in an evacuated failure domain. "refused"
+// means that the setting is rejected.
 //
-// Where no bound was set 5 s counted. On a site where nobody evacuates, an owner that couldn't read the operator's records for 4 s started
-// nothing at all, for 4 to 7 s at a time ("starts-withheld").
+// The test guards against a default of 5 s. With it, an owner that couldn't read the
+// operator's records for 4 s started no tasks for 4 to 7 s ("starts-withheld"), even
+// on a site without evacuations.
 func TestEvacuationBound(t *testing.T) {
 	scripttest.EachLine(t, "evacuation.txt", func(f []string) {
 		t.Run(f[0], func(t *testing.T) {
