--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,12 +1,11 @@
-// Package edge is the side of callers and backend servers: it takes requests over
-// HTTP, sends them to the backend servers that the core chose, and gives each caller
-// exactly one answer.
+// Package edge is the reverse proxy of an entry host: it accepts callers' requests
+// over HTTP, sends them to the backend servers that the core chose, and gives each
+// caller exactly one response.
 //
-// A request is read whole before it is sent and an answer is read whole before it is
-// passed on, both within a size limit. So an attempt can be retried, and a caller
-// never sees the beginning of an answer whose end is lost. An answer belongs to the
-// attempt that it came back on; an attempt that the core has given up writes to
-// nobody.
+// Request and response bodies are buffered completely before they are forwarded, up
+// to a size limit. So an attempt can be retried, and a caller never receives part of
+// a response whose rest is lost. Each response is stored with the attempt that
+// received it. The response to an attempt that the core has abandoned is discarded.
 package edge
 
 import (
@@ -34,55 +33,59 @@
 	"curlewsill.org/curlewsill/internal/trace"
 )
 
-// The headers of the interface; docs/API.md describes them.
+// HTTP headers and paths of the interface. docs/API.md describes them.
 const (
-	// CustomerHeader names the customer.
+	// CustomerHeader carries the name of the customer.
 	CustomerHeader = "Curlewsill-Customer"
-	// OnceHeader with the value "true" marks a request not to be repeated.
+	// OnceHeader with the value "true" marks a request that must run at most once.
 	OnceHeader = "Curlewsill-Once"
-	// KeyHeader carries the caller's key of a request not to be repeated.
+	// KeyHeader carries the caller's idempotency key for a request that must run at
+	// most once.
 	KeyHeader = "Idempotency-Key"
-	// TimeoutHeader carries the time in milliseconds that the caller will wait.
+	// TimeoutHeader carries the caller's timeout in milliseconds.
 	TimeoutHeader = "Curlewsill-Timeout-Ms"
-	// RanHeader says in every answer whether the request ran.
+	// RanHeader says in every response whether the request ran.
 	RanHeader = "Curlewsill-Ran"
-	// LoadHeader carries the slots in use at a backend server.
+	// LoadHeader carries the number of slots in use at a backend server.
 	LoadHeader = "Curlewsill-Load"
-	// RefusalHeader says why a backend server refused: busy or leaving.
+	// RefusalHeader says why a backend server refused a request: busy or leaving.
 	RefusalHeader = "Curlewsill-Refusal"
-	// HealthPath is where backend servers say whether they take requests.
+	// HealthPath is the path at which backend servers report whether they accept
+	// requests.
 	HealthPath = "/healthz"
-	// RequestHeader carries the id of a request to the backend server and back.
+	// RequestHeader carries the ID of an attempt to the backend server, which may
+	// echo it.
 	RequestHeader = "Curlewsill-Request"
 )
 
-// Prefix is the path below which services are reached: /services/NAME/....
+// Prefix is the path prefix of services: /services/NAME/....
 const Prefix = "/services/"
 
-// maxKey bounds a caller's key in bytes.
-const maxKey = 200
+// maxKeyBytes bounds the length of an idempotency key.
+const maxKeyBytes = 200
 
-// answerTimeout bounds the time in which a caller takes its answer. One that has gone silent would
-// hold its connection, and its place among the requests under way, for good: its kernel goes on
-// answering TCP's probes. It is half the time that a request may take to come.
-const answerTimeout = 30 * time.Second
+// writeTimeout bounds the time in which a caller must read its response. Without it,
+// a caller that stops reading would hold its connection and its slot among the
+// requests in flight forever, because its kernel still answers TCP keep-alive probes.
+// It is half the time limit for receiving a request.
+const writeTimeout = 30 * time.Second
 
-// Core takes the events of requests.
+// Core receives the events of requests.
 type Core interface {
 	Offer(node.Event) bool
 	Push(context.Context, node.Event) bool
 }
 
-// Observer is told of every final answer.
+// Observer is called once for each request, when its handling ends.
 type Observer func(service id.Service, code route.Code, ran route.Ran, took time.Duration)
 
-// Clients are the ways to backend servers. Probes have connections of their own, so
-// that a probe never waits for a request.
+// Clients are the HTTP clients for backend servers. Probes use separate connections,
+// so that a probe never waits for a request.
 type Clients struct {
 	Requests, Probes *http.Client
 }
 
-// Edge is the handler of callers' requests.
+// Edge is the HTTP handler for callers' requests.
 type Edge struct {
 	host      id.Host
 	core      Core
@@ -92,34 +95,34 @@
 	bodyLimit unit.Bytes
 	slots     chan struct{}
 
-	last  atomic.Uint64
-	mu    sync.Mutex
-	calls map[id.Request]*call
+	lastID atomic.Uint64
+	mu     sync.Mutex
+	calls  map[id.Request]*call
 }
 
-// call is one request under way.
+// call is a caller's request in flight.
 type call struct {
 	id      id.Request
 	service id.Service
 	once    bool
-	in      *http.Request
+	request *http.Request
 	body    []byte
 	reply   chan route.Reply
 	ctx     context.Context
 
-	mu      sync.Mutex
-	answers map[int]*answer
-	closed  bool
+	mu        sync.Mutex
+	responses map[int]*response
+	closed    bool
 }
 
-// answer is a whole answer of a backend server.
-type answer struct {
+// response is a complete response of a backend server.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// New returns a handler that keeps at most limit requests under way.
+// New returns a handler that admits at most limit requests in flight.
 func New(host id.Host, core Core, c Clients, t *trace.Tracer, bodyLimit unit.Bytes, limit int, o Observer) *Edge {
 	return &Edge{
 		host: host, core: core, clients: c, tracer: t, observe: o, bodyLimit: bodyLimit,
@@ -127,13 +130,13 @@
 	}
 }
 
-// ServeHTTP takes a request and writes its final answer.
+// ServeHTTP handles a request and writes its final response.
 func (e *Edge) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	ctx := e.tracer.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := e.tracer.Start(ctx, "request", oteltrace.WithSpanKind(oteltrace.SpanKindServer))
 	defer span.End()
-	boundAnswer(w) // of a refusal, which comes at once
+	setWriteDeadline(w) // for a refusal, which is written at once
 	service, code, ran := e.serve(ctx, w, r)
 	span.SetAttributes(
 		attribute.String("service", string(service)),
@@ -157,11 +160,11 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(e.bodyLimit)))
 	if err != nil {
-		return q.Service, badBody(w, err), route.RanNo
+		return q.Service, writeBodyError(w, err), route.RanNo
 	}
 	c := &call{
-		id: q.ID, service: q.Service, once: q.Once, in: r, body: body, ctx: ctx,
-		reply: make(chan route.Reply, 1), answers: map[int]*answer{},
+		id: q.ID, service: q.Service, once: q.Once, request: r, body: body, ctx: ctx,
+		reply: make(chan route.Reply, 1), responses: map[int]*response{},
 	}
 	e.register(c)
 	defer e.unregister(c)
@@ -170,14 +173,14 @@
 	}
 	select {
 	case rep := <-c.reply:
-		return q.Service, rep.Code, e.finish(w, c, rep)
+		return q.Service, rep.Code, e.writeReply(w, c, rep)
 	case <-r.Context().Done():
 		e.core.Push(context.WithoutCancel(ctx), node.Gone{Request: q.ID})
 		return q.Service, "caller-gone", route.RanUnknown
 	}
 }
 
-// Errors of a request's headers.
+// Errors in the path and headers of a request. Callers receive them as details.
 var (
 	errPath    = errors.New("want a path like /services/NAME/PATH")
 	errOnce    = errors.New("want " + OnceHeader + " to be true or false")
@@ -185,9 +188,9 @@
 	errKey     = errors.New("want " + KeyHeader + " to have at most 200 bytes")
 )
 
-// parse reads what the core needs to know.
+// parse returns what the core needs to route the request.
 func (e *Edge) parse(r *http.Request) (route.Request, error) {
-	q := route.Request{ID: id.Request(e.last.Add(1)), Customer: id.Customer(r.Header.Get(CustomerHeader))}
+	q := route.Request{ID: id.Request(e.lastID.Add(1)), Customer: id.Customer(r.Header.Get(CustomerHeader))}
 	rest, ok := strings.CutPrefix(r.URL.Path, Prefix)
 	name, _, _ := strings.Cut(rest, "/")
 	if !ok || name == "" {
@@ -195,7 +198,7 @@
 	}
 	q.Service = id.Service(name)
 	q.Key = r.Header.Get(KeyHeader)
-	if len(q.Key) > maxKey {
+	if len(q.Key) > maxKeyBytes {
 		return q, errKey
 	}
 	switch v := r.Header.Get(OnceHeader); v {
@@ -227,31 +230,31 @@
 	e.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed, c.answers = true, nil
+	c.closed, c.responses = true, nil
 }
 
-func (e *Edge) find(name id.Request) *call {
+func (e *Edge) find(request id.Request) *call {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.calls[name]
+	return e.calls[request]
 }
 
-// Reply gives a request its final answer.
+// Reply delivers the core's final reply to the handler of the request.
 func (e *Edge) Reply(rep route.Reply) {
 	if c := e.find(rep.Request); c != nil {
 		c.reply <- rep
 	}
 }
 
-// finish writes the final answer to the caller.
-func (e *Edge) finish(w http.ResponseWriter, c *call, rep route.Reply) route.Ran {
-	boundAnswer(w)
+// writeReply writes the final response to the caller.
+func (e *Edge) writeReply(w http.ResponseWriter, c *call, rep route.Reply) route.Ran {
+	setWriteDeadline(w)
 	if rep.Relay == 0 {
 		problem.Write(w, problem.For(rep))
 		return rep.Ran
 	}
 	c.mu.Lock()
-	a := c.answers[rep.Relay]
+	a := c.responses[rep.Relay]
 	c.mu.Unlock()
 	h := w.Header()
 	for k, v := range a.header {
@@ -264,10 +267,11 @@
 	return rep.Ran
 }
 
-// boundAnswer bounds the time for an answer that is written now.
-func boundAnswer(w http.ResponseWriter) {
-	// A connection without time limits, as in tests of handlers, is left as it is.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
+// setWriteDeadline bounds the time for writing a response, from now on.
+func setWriteDeadline(w http.ResponseWriter) {
+	// The error is ignored: a connection without deadlines, as in tests of
+	// handlers, is used without one.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
 func refuse(w http.ResponseWriter, code route.Code, after time.Duration) route.Code {
@@ -275,7 +279,7 @@
 	return code
 }
 
-func badBody(w http.ResponseWriter, err error) route.Code {
+func writeBodyError(w http.ResponseWriter, err error) route.Code {
 	p := problem.Problem{
 		Status: http.StatusBadRequest, Code: "bad-body",
 		Detail: "the body could not be read", Ran: route.RanNo,
@@ -288,16 +292,17 @@
 	return p.Code
 }
 
-// onlyOnce is a body that the HTTP client can't send a second time by itself.
-type onlyOnce struct{ io.Reader }
+// nonReplayableBody is a request body of which the HTTP client can't get a second
+// copy, so that it never retries the request by itself.
+type nonReplayableBody struct{ io.Reader }
 
-func (onlyOnce) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// newBody returns a body that the HTTP client takes for one that can't be had again.
-func newBody(b []byte) io.ReadCloser { return onlyOnce{bytes.NewReader(b)} }
+// newNonReplayableBody returns a request body that the HTTP client can't replay.
+func newNonReplayableBody(b []byte) io.ReadCloser { return nonReplayableBody{bytes.NewReader(b)} }
 
-// fail notes an error on a span.
-func fail(span oteltrace.Span, o route.Outcome) {
+// recordOutcome sets the span's status to error unless the response was complete.
+func recordOutcome(span oteltrace.Span, o route.Outcome) {
 	if o != route.Whole {
 		span.SetStatus(codes.Error, string(o))
 	}
--- a/internal/edge/probe.go
+++ b/internal/edge/probe.go
@@ -9,20 +9,22 @@
 	"curlewsill.org/curlewsill/core/route"
 )
 
-// maxHealth bounds how much of a probe's answer is read, in bytes.
-const maxHealth = 4 << 10
+// maxProbeBody bounds how much of a probe's response is read, in bytes.
+const maxProbeBody = 4 << 10
 
-// Probe asks a backend server whether it takes requests, in a goroutine of its own.
+// Probe checks in a new goroutine whether a backend server accepts requests, and
+// passes the outcome to the core.
 func (e *Edge) Probe(ctx context.Context, p route.Probe) {
 	go func() {
-		if o, ok := e.ask(ctx, p); ok {
+		if o, ok := e.sendProbe(ctx, p); ok {
 			e.core.Push(ctx, node.Probed{Probe: p, Outcome: o})
 		}
 	}()
 }
 
-// ask sends a probe. It reports false if the backend server was too slow to tell.
-func (e *Edge) ask(ctx context.Context, p route.Probe) (route.Outcome, bool) {
+// sendProbe sends a probe. It reports false if the probe was inconclusive, because it
+// timed out.
+func (e *Edge) sendProbe(ctx context.Context, p route.Probe) (route.Outcome, bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+string(p.Backend)+HealthPath, nil)
@@ -34,7 +36,7 @@
 		return route.Unreached, ctx.Err() == nil
 	}
 	defer func() { _ = resp.Body.Close() }()
-	_, _ = io.CopyN(io.Discard, resp.Body, maxHealth)
+	_, _ = io.CopyN(io.Discard, resp.Body, maxProbeBody)
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(RefusalHeader) == string(route.Leaving) {
 		return route.Leaving, true
 	}
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -19,23 +19,24 @@
 	"curlewsill.org/curlewsill/core/route"
 )
 
-// errAnswerTooLarge reports an answer above the size limit.
-var errAnswerTooLarge = errors.New("edge: answer too large")
+// errResponseTooLarge reports a response body above the size limit.
+var errResponseTooLarge = errors.New("edge: response too large")
 
-// probeTimeout bounds a probe. One that takes longer says nothing.
+// probeTimeout bounds a probe. A probe that takes longer is inconclusive.
 const probeTimeout = 800 * time.Millisecond
 
-// hopHeaders are the headers that belong to one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders are the headers of a single connection. They aren't forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// Send sends a request to a backend server, in a goroutine of its own.
+// Send makes one attempt to send a request to a backend server, in a new goroutine.
 func (e *Edge) Send(a route.Attempt) {
 	c := e.find(a.Request)
 	if c == nil {
-		// The caller went away before the core heard of it. Nothing was sent.
+		// The caller has disconnected and the core didn't know it yet. Nothing was
+		// sent.
 		go e.core.Push(context.Background(), node.Ended{Result: route.Result{Attempt: a, Outcome: route.Unreached, Load: -1}})
 		return
 	}
@@ -43,8 +44,8 @@
 }
 
 func (e *Edge) attempt(c *call, a route.Attempt) {
-	// A request not to be repeated goes on when its caller leaves, because nobody
-	// could say afterwards whether it ran.
+	// A request that must run at most once continues after its caller disconnects:
+	// if it were cancelled, nobody could tell whether it ran.
 	parent := c.ctx
 	if c.once {
 		parent = context.WithoutCancel(parent)
@@ -57,18 +58,18 @@
 	began := time.Now()
 	res := e.exchange(ctx, c, a)
 	res.Took = time.Since(began)
-	fail(span, res.Outcome)
+	recordOutcome(span, res.Outcome)
 	e.core.Push(context.WithoutCancel(ctx), node.Ended{Result: res})
 }
 
-// exchange sends the request once and reads the answer whole.
+// exchange sends the request once and reads the complete response.
 func (e *Edge) exchange(ctx context.Context, c *call, a route.Attempt) route.Result {
 	res := route.Result{Attempt: a, Outcome: route.Unreached, Load: -1}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	req, err := e.outgoing(ctx, c, a)
+	req, err := e.newBackendRequest(ctx, c, a)
 	if err != nil {
 		return res
 	}
@@ -83,73 +84,73 @@
 	if n, err := strconv.Atoi(resp.Header.Get(LoadHeader)); err == nil && n >= 0 {
 		res.Load = n
 	}
-	body, err := readAnswer(resp, int64(e.bodyLimit))
+	body, err := readBody(resp, int64(e.bodyLimit))
 	echo := resp.Header.Get(RequestHeader)
-	if err != nil || echo != "" && echo != requestName(e, a) {
-		// Cut short, too large, or the answer to another request.
+	if err != nil || echo != "" && echo != attemptID(e, a) {
+		// The response is incomplete, too large or belongs to another request.
 		res.Outcome = route.Broken
 		return res
 	}
-	res.Outcome = outcome(resp)
+	res.Outcome = classify(resp)
 	if res.Outcome == route.Whole {
-		c.keep(a.Number, &answer{resp.StatusCode, passOn(resp.Header), body})
+		c.store(a.Number, &response{resp.StatusCode, endToEndHeaders(resp.Header), body})
 	}
 	return res
 }
 
-// requestName is the name under which a backend server knows a request.
-func requestName(e *Edge, a route.Attempt) string {
+// attemptID returns the ID of an attempt: host, request and attempt number.
+func attemptID(e *Edge, a route.Attempt) string {
 	return string(e.host) + "-" + strconv.FormatUint(uint64(a.Request), 10) + "-" + strconv.Itoa(a.Number)
 }
 
-func (e *Edge) outgoing(ctx context.Context, c *call, a route.Attempt) (*http.Request, error) {
-	path := strings.TrimPrefix(c.in.URL.EscapedPath(), Prefix+string(c.service))
+func (e *Edge) newBackendRequest(ctx context.Context, c *call, a route.Attempt) (*http.Request, error) {
+	path := strings.TrimPrefix(c.request.URL.EscapedPath(), Prefix+string(c.service))
 	if path == "" {
 		path = "/"
 	}
 	target := "http://" + string(a.Backend) + path
-	if q := c.in.URL.RawQuery; q != "" {
+	if q := c.request.URL.RawQuery; q != "" {
 		target += "?" + q
 	}
-	req, err := http.NewRequestWithContext(ctx, c.in.Method, target, nil)
+	req, err := http.NewRequestWithContext(ctx, c.request.Method, target, nil)
 	if err != nil {
 		return nil, err
 	}
-	// The HTTP client would send some requests again on its own. It can't with a
-	// body that it doesn't know how to get a second time.
-	req.Body, req.ContentLength = newBody(c.body), int64(len(c.body))
-	req.Header = passOn(c.in.Header)
-	req.Header.Set(RequestHeader, requestName(e, a))
+	// The HTTP client retries some requests by itself, but never one whose body it
+	// can't replay.
+	req.Body, req.ContentLength = newNonReplayableBody(c.body), int64(len(c.body))
+	req.Header = endToEndHeaders(c.request.Header)
+	req.Header.Set(RequestHeader, attemptID(e, a))
 	e.tracer.Inject(ctx, propagation.HeaderCarrier(req.Header))
 	return req, nil
 }
 
-// passOn returns the headers that go on to the next hop.
-func passOn(h http.Header) http.Header {
+// endToEndHeaders returns a copy of the headers without the hop-by-hop ones.
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, name := range strings.Split(out.Get("Connection"), ",") {
 		out.Del(strings.TrimSpace(name))
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// readAnswer reads an answer's body to its end.
-func readAnswer(resp *http.Response, limit int64) ([]byte, error) {
+// readBody reads a response body to its end.
+func readBody(resp *http.Response, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, errAnswerTooLarge
+		return nil, errResponseTooLarge
 	}
 	return body, nil
 }
 
-// outcome tells a backend server's refusal from an answer of its own.
-func outcome(resp *http.Response) route.Outcome {
+// classify tells a backend server's refusal from a response of the service.
+func classify(resp *http.Response) route.Outcome {
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get(RanHeader) != string(route.RanNo) {
 		return route.Whole
 	}
@@ -159,11 +160,11 @@
 	return route.Busy
 }
 
-// keep stores a whole answer until the core has decided about it.
-func (c *call) keep(number int, a *answer) {
+// store keeps a complete response until the core has chosen the caller's reply.
+func (c *call) store(number int, a *response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
-		c.answers[number] = a
+		c.responses[number] = a
 	}
 }
--- a/internal/edge/unread_test.go
+++ b/internal/edge/unread_test.go
@@ -20,30 +20,31 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// late answers every request after a while, longer than an answer may take to be taken.
-type late struct{ edge *edge.Edge }
+// slowCore replies to every request after a minute, longer than the edge's timeout for
+// writing a response.
+type slowCore struct{ edge *edge.Edge }
 
 // Offer implements edge.Core.
-func (l *late) Offer(ev node.Event) bool {
+func (l *slowCore) Offer(ev node.Event) bool {
 	q := ev.(node.Arrived).Request
 	time.AfterFunc(time.Minute, func() { l.edge.Reply(route.Reply{Request: q.ID, Code: route.CodeInterrupted, Ran: route.RanUnknown}) })
 	return true
 }
 
 // Push implements edge.Core.
-func (*late) Push(context.Context, node.Event) bool { return true }
+func (*slowCore) Push(context.Context, node.Event) bool { return true }
 
-// TestUnread checks that a caller that has gone silent and takes no answer doesn't hold its
-// connection for good, and that one that waits long for its answer gets it.
+// TestUnread checks that the connection of a caller that doesn't read its response is
+// closed, and that a caller that waits long for its response receives it.
 //
-// Symptom: a caller that doesn't read kept its connection and, with a long answer, its place among
-// the requests under way. Cause: a write to it had no time limit, and its kernel answers TCP's
-// probes.
+// It guards against writes without a deadline. Such a caller would hold its connection
+// forever and, with a long response, also its slot among the requests in flight,
+// because its kernel still answers TCP keep-alive probes.
 func TestUnread(t *testing.T) {
 	for _, reads := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			near, far := net.Pipe()
-			core := &late{}
+			clientConn, serverConn := net.Pipe()
+			core := &slowCore{}
 			tracer := trace.With("h", sdk.NewSimpleSpanProcessor(tracetest.NewInMemoryExporter()), 0)
 			core.edge = edge.New("h", core, edge.Clients{}, tracer, unit.KiB, 1, func(id.Service, route.Code, route.Ran, time.Duration) {})
 			ended := make(chan struct{})
@@ -52,13 +53,13 @@
 					close(ended)
 				}
 			}}
-			lis := &single{conn: far, closed: make(chan struct{})}
+			lis := &singleListener{conn: serverConn, closed: make(chan struct{})}
 			go func() { _ = s.Serve(lis) }()
-			if _, err := io.WriteString(near, "GET /services/svc/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); err != nil {
+			if _, err := io.WriteString(clientConn, "GET /services/svc/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); err != nil {
 				t.Fatal(err)
 			}
 			if reads {
-				data, err := io.ReadAll(near)
+				data, err := io.ReadAll(clientConn)
 				if err != nil || len(data) == 0 {
 					t.Errorf("got %q, %v", data, err)
 				}
@@ -66,22 +67,22 @@
 			select {
 			case <-ended:
 			case <-time.After(time.Hour):
-				t.Error("the connection stays")
+				t.Error("the connection was not closed")
 			}
-			_, _, _ = s.Close(), near.Close(), far.Close()
+			_, _, _ = s.Close(), clientConn.Close(), serverConn.Close()
 			synctest.Wait()
 		})
 	}
 }
 
-// single is a listener with one connection.
-type single struct {
+// singleListener is a listener that accepts a single connection.
+type singleListener struct {
 	conn   net.Conn
 	closed chan struct{}
 }
 
 // Accept implements net.Listener.
-func (l *single) Accept() (net.Conn, error) {
+func (l *singleListener) Accept() (net.Conn, error) {
 	if c := l.conn; c != nil {
 		l.conn = nil
 		return c, nil
@@ -91,10 +92,10 @@
 }
 
 // Close implements net.Listener.
-func (l *single) Close() error {
+func (l *singleListener) Close() error {
 	close(l.closed)
 	return nil
 }
 
 // Addr implements net.Listener.
-func (*single) Addr() net.Addr { return &net.TCPAddr{} }
+func (*singleListener) Addr() net.Addr { return &net.TCPAddr{} }
