--- a/internal/logging/leftout.go
+++ b/internal/logging/leftout.go
@@ -8,40 +8,43 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// leftOut counts lines that were not written, by their messages. Its zero value is ready, and it is safe for concurrent use.
-type leftOut struct {
+// omissionCounter counts by message the log lines that the sampler has dropped. Its
+// zero value is ready to use, and it is safe for concurrent use.
+type omissionCounter struct {
 	mu sync.Mutex
-	// counts holds the messages of which lines were left out since take was called.
-	counts []leftCount
+	// counts has an element for each message of which lines were dropped since the
+	// last call of take.
+	counts []omissionCount
 }
 
-// leftCount is how many lines of a message were left out.
-type leftCount struct {
+// omissionCount is the number of dropped lines with one message.
+type omissionCount struct {
 	message string
 	lines   int
 }
 
-// note takes in what the sampler has decided on a line.
-func (l *leftOut) note(e zapcore.Entry, d zapcore.SamplingDecision) {
+// note counts a line if the sampler's decision is to drop it. It is the sampler's
+// hook.
+func (l *omissionCounter) note(e zapcore.Entry, d zapcore.SamplingDecision) {
 	if d&zapcore.LogDropped == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	i := slices.IndexFunc(l.counts, func(c leftCount) bool { return c.message == e.Message })
+	i := slices.IndexFunc(l.counts, func(c omissionCount) bool { return c.message == e.Message })
 	if i < 0 {
-		l.counts = append(l.counts, leftCount{message: e.Message})
+		l.counts = append(l.counts, omissionCount{message: e.Message})
 		i = len(l.counts) - 1
 	}
 	l.counts[i].lines++
 }
 
-// take returns the counts since it was last called, by message, and begins anew.
-func (l *leftOut) take() []leftCount {
+// take returns the counts since its last call, sorted by message, and resets them.
+func (l *omissionCounter) take() []omissionCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := l.counts
 	l.counts = nil
-	slices.SortFunc(out, func(a, b leftCount) int { return cmp.Compare(a.message, b.message) })
+	slices.SortFunc(out, func(a, b omissionCount) int { return cmp.Compare(a.message, b.message) })
 	return out
 }
--- a/internal/logging/stream.go
+++ b/internal/logging/stream.go
@@ -1,4 +1,4 @@
-// Package logging makes the process's own log.
+// Package logging creates the logger of the process.
 package logging
 
 import (
@@ -14,42 +14,45 @@
 )
 
 const (
-	// streamLines is how many lines may wait for a slow reader: a few seconds of
-	// the busiest host.
+	// streamLines is how many lines may be queued for a slow reader of the output: a
+	// few seconds of the busiest host's lines.
 	streamLines = 4096
-	// sampleEvery, sampleFirst and sampleThen bound repeats: of lines with the
-	// same message in one period, the first are kept and then one in so many.
+	// sampleEvery, sampleFirst and sampleThen limit repeated messages: of the lines
+	// with the same message in a period of sampleEvery, the first sampleFirst are
+	// written and then one in sampleThen.
 	sampleEvery = time.Second
 	sampleFirst = 1000
 	sampleThen  = 50
-	// flushWait is how long a process that ends waits for its last lines.
+	// flushWait is how long an exiting process waits until its last lines are written.
 	flushWait = 200 * time.Millisecond
-	// flushLook is the pause between two looks whether they are written.
-	flushLook = 5 * time.Millisecond
+	// flushPoll is the interval at which Flush checks whether they are written.
+	flushPoll = 5 * time.Millisecond
 )
 
-// Stream is a logger whose lines are written by a goroutine of their own. A reader
-// that doesn't read costs lines, never time; the next line that gets through tells
-// how many were lost.
+// Stream is a logger that writes its lines in a separate goroutine. A slow or blocked
+// reader of the output never blocks the callers: lines that exceed the queue are
+// dropped, and their number is logged before the next line that is written.
 type Stream struct {
 	*zap.Logger
 	lines *ring.Ring[[]byte]
-	// left counts the lines that were left out because others with the same message were too many.
-	left leftOut
-	// written and taken count lines, so that Flush knows what is under way.
-	taken, written atomic.Uint64
+	// omitted counts the lines that the sampler dropped because there were too many
+	// with the same message.
+	omitted omissionCounter
+	// queued and written count lines, so that Flush knows whether any are still
+	// unwritten.
+	queued, written atomic.Uint64
 }
 
-// Format is how a line is written.
+// Format is the format of log lines.
 type Format string
 
-// The formats. Console is for people.
+// The formats. Console is meant for people to read.
 const (
 	JSON    Format = "json"
 	Console Format = "console"
 )
 
-// encoder returns what writes lines in the format.
+// encoder returns an encoder for the format.
 func (f Format) encoder() zapcore.Encoder {
 	c := zap.NewProductionEncoderConfig()
 	c.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -59,7 +62,8 @@
 	return zapcore.NewJSONEncoder(c)
 }
 
-// NewStream returns a logger of lines to out. Level is debug, info, warn or error.
+// NewStream returns a logger that writes to out. The level is debug, info, warn or
+// error.
 func NewStream(out io.Writer, level string, format Format) (*Stream, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -68,58 +72,62 @@
 	s := &Stream{lines: ring.New[[]byte](streamLines)}
 	lines := format.encoder()
 	core := zapcore.NewCore(lines, s, l)
-	s.Logger = zap.New(zapcore.NewSamplerWithOptions(core, sampleEvery, sampleFirst, sampleThen, zapcore.SamplerHook(s.left.note)))
+	s.Logger = zap.New(zapcore.NewSamplerWithOptions(core, sampleEvery, sampleFirst, sampleThen, zapcore.SamplerHook(s.omitted.note)))
 	go s.copy(out, lines.Clone())
-	go s.tellLeftOut(zap.New(core))
+	go s.reportOmitted(zap.New(core))
 	return s, nil
 }
 
-// Write queues one line. It implements zapcore.WriteSyncer.
+// Write queues one line, or drops it if the queue is full. It implements
+// zapcore.WriteSyncer.
 func (s *Stream) Write(p []byte) (int, error) {
 	if s.lines.Offer(append([]byte(nil), p...)) {
-		s.taken.Add(1)
+		s.queued.Add(1)
 	}
 	return len(p), nil
 }
 
-// Sync does nothing: lines are written as fast as their reader takes them.
+// Sync does nothing: lines are written as soon as the reader of the output accepts
+// them.
 func (s *Stream) Sync() error { return nil }
 
-// Flush waits a short while until the lines that wait are written.
+// Flush waits, for a short time at most, until the queued lines are written.
 func (s *Stream) Flush() {
-	for end := time.Now().Add(flushWait); s.written.Load() < s.taken.Load() && time.Now().Before(end); {
-		time.Sleep(flushLook)
+	for end := time.Now().Add(flushWait); s.written.Load() < s.queued.Load() && time.Now().Before(end); {
+		time.Sleep(flushPoll)
 	}
 }
 
-// copy writes the queued lines to out, and tells how many were lost before a line.
+// copy writes the queued lines to out. Before a line it writes how many lines were
+// dropped since the last such report.
 func (s *Stream) copy(out io.Writer, lines zapcore.Encoder) {
-	var told uint64
+	var reported uint64
 	for line := range s.lines.C() {
-		if lost := s.lines.Dropped(); lost > told {
-			_, _ = out.Write(lostLine(lines, lost-told))
-			told = lost
+		if lost := s.lines.Dropped(); lost > reported {
+			_, _ = out.Write(lostLine(lines, lost-reported))
+			reported = lost
 		}
 		_, _ = out.Write(line)
 		s.written.Add(1)
 	}
 }
 
-// tellLeftOut tells once a period how many lines of which message were left out.
-func (s *Stream) tellLeftOut(log *zap.Logger) {
+// reportOmitted logs in each sampling period how many lines of each message the
+// sampler dropped.
+func (s *Stream) reportOmitted(log *zap.Logger) {
 	for range time.Tick(sampleEvery) {
-		for _, x := range s.left.take() {
+		for _, x := range s.omitted.take() {
 			log.Info("log-lines-left-out", zap.String("of", x.message), zap.Int("count", x.lines))
 		}
 	}
 }
 
-// lostLine returns the line that tells how many were lost.
+// lostLine returns an encoded log line that reports the number of dropped lines.
 func lostLine(lines zapcore.Encoder, lost uint64) []byte {
 	entry := zapcore.Entry{Level: zapcore.WarnLevel, Time: time.Now(), Message: "log-lines-lost"}
 	line, err := lines.EncodeEntry(entry, []zapcore.Field{zap.Uint64("count", lost)})
 	if err != nil {
-		return nil // the encoders fail for fields that reflect only
+		return nil // the encoders fail only for fields that need reflection
 	}
 	return line.Bytes()
 }
--- a/internal/logging/stream_test.go
+++ b/internal/logging/stream_test.go
@@ -13,29 +13,30 @@
 	"curlewsill.org/curlewsill/internal/logging"
 )
 
-// stuck is a reader of the log that reads nothing until it is let go.
-type stuck struct {
+// blockedWriter is an output of the log that blocks until free is closed.
+type blockedWriter struct {
 	free chan struct{}
 
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.free
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(p)
 }
 
-func (s *stuck) read() string {
+func (s *blockedWriter) read() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.String()
 }
 
-// TestStuckReader logs more than fits while nobody reads: no call waits, and the lines
-// that were lost are told once somebody reads again.
+// TestStuckReader logs more lines than the queue holds while the output is blocked. No
+// call may block, and once the output accepts lines again, a line reports how many
+// were lost.
 func TestStuckReader(t *testing.T) {
 	for _, f := range []logging.Format{logging.JSON, logging.Console} {
 		t.Run(string(f), func(t *testing.T) { stuckReader(t, f) })
@@ -44,14 +45,14 @@
 
 func stuckReader(t *testing.T, f logging.Format) {
 	const lines = 20000
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{free: make(chan struct{})}
 	log, err := logging.NewStream(out, "info", f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range lines {
 		log.Info("line", zap.Int("n", i))
-		// Messages of many kinds, so that few are left out as repeats.
+		// Many different messages, so that the sampler drops few of them.
 		log.Info(strings.Repeat("x", i%97+1) + strings.Repeat("y", i%89))
 	}
 	close(out.free)
@@ -61,17 +62,20 @@
 	before, _, _ := strings.Cut(out.read(), "log-lines-lost")
 	line := before[strings.LastIndex(before, "\n")+1:]
 	if isJSON := strings.HasPrefix(line, "{"); isJSON != (f == logging.JSON) {
-		t.Errorf("the line on lost ones begins with %q", line)
+		t.Errorf("the line that reports lost lines begins with %q", line)
 	}
 }
 
-// TestLeftOut logs more lines with one message than are kept in a second, and a few with another: a line tells how many of which were left out.
+// TestLeftOut logs more lines with one message than the sampler keeps in a second, and
+// one line with another message. Lines must report how many lines of which message
+// were dropped.
 //
-// On 1,100 workers some 600 tasks start in a second and as many end. Beyond 400 lines one in 50 was kept and nothing told so, so that a start that was
-// looked for seemed not to have happened.
+// It guards against sampling without a report. With 1,100 workers, about 600 tasks
+// start and as many end in a second. Beyond 400 lines the sampler kept one in 50 and
+// reported nothing, so that the log seemed to show that a task hadn't started.
 func TestLeftOut(t *testing.T) {
 	const lines = 5000
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{free: make(chan struct{})}
 	close(out.free)
 	log, err := logging.NewStream(out, "info", logging.JSON)
 	if err != nil {
@@ -79,25 +83,25 @@
 	}
 	for range lines {
 		log.Info("many")
-		time.Sleep(10 * time.Microsecond) // the reader keeps up
+		time.Sleep(10 * time.Microsecond) // so that the queue doesn't overflow
 	}
 	log.Info("few")
-	told := regexp.MustCompile(`"msg":"log-lines-left-out","of":"(\w+)","count":(\d+)}`)
-	for left := 0; left == 0 || left+strings.Count(out.read(), `"msg":"many"`) < lines; time.Sleep(time.Millisecond) {
-		left = 0
-		for _, m := range told.FindAllStringSubmatch(out.read(), -1) {
+	reportLine := regexp.MustCompile(`"msg":"log-lines-left-out","of":"(\w+)","count":(\d+)}`)
+	for omitted := 0; omitted == 0 || omitted+strings.Count(out.read(), `"msg":"many"`) < lines; time.Sleep(time.Millisecond) {
+		omitted = 0
+		for _, m := range reportLine.FindAllStringSubmatch(out.read(), -1) {
 			n, err := strconv.Atoi(m[2])
 			if err != nil || m[1] != "many" {
 				t.Fatalf("%s, %v", m[0], err)
 			}
-			left += n
+			omitted += n
 		}
 	}
 }
 
-// TestLevel refuses a level that there isn't.
+// TestLevel checks that an unknown level is rejected.
 func TestLevel(t *testing.T) {
-	if _, err := logging.NewStream(&stuck{}, "loud", logging.JSON); err == nil {
-		t.Error("the level was taken")
+	if _, err := logging.NewStream(&blockedWriter{}, "loud", logging.JSON); err == nil {
+		t.Error("the unknown level was accepted")
 	}
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -13,10 +13,10 @@
 	"curlewsill.org/curlewsill/core/route"
 )
 
-// viewWait bounds how long a scrape waits for the core.
-const viewWait = time.Second
+// viewTimeout bounds how long a scrape waits for the core.
+const viewTimeout = time.Second
 
-// Viewer shows what a host believes.
+// Viewer returns a snapshot of a host's state.
 type Viewer interface {
 	View(ctx context.Context, jobs bool) (node.View, error)
 }
@@ -31,29 +31,30 @@
 	gauges   []gauge
 }
 
-// gauge is a metric that is read off the host's view at each scrape.
+// gauge is a metric whose value is read from the host's view at each scrape. It may
+// also be a counter.
 type gauge struct {
 	desc  *prometheus.Desc
 	kind  prometheus.ValueType
 	value func(node.View) float64
 }
 
-// New returns an empty set of metrics.
+// New returns the metrics with all counters at zero.
 func New() *Stats {
 	s := &Stats{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "curlewsill_requests_total",
-			Help: "Final answers to callers, by service, code (empty for a backend server's answer) and whether the request ran.",
+			Help: "Final responses to callers, by service, code (empty for a backend server's response) and whether the request ran.",
 		}, []string{"service", "code", "ran"}),
 		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "curlewsill_request_seconds",
-			Help:    "Time from a request's arrival to its final answer.",
+			Help:    "Time from a request's arrival to its final response.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 16),
 		}, []string{"service"}),
 		faults: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "curlewsill_faults_total",
-			Help: "Invariants found violated. The decisions concerned were not taken.",
+			Help: "Violated invariants. The affected decisions were not taken.",
 		}),
 	}
 	s.registry.MustRegister(s.requests, s.took, s.faults, collectors.NewGoCollector(),
@@ -61,23 +62,24 @@
 	return s
 }
 
-// Registry returns what a scrape reads.
+// Registry returns the registry for the scrape handler.
 func (s *Stats) Registry() *prometheus.Registry { return s.registry }
 
 // Fault counts a violated invariant.
 func (s *Stats) Fault(error) { s.faults.Inc() }
 
-// Request notes a final answer.
+// Request records a final response and its latency.
 func (s *Stats) Request(service id.Service, code route.Code, ran route.Ran, took time.Duration) {
 	if code == route.CodeNoService {
-		// The name came from the caller; it must not become a label.
+		// The name came from the caller. As a label it would let callers create
+		// any number of time series.
 		service = ""
 	}
 	s.requests.WithLabelValues(string(service), string(code), string(ran)).Inc()
 	s.took.WithLabelValues(string(service)).Observe(took.Seconds())
 }
 
-// Watch adds the metrics that show the state of a host.
+// Watch registers the metrics of a host's state.
 func (s *Stats) Watch(v Viewer) {
 	s.viewer = v
 	add := func(name, help string, kind prometheus.ValueType, value func(node.View) float64) {
@@ -90,42 +92,42 @@
 	add("curlewsill_log_age_seconds", "Time since the log was last read.", prometheus.GaugeValue,
 		func(v node.View) float64 { return v.LogAge.Seconds() })
 	add("curlewsill_ready", "1 if the host is ready.", prometheus.GaugeValue,
-		func(v node.View) float64 { return one(v.State == node.Ready) })
+		func(v node.View) float64 { return boolValue(v.State == node.Ready) })
 	add("curlewsill_owner", "1 if the host owns scheduling.", prometheus.GaugeValue,
-		func(v node.View) float64 { return one(v.Owner.Host == v.Host) })
-	add("curlewsill_requests_flying", "Requests without a final answer.", prometheus.GaugeValue,
+		func(v node.View) float64 { return boolValue(v.Owner.Host == v.Host) })
+	add("curlewsill_requests_flying", "Requests in flight, without a final response.", prometheus.GaugeValue,
 		func(v node.View) float64 { return float64(v.Flying) })
-	add("curlewsill_jobs_pending", "Jobs that wait, on the owner.", prometheus.GaugeValue,
+	add("curlewsill_jobs_pending", "Pending jobs, on the owner.", prometheus.GaugeValue,
 		func(v node.View) float64 { return float64(v.Sched.Pending) })
-	add("curlewsill_jobs_running", "Gangs whose gates are open, on the owner.", prometheus.GaugeValue,
+	add("curlewsill_jobs_running", "Gangs whose start gates are open, on the owner.", prometheus.GaugeValue,
 		func(v node.View) float64 { return float64(v.Sched.Running) })
 	add("curlewsill_fragmentation", "Share of free accelerators that can't serve the gang sizes in demand, on the owner.",
 		prometheus.GaugeValue, func(v node.View) float64 { return v.Sched.Fragmentation })
-	add("curlewsill_guarantee_at_risk", "1 if lost workers left a guarantee without a place, on the owner.",
-		prometheus.GaugeValue, func(v node.View) float64 { return one(v.Sched.AtRisk) })
-	add("curlewsill_workers_quarantined", "Workers that get no tasks because jobs crash on them, on the owner.",
+	add("curlewsill_guarantee_at_risk", "1 if a guaranteed block has no place on the live workers, on the owner.",
+		prometheus.GaugeValue, func(v node.View) float64 { return boolValue(v.Sched.AtRisk) })
+	add("curlewsill_workers_quarantined", "Workers that get no tasks because jobs crashed on them, on the owner.",
 		prometheus.GaugeValue, func(v node.View) float64 { return float64(v.Sched.Quarantined) })
-	add("curlewsill_preemptions_total", "Gangs stopped to make room, by this owner.", prometheus.CounterValue,
+	add("curlewsill_preemptions_total", "Gangs preempted by this owner.", prometheus.CounterValue,
 		func(v node.View) float64 { return float64(v.Sched.Preempted) })
-	add("curlewsill_records_damaged_total", "Records of the log that held nothing of ours.", prometheus.CounterValue,
+	add("curlewsill_records_damaged_total", "Records of the log that hold no batch of entries.", prometheus.CounterValue,
 		func(v node.View) float64 { return float64(v.Counts.Damaged) })
-	add("curlewsill_entries_void_total", "Entries of any host that the log did not accept.", prometheus.CounterValue,
+	add("curlewsill_entries_void_total", "Entries of any host that were not accepted in the log.", prometheus.CounterValue,
 		func(v node.View) float64 { return float64(v.Counts.Void) })
-	add("curlewsill_states_diverged_total", "Peers whose state differed after the same records.", prometheus.CounterValue,
+	add("curlewsill_states_diverged_total", "Peers whose state differed after applying the same records.", prometheus.CounterValue,
 		func(v node.View) float64 { return float64(v.Counts.Diverged) })
-	add("curlewsill_appends_total", "Appends to the log, those tried again included.", prometheus.CounterValue,
+	add("curlewsill_appends_total", "Appends to the log, including retries.", prometheus.CounterValue,
 		func(v node.View) float64 { return float64(v.Counts.Batches) })
 	s.registry.MustRegister(s)
 }
 
-// Links shows how much was exchanged with peers.
+// Links reports the traffic on the connections to peers.
 type Links interface {
 	Bytes() (sent, received uint64)
 	Dropped() uint64
 	Silent() uint64
 }
 
-// WatchLinks adds the metrics of the connections to peers.
+// WatchLinks registers the metrics of the connections to peers.
 func (s *Stats) WatchLinks(l Links) {
 	add := func(name, help string, value func() float64) {
 		s.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, value))
@@ -134,19 +136,19 @@
 		sent, _ := l.Bytes()
 		return float64(sent)
 	})
-	add("curlewsill_peer_received_bytes_total", "Bytes of frames heard from peers.", func() float64 {
+	add("curlewsill_peer_received_bytes_total", "Bytes of frames received from peers.", func() float64 {
 		_, received := l.Bytes()
 		return float64(received)
 	})
-	add("curlewsill_peer_dropped_total", "Frames dropped because a peer took them too slowly.", func() float64 {
+	add("curlewsill_peer_dropped_total", "Frames dropped because a peer received them too slowly.", func() float64 {
 		return float64(l.Dropped())
 	})
-	add("curlewsill_peer_links_found_dead_total", "Connections to and from peers that ended because nothing came from the peer.", func() float64 {
+	add("curlewsill_peer_links_found_dead_total", "Connections to and from peers that were closed because nothing arrived from the peer.", func() float64 {
 		return float64(l.Silent())
 	})
 }
 
-func one(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -162,7 +164,7 @@
 
 // Collect implements prometheus.Collector.
 func (s *Stats) Collect(c chan<- prometheus.Metric) {
-	ctx, cancel := context.WithTimeout(context.Background(), viewWait)
+	ctx, cancel := context.WithTimeout(context.Background(), viewTimeout)
 	defer cancel()
 	v, err := s.viewer.View(ctx, false)
 	if err != nil {
