--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin is the operators' HTTP interface of an entry host; docs/API.md
-// describes it. Every call but the health checks and the metrics carries a token.
+// Package admin is the operators' HTTP interface of an entry host. docs/API.md
+// describes it. All calls except health checks and metrics must carry the operators'
+// token.
 package admin
 
 import (
@@ -29,10 +30,10 @@
 )
 
 const (
-	// bodyLimit bounds a call's body in bytes.
+	// bodyLimit bounds the size of a request body in bytes.
 	bodyLimit = 1 << 20
-	// verdictWait bounds the wait for the log.
-	verdictWait = 10 * time.Second
+	// verdictTimeout bounds the wait until the log has accepted or rejected an entry.
+	verdictTimeout = 10 * time.Second
 )
 
 // Host is the part of an entry host that operators use.
@@ -42,25 +43,25 @@
 	View(ctx context.Context, jobs bool) (node.View, error)
 }
 
-// Changes is the body of a call for a plan.
+// Changes is the body of a request for a plan.
 type Changes struct {
 	Changes []config.Change `json:"changes"`
 }
 
-// Accepted answers a call that the log accepted.
+// Accepted is the response to a call whose entry the log accepted.
 type Accepted struct {
 	Offset id.Offset `json:"offset"`
 }
 
-type admin struct {
+type server struct {
 	host   Host
 	token  string
 	tracer *trace.Tracer
 }
 
-// New returns the handler.
+// New returns the handler of the operators' interface.
 func New(h Host, token string, metrics *prometheus.Registry, t *trace.Tracer) http.Handler {
-	a := &admin{host: h, token: token, tracer: t}
+	a := &server{host: h, token: token, tracer: t}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("GET /readyz", a.ready)
@@ -69,12 +70,13 @@
 	mux.Handle("GET /v1/jobs", a.authorize(view(a, true, func(v node.View) any { return v.Jobs })))
 	mux.Handle("POST /v1/jobs", a.authorize(handle(a.submit)))
 	mux.Handle("DELETE /v1/jobs/{job}", a.authorize(a.cancel))
-	mux.Handle("POST /v1/plans", a.authorize(handle(a.draw)))
+	mux.Handle("POST /v1/plans", a.authorize(handle(a.planChanges)))
 	mux.Handle("POST /v1/plans/confirm", a.authorize(handle(a.confirm)))
 	return mux
 }
 
-// handle turns a function from a typed body to a typed answer into a handler.
+// handle returns a handler that decodes the body as a Q, calls f and encodes its
+// result.
 func handle[Q, A any](f func(context.Context, Q) (A, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q Q
@@ -86,15 +88,15 @@
 			})
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), verdictWait)
+		ctx, cancel := context.WithTimeout(r.Context(), verdictTimeout)
 		defer cancel()
 		answer, err := f(ctx, q)
 		reply(w, answer, err)
 	}
 }
 
-// view returns a handler that shows part of what the host believes.
-func view(a *admin, jobs bool, part func(node.View) any) http.HandlerFunc {
+// view returns a handler that responds with a part of the host's view.
+func view(a *server, jobs bool, part func(node.View) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		v, err := a.host.View(r.Context(), jobs)
 		reply(w, part(v), err)
@@ -110,7 +112,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// refusals maps the verdicts that operators see to statuses and codes.
+// refusals maps errors to the HTTP statuses and codes that operators receive.
 var refusals = []struct {
 	err    error
 	status int
@@ -132,12 +134,12 @@
 	{context.DeadlineExceeded, http.StatusGatewayTimeout, "verdict-unknown", route.RanUnknown},
 }
 
-// describe turns an error into the problem that the operator sees.
+// describe returns the problem that the operator receives for an error.
 func describe(err error) problem.Problem {
 	for _, r := range refusals {
 		if errors.Is(err, r.err) {
 			return problem.Problem{
-				Status: r.status, Code: r.code, Detail: err.Error(), Ran: r.ran, RetryAfter: after(r.status),
+				Status: r.status, Code: r.code, Detail: err.Error(), Ran: r.ran, RetryAfter: retryAfter(r.status),
 			}
 		}
 	}
@@ -146,16 +148,18 @@
 	}
 }
 
-// after returns when to come back after an answer with the status.
-func after(status int) time.Duration {
+// retryAfter returns the delay before a retry for a response with the status, or 0 if
+// a retry is no use.
+func retryAfter(status int) time.Duration {
 	if status >= http.StatusInternalServerError {
 		return 2 * time.Second
 	}
 	return 0
 }
 
-// authorize refuses calls without the token. Nothing of the call is read before.
-func (a *admin) authorize(next http.HandlerFunc) http.Handler {
+// authorize rejects requests without the token, before it reads anything else of
+// them.
+func (a *server) authorize(next http.HandlerFunc) http.Handler {
 	want := []byte("Bearer " + a.token)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get("Authorization")), want) != 1 {
@@ -172,7 +176,7 @@
 	})
 }
 
-func (a *admin) ready(w http.ResponseWriter, r *http.Request) {
+func (a *server) ready(w http.ResponseWriter, r *http.Request) {
 	v, err := a.host.View(r.Context(), false)
 	if err != nil || v.State != node.Ready {
 		problem.Write(w, problem.Problem{
@@ -183,32 +187,32 @@
 	reply(w, v.State, nil)
 }
 
-func (a *admin) submit(ctx context.Context, j record.Job) (Accepted, error) {
+func (a *server) submit(ctx context.Context, j record.Job) (Accepted, error) {
 	j.Submitted = unit.At(time.Now())
 	if j.Trace == "" {
-		// The record and the job's tasks carry the context on.
+		// The record and the job's tasks propagate the trace context.
 		j.Trace = a.tracer.Parent(ctx)
 	}
 	off, err := a.host.Propose(ctx, record.Entry{Submit: &record.Submit{Job: j}})
 	return Accepted{off}, err
 }
 
-func (a *admin) cancel(w http.ResponseWriter, r *http.Request) {
-	ctx, done := context.WithTimeout(r.Context(), verdictWait)
+func (a *server) cancel(w http.ResponseWriter, r *http.Request) {
+	ctx, done := context.WithTimeout(r.Context(), verdictTimeout)
 	defer done()
 	job := id.Job(r.PathValue("job"))
 	off, err := a.host.Propose(ctx, record.Entry{Cancel: &record.Cancel{Job: job}})
 	reply(w, Accepted{off}, err)
 }
 
-func (a *admin) draw(ctx context.Context, q Changes) (plan.Plan, error) {
+func (a *server) planChanges(ctx context.Context, q Changes) (plan.Plan, error) {
 	return a.host.Draw(ctx, q.Changes)
 }
 
-// errProblem reports the confirmation of a plan that was shown with a problem.
+// errProblem reports the confirmation of a plan that has a problem.
 var errProblem = errors.New("admin: the plan has a problem")
 
-func (a *admin) confirm(ctx context.Context, p plan.Plan) (Accepted, error) {
+func (a *server) confirm(ctx context.Context, p plan.Plan) (Accepted, error) {
 	if p.Problem != "" {
 		return Accepted{}, errProblem
 	}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -23,29 +23,29 @@
 	"curlewsill.org/curlewsill/internal/problem"
 )
 
-// maxAnswer bounds an answer in bytes.
-const maxAnswer = 64 << 20
+// maxResponse bounds the size of a response in bytes.
+const maxResponse = 64 << 20
 
 // timeout bounds one call.
 const timeout = 20 * time.Second
 
-// Errors that callers test for.
+// Errors that a Client returns.
 var (
 	// ErrRefused reports that the host refused the call. The error is also a
 	// *Refusal with the details.
 	ErrRefused = errors.New("refused")
-	// ErrUnreachable reports that no answer came back. Whether the call took
-	// effect is unknown.
+	// ErrUnreachable reports that no valid response was received. Whether the call
+	// took effect is unknown.
 	ErrUnreachable = errors.New("no answer from the entry host")
 )
 
-// Refusal is a problem that a host answered with.
+// Refusal is the problem in a host's response.
 type Refusal struct{ problem.Problem }
 
 // Error implements error.
 func (r *Refusal) Error() string { return fmt.Sprintf("refused: %s: %s", r.Code, r.Detail) }
 
-// Is makes every refusal an ErrRefused.
+// Is makes errors.Is report every refusal as ErrRefused.
 func (*Refusal) Is(target error) bool { return target == ErrRefused }
 
 // Client calls one entry host. It is safe for concurrent use.
@@ -54,45 +54,45 @@
 	http        *http.Client
 }
 
-// New returns a client of the operators' interface at the address base.
+// New returns a client of the operators' interface with the base URL.
 func New(base, token string) *Client {
 	return &Client{base: strings.TrimSuffix(base, "/"), token: token, http: &http.Client{Timeout: timeout}}
 }
 
-// Plan returns the plan for changes.
+// Plan returns the plan for the changes.
 func (c *Client) Plan(ctx context.Context, changes []config.Change) (plan.Plan, error) {
 	return call[plan.Plan](ctx, c, http.MethodPost, "/v1/plans", admin.Changes{Changes: changes})
 }
 
-// Confirm asks for a plan to be put in force and returns the offset at which it was.
+// Confirm puts a plan in force and returns its offset in the log.
 func (c *Client) Confirm(ctx context.Context, p plan.Plan) (id.Offset, error) {
 	a, err := call[admin.Accepted](ctx, c, http.MethodPost, "/v1/plans/confirm", p)
 	return a.Offset, err
 }
 
-// Submit adds a job.
+// Submit submits a job and returns its offset in the log.
 func (c *Client) Submit(ctx context.Context, j record.Job) (id.Offset, error) {
 	a, err := call[admin.Accepted](ctx, c, http.MethodPost, "/v1/jobs", j)
 	return a.Offset, err
 }
 
-// Cancel ends a job.
+// Cancel cancels a job and returns the offset of the cancellation in the log.
 func (c *Client) Cancel(ctx context.Context, j id.Job) (id.Offset, error) {
 	a, err := call[admin.Accepted](ctx, c, http.MethodDelete, "/v1/jobs/"+url.PathEscape(string(j)), nil)
 	return a.Offset, err
 }
 
-// Jobs returns all jobs that are remembered.
+// Jobs returns all jobs that the host keeps.
 func (c *Client) Jobs(ctx context.Context) ([]state.Job, error) {
 	return call[[]state.Job](ctx, c, http.MethodGet, "/v1/jobs", nil)
 }
 
-// Status returns what the host believes, without the jobs.
+// Status returns the host's view, without the jobs.
 func (c *Client) Status(ctx context.Context) (node.View, error) {
 	return call[node.View](ctx, c, http.MethodGet, "/v1/status", nil)
 }
 
-// call makes one call and decodes its answer as an A.
+// call makes one call and decodes its response as an A.
 func call[A any](ctx context.Context, c *Client, method, path string, body any) (A, error) {
 	var out A
 	data, err := json.Marshal(body)
@@ -113,7 +113,7 @@
 		return out, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	in := io.LimitReader(resp.Body, maxAnswer)
+	in := io.LimitReader(resp.Body, maxResponse)
 	if resp.StatusCode != http.StatusOK {
 		var r Refusal
 		if err := json.NewDecoder(in).Decode(&r.Problem); err != nil {
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -27,8 +27,8 @@
 	"curlewsill.org/curlewsill/internal/standin/workersvc"
 )
 
-// startOne starts stand-ins and one entry host with one service, and returns the
-// callers' address and that of a backend server.
+// startOne starts the platform's stand-ins and one entry host with one service, and
+// returns the service's URL at the entry host and a backend server's URL.
 func startOne(tb testing.TB) (host, backend string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
@@ -101,8 +101,8 @@
 	}
 }
 
-// BenchmarkPath compares a request straight to a backend server with one through an
-// entry host, one at a time and many at once.
+// BenchmarkPath compares requests sent directly to a backend server with requests
+// through an entry host, one at a time and many concurrently.
 func BenchmarkPath(b *testing.B) {
 	host, backend := startOne(b)
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of an entry host together and runs them.
+// Package daemon assembles the components of an entry host and runs them.
 package daemon
 
 import (
@@ -30,16 +30,18 @@
 )
 
 const (
-	// headerTimeout and idleTimeout bound slow and silent callers.
+	// headerTimeout, readTimeout and idleTimeout close the connections of slow and
+	// idle callers.
 	headerTimeout = 5 * time.Second
 	readTimeout   = time.Minute
 	idleTimeout   = 2 * time.Minute
-	// maxHeader bounds a request's headers in bytes.
+	// maxHeader bounds the size of a request's headers in bytes.
 	maxHeader = 32 << 10
-	// idleConns is how many idle connections to one backend server are kept. How
-	// many are open is bounded by the router.
+	// idleConns is how many idle connections to one backend server are kept. The
+	// router bounds the number of open connections.
 	idleConns = 64
-	// announceEvery is how often the host tells the host list that it is there.
+	// announceEvery is the interval at which the host refreshes its entry in the host
+	// list.
 	announceEvery = time.Second
 )
 
@@ -59,7 +61,8 @@
 	stopping  sync.Once
 }
 
-// New builds a daemon and opens its listeners, so that its addresses are known.
+// New builds a daemon and opens its listeners, so that its addresses are known before
+// Run is called.
 func New(ctx context.Context, s settings.Settings, log *zap.Logger) (*Daemon, error) {
 	token, err := readToken(s.TokenFile)
 	if err != nil {
@@ -73,16 +76,16 @@
 	d := &Daemon{settings: s, log: log.With(zap.String("host", string(s.Host))), tracer: tracer}
 	platform := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: idleTimeout}}
 	d.hosts = hosts.New(s.HostsURL, platform)
-	collected := stats.New()
+	metrics := stats.New()
 	d.host = host.New(s.Host, d.log, host.Platform{
 		Logs:    logs.New(s.LogURL, platform),
 		Hosts:   d.hosts,
 		Workers: workers.New(s.WorkersURL, platform),
-	}, &http.Client{}, s.CertFile != "", collected.Fault)
-	d.edge = edge.New(s.Host, d.host, edge.Clients{Requests: backendClient(), Probes: backendClient()}, tracer, s.BodyLimit, s.Requests, collected.Request)
-	collected.Watch(d.host)
-	collected.WatchLinks(d.host.Links())
-	api := admin.New(d.host, token, collected.Registry(), tracer)
+	}, &http.Client{}, s.CertFile != "", metrics.Fault)
+	d.edge = edge.New(s.Host, d.host, edge.Clients{Requests: backendClient(), Probes: backendClient()}, tracer, s.BodyLimit, s.Requests, metrics.Request)
+	metrics.Watch(d.host)
+	metrics.WatchLinks(d.host.Links())
+	api := admin.New(d.host, token, metrics.Registry(), tracer)
 	peers := http.NewServeMux()
 	peers.Handle(peerlink.Path, d.host.Links())
 	callers := http.NewServeMux()
@@ -110,8 +113,8 @@
 	return token, nil
 }
 
-// backendClient returns a client that follows no redirect and passes bodies on as
-// they are.
+// backendClient returns a client that forwards responses unchanged: it follows no
+// redirects and decompresses no bodies.
 func backendClient() *http.Client {
 	return &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -136,21 +139,22 @@
 	return nil
 }
 
-// Callers returns the address that callers connect to.
+// Callers returns the address for callers.
 func (d *Daemon) Callers() string { return d.listeners[0].Addr().String() }
 
 // Operators returns the address of the operators' interface.
 func (d *Daemon) Operators() string { return d.listeners[1].Addr().String() }
 
-// Peers returns the address that other hosts connect to.
+// Peers returns the address for connections from other hosts.
 func (d *Daemon) Peers() string { return d.listeners[2].Addr().String() }
 
-// Stop begins a planned stop: the host takes part until everything is answered.
+// Stop begins a planned stop: the host keeps running until all requests in flight have
+// a response.
 func (d *Daemon) Stop() {
 	d.stopping.Do(func() { d.host.Push(context.Background(), node.Stop{}) })
 }
 
-// Run serves until a planned stop is complete or ctx is done.
+// Run serves requests until a planned stop is complete or ctx is done.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -162,7 +166,8 @@
 	d.log.Info("listening", zap.String("callers", d.Callers()),
 		zap.String("operators", d.Operators()), zap.String("peers", d.Peers()))
 	d.host.Run(ctx, d.edge)
-	// Callers first: their answers are complete, only the connections are left.
+	// Close the callers' server first and gracefully: all responses are complete, so
+	// only the connections remain.
 	grace, stop := context.WithTimeout(context.WithoutCancel(ctx), d.settings.StopWait)
 	defer stop()
 	err := d.servers[0].Shutdown(grace)
@@ -186,7 +191,7 @@
 	}
 }
 
-// announce keeps the host in the platform's host list.
+// announce keeps the host's entry in the platform's host list up to date.
 func (d *Daemon) announce(ctx context.Context) {
 	t := time.NewTicker(announceEvery)
 	defer t.Stop()
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -1,5 +1,5 @@
-// Package intent reads what an operator wants from an INI file: objects to set, in
-// sections like [customer NAME], and objects to delete, in sections like
+// Package intent reads configuration changes from an operator's INI file: objects to
+// set, in sections like [customer NAME], and objects to delete, in sections like
 // [delete customer NAME].
 package intent
 
@@ -15,7 +15,7 @@
 	"curlewsill.org/curlewsill/internal/inifile"
 )
 
-// Bounds of an object's fields.
+// Upper bounds of the objects' fields.
 const (
 	maxWeight      = 1000
 	maxQuota       = 1_000_000
@@ -27,26 +27,27 @@
 	maxTimeout     = time.Hour
 )
 
-// Load returns the changes that a file asks for.
+// Load returns the configuration changes in a file.
 func Load(name string) ([]config.Change, error) {
 	f, err := inifile.Read(name)
 	if err != nil {
 		return nil, err
 	}
-	return read(f)
+	return readChanges(f)
 }
 
-// Parse is Load for a file's content.
+// Parse is like Load, for the content of a file. Errors refer to the file as name.
 func Parse(name string, data []byte) ([]config.Change, error) {
 	f, err := inifile.Parse(name, data)
 	if err != nil {
 		return nil, err
 	}
-	return read(f)
+	return readChanges(f)
 }
 
-// read returns objects in an order in which each refers to earlier ones only.
-func read(f *inifile.File) ([]config.Change, error) {
+// readChanges returns the changes in an order in which each object refers only to
+// earlier ones.
+func readChanges(f *inifile.File) ([]config.Change, error) {
 	var out []config.Change
 	for _, s := range f.Sections("customer") {
 		out = append(out, config.Change{SetCustomer: &config.Customer{
@@ -56,7 +57,7 @@
 		}})
 	}
 	for _, s := range f.Sections("rack") {
-		out = append(out, config.Change{SetRack: rack(s)})
+		out = append(out, config.Change{SetRack: readRack(s)})
 	}
 	for _, s := range f.Sections("guarantee") {
 		out = append(out, config.Change{SetGuarantee: &config.Guarantee{
@@ -67,15 +68,15 @@
 		}})
 	}
 	for _, s := range f.Sections("service") {
-		out = append(out, config.Change{SetService: service(s)})
+		out = append(out, config.Change{SetService: readService(s)})
 	}
 	for _, s := range f.Sections("delete") {
-		out = append(out, removal(s))
+		out = append(out, readDelete(s))
 	}
 	return out, f.Err()
 }
 
-func rack(s *inifile.Section) *config.Rack {
+func readRack(s *inifile.Section) *config.Rack {
 	r := &config.Rack{ID: id.Rack(s.Name), Domain: id.Domain(s.Need("domain"))}
 	n := s.Int("workers", 8, 1, block.MaxSize)
 	accelerators := s.Int("accelerators", 8, 1, block.MaxSize)
@@ -102,7 +103,7 @@
 	return r
 }
 
-func service(s *inifile.Section) *config.Service {
+func readService(s *inifile.Section) *config.Service {
 	out := &config.Service{
 		ID:          id.Service(s.Name),
 		Slots:       s.Int("slots", 8, 1, maxSlots),
@@ -115,7 +116,7 @@
 	return out
 }
 
-func removal(s *inifile.Section) config.Change {
+func readDelete(s *inifile.Section) config.Change {
 	kind, name, _ := strings.Cut(s.Name, " ")
 	switch kind {
 	case "customer":
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,4 +1,4 @@
-// Package jsonhttp makes HTTP calls that answer with JSON, within a size limit.
+// Package jsonhttp makes HTTP calls with JSON responses of limited size.
 package jsonhttp
 
 import (
@@ -13,12 +13,12 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// ErrRefused reports an answer with a status other than success.
+// ErrRefused reports a response with a status other than 200.
 var ErrRefused = errors.New("refused")
 
-// Do makes the call and decodes the answer into out, unless out is nil. It reads at most
-// limit bytes. An error other than ErrRefused leaves it open whether the call took
-// effect.
+// Do makes the call and decodes the response into out, unless out is nil. It reads at
+// most limit bytes. After an error other than ErrRefused it is unknown whether the call
+// took effect.
 func Do(c *http.Client, req *http.Request, limit unit.Bytes, out any) error {
 	resp, err := c.Do(req)
 	if err != nil {
@@ -27,7 +27,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	body := io.LimitReader(resp.Body, int64(limit))
 	if resp.StatusCode != http.StatusOK {
-		// The connection is used again only if the answer was read.
+		// The connection is reused only if the body was read.
 		_, _ = io.Copy(io.Discard, body)
 		return fmt.Errorf("%w: %s", ErrRefused, resp.Status)
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,9 +1,9 @@
 // Package load sends requests to entry hosts at a steady rate and compares the
-// answers with what the backend servers ran.
+// responses with what the backend servers ran.
 //
-// The load is open: requests leave when they are due, whether or not earlier ones
-// were answered, and their latency counts from when they were due. So a host that
-// stalls is not spared the requests of that time.
+// The load is open-loop: each request is sent when it is due, whether or not earlier
+// ones have been answered, and its latency is measured from its due time. So the
+// latencies include the time that requests spend waiting on a stalled host.
 package load
 
 import (
@@ -27,57 +27,61 @@
 	"curlewsill.org/curlewsill/internal/standin/backendsvc"
 )
 
-// Bounds of a run and of its histogram, which counts microseconds.
+// Bounds of a run and of its latency histogram, which counts microseconds.
 const (
-	maxFlying  = 20_000
-	maxLatency = 10 * time.Minute
-	digits     = 3
-	// timeout bounds one request beyond what the host allows.
+	maxInFlight       = 20_000
+	maxLatency        = 10 * time.Minute
+	significantDigits = 3
+	// timeout bounds one request. It is longer than the host's own timeouts.
 	timeout = time.Minute
 )
 
-// ErrTargets reports a run without targets or customers.
+// ErrTargets reports a run without targets, customers or a rate.
 var ErrTargets = errors.New("load: no target, customer or rate")
 
-// Run says what to send.
+// Run is the configuration of a load run.
 type Run struct {
-	// Targets are the callers' addresses of entry hosts, as URLs. They take turns.
+	// Targets are the URLs of entry hosts for callers, used in rotation.
 	Targets []string
 	Service id.Service
-	// Customers take turns.
+	// Customers are used in rotation.
 	Customers []id.Customer
-	// Rate is the number of requests a second, for Duration.
+	// Rate is the number of requests per second, for Duration.
 	Rate     float64
 	Duration time.Duration
-	// OnceShare of the requests are not to be repeated; half of those carry a key.
+	// OnceShare is the fraction of requests that must run at most once. Half of these
+	// carry an idempotency key.
 	OnceShare float64
-	// Direct says that the targets are backend servers themselves, to compare with.
+	// Direct says that the targets are backend servers instead of entry hosts, for
+	// comparison.
 	Direct bool
 	// Body is the size of a request's body in bytes.
 	Body int
-	// Name makes the tags of this run differ from those of others.
+	// Name is the prefix of the requests' tags and distinguishes this run from others.
 	Name string
 	Seed uint64
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	Sent  int `json:"sent"`
 	Whole int `json:"whole"`
-	// RefusedNotRun counts refusals that say that nothing ran.
+	// RefusedNotRun counts refusals of which the response says that nothing ran.
 	RefusedNotRun int `json:"refused_not_run"`
 	Unknown       int `json:"unknown"`
-	// Cut counts answers that broke off; Wrong those to another request or with
-	// another body.
+	// Cut counts incomplete responses. Wrong counts responses to another request or
+	// with an unexpected body.
 	Cut   int `json:"cut"`
 	Wrong int `json:"wrong"`
-	// RanTwice counts requests not to be repeated that ran more than once.
+	// RanTwice counts requests that ran more than once although they must run at most
+	// once.
 	RanTwice int `json:"ran_twice"`
-	// NotRunButRan counts refusals as not run of requests that ran.
+	// NotRunButRan counts requests that ran although the response says that they
+	// didn't.
 	NotRunButRan int `json:"not_run_but_ran"`
-	// Repeated counts requests that may be repeated and ran more than once.
+	// Repeated counts requests that may run more than once and did.
 	Repeated int `json:"repeated"`
-	// Overbooked counts requests that found no slot at a backend server.
+	// Overbooked counts requests that found no free slot at a backend server.
 	Overbooked int `json:"overbooked"`
 
 	P50  float64 `json:"p50_ms"`
@@ -85,7 +89,7 @@
 	P999 float64 `json:"p999_ms"`
 }
 
-// result is what became of one request.
+// result is the outcome of one request.
 type result int
 
 const (
@@ -96,14 +100,14 @@
 	wrong
 )
 
-// sent is one request with its result.
+// sent is a request that was sent, with its result.
 type sent struct {
 	tag    string
 	once   bool
 	result result
 }
 
-// runner is a run under way.
+// runner is the state of a run in progress.
 type runner struct {
 	Run
 	http *http.Client
@@ -115,7 +119,8 @@
 	done    []sent
 }
 
-// Do carries the run out. Ledger returns what the backend servers ran; it may be nil.
+// Do executes the run. The function ledger returns what the backend servers ran. It may
+// be nil.
 func Do(ctx context.Context, r Run, ledger func(context.Context) (backendsvc.Ledger, error)) (Report, error) {
 	if len(r.Targets) == 0 || len(r.Customers) == 0 || r.Rate <= 0 {
 		return Report{}, ErrTargets
@@ -126,7 +131,7 @@
 		http: &http.Client{Timeout: timeout, Transport: &http.Transport{
 			MaxIdleConnsPerHost: 1024, DisableCompression: true,
 		}},
-		latency: hdrhistogram.New(1, maxLatency.Microseconds(), digits),
+		latency: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 	}
 	x.send(ctx)
 	var l backendsvc.Ledger
@@ -139,17 +144,17 @@
 	return x.report(l), nil
 }
 
-// send lets the requests leave when they are due, and waits for the answers.
+// send sends each request when it is due and waits for the responses.
 func (x *runner) send(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(x.Seed, 1))
-	slots := make(chan struct{}, maxFlying)
+	slots := make(chan struct{}, maxInFlight)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	began := time.Now()
 	n := int(x.Rate * x.Duration.Seconds())
 	for i := range n {
 		due := began.Add(time.Duration(float64(i) / x.Rate * float64(time.Second)))
-		if !until(ctx, due) {
+		if !sleepUntil(ctx, due) {
 			return
 		}
 		once := rng.Float64() < x.OnceShare
@@ -161,12 +166,12 @@
 		}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			x.one(ctx, i, due, once, key)
+			x.sendOne(ctx, i, due, once, key)
 		})
 	}
 }
 
-func until(ctx context.Context, t time.Time) bool {
+func sleepUntil(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -181,8 +186,8 @@
 	}
 }
 
-// one sends one request and notes what became of it.
-func (x *runner) one(ctx context.Context, i int, due time.Time, once, key bool) {
+// sendOne sends one request and records its result and latency.
+func (x *runner) sendOne(ctx context.Context, i int, due time.Time, once, key bool) {
 	tag := x.Name + "-" + strconv.Itoa(i)
 	res := x.exchange(ctx, i, tag, once, key)
 	took := time.Since(due).Microseconds()
@@ -202,7 +207,7 @@
 	req.Header.Set(backendsvc.TagHeader, tag)
 	if once {
 		req.Header.Set(edge.OnceHeader, "true")
-		// The client must not send it again by itself.
+		// The HTTP client must not retry the request by itself.
 		req.GetBody = nil
 	}
 	if key {
@@ -214,11 +219,11 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return x.judge(resp, body, err, tag)
+	return x.classify(resp, body, err, tag)
 }
 
-// judge compares an answer with the request.
-func (x *runner) judge(resp *http.Response, body []byte, err error, tag string) result {
+// classify compares a response with the request.
+func (x *runner) classify(resp *http.Response, body []byte, err error, tag string) result {
 	ran := route.Ran(resp.Header.Get(edge.RanHeader))
 	if x.Direct && resp.StatusCode == http.StatusOK {
 		ran = route.RanYes
@@ -238,7 +243,7 @@
 	return whole
 }
 
-// report adds the results up and compares them with the ledger.
+// report sums up the results and compares them with the ledger.
 func (x *runner) report(l backendsvc.Ledger) Report {
 	const perMs = 1000
 	out := Report{
