--- a/cmd/curlewsill/cmd/apply.go
+++ b/cmd/curlewsill/cmd/apply.go
@@ -9,10 +9,10 @@
 	"curlewsill.org/curlewsill/core/plan"
 )
 
-// errDeclined reports that the operator did not say yes.
+// errDeclined reports that the operator didn't answer yes to the prompt.
 var errDeclined = errors.New("not confirmed; nothing was changed")
 
-// errProblem reports a plan that can't be confirmed.
+// errProblem reports a plan with a problem, which can't be confirmed.
 var errProblem = errors.New("the plan can't be confirmed; nothing was changed")
 
 // applyCmd is the subcommand apply.
@@ -26,15 +26,15 @@
 
 // Execute implements flags.Commander.
 func (c *applyCmd) Execute([]string) error {
-	p, err := draw(c.env, c.Args.Intent)
+	p, err := planIntent(c.env, c.Args.Intent)
 	if err != nil {
 		return err
 	}
-	return ask(c.env, p, c.Yes)
+	return confirmPlan(c.env, p, c.Yes)
 }
 
-// ask shows a plan, asks, and confirms it.
-func ask(e *env, p plan.Plan, yes bool) error {
+// confirmPlan shows a plan and confirms it, after a prompt unless yes is set.
+func confirmPlan(e *env, p plan.Plan, yes bool) error {
 	showPlan(e.stderr, p)
 	if p.Problem != "" {
 		return errProblem
--- a/cmd/curlewsill/cmd/confirm.go
+++ b/cmd/curlewsill/cmd/confirm.go
@@ -18,7 +18,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// confirmed is the result of confirm and apply.
+// confirmed is the result of confirm, apply and drain.
 type confirmed struct {
 	Plan   id.Plan   `json:"plan"`
 	Offset id.Offset `json:"offset"`
--- a/cmd/curlewsill/cmd/demo.go
+++ b/cmd/curlewsill/cmd/demo.go
@@ -29,7 +29,7 @@
 	return err
 }
 
-// platform runs the path on the users' platform.
+// platform runs the demo of entry hosts on the users' platform.
 func (c *demoCmd) platform() error {
 	rep, err := sitedemo.Run(c.env.ctx, c.env.stderr)
 	if perr := c.env.print(rep, func(w io.Writer) {
@@ -44,7 +44,7 @@
 func showDemo(w io.Writer, r demo.Report) {
 	fmt.Fprintf(w, "\nsite %s\n\nrequests\n", r.Site)
 	showLoad(w, r.Requests)
-	fmt.Fprintf(w, "\ngangs\n%d started, %d against their mark started again\n", r.Started, r.Twice)
+	fmt.Fprintf(w, "\ngangs\n%d started, %d started again although marked once\n", r.Started, r.Twice)
 	for _, st := range config.Sorted(r.Jobs) {
 		fmt.Fprintf(w, "%d %s\n", r.Jobs[st], st)
 	}
@@ -56,6 +56,6 @@
 		fmt.Fprintf(w, "VIOLATED: %s\n", v)
 	}
 	if len(r.Violations) == 0 {
-		fmt.Fprintln(w, "everything that must always hold did")
+		fmt.Fprintln(w, "no invariant was violated")
 	}
 }
--- a/cmd/curlewsill/cmd/drain.go
+++ b/cmd/curlewsill/cmd/drain.go
@@ -33,31 +33,32 @@
 	if err != nil {
 		return err
 	}
-	return ask(c.env, p, c.Yes)
+	return confirmPlan(c.env, p, c.Yes)
 }
 
-// changes returns the racks with the workers drained or not.
+// changes returns changes that set the racks of the named workers, with these workers
+// drained or, for --undo, not drained.
 func (c *drainCmd) changes(v node.View) ([]config.Change, error) {
-	left := slices.Clone(c.Args.Workers)
+	remaining := slices.Clone(c.Args.Workers)
 	var out []config.Change
 	for _, k := range config.Sorted(v.Config.Racks) {
 		r := v.Config.Racks[k]
 		r.Workers = slices.Clone(r.Workers)
-		touched := false
+		changed := false
 		for i := range r.Workers {
-			at := slices.Index(left, string(r.Workers[i].ID))
-			if at < 0 {
+			index := slices.Index(remaining, string(r.Workers[i].ID))
+			if index < 0 {
 				continue
 			}
-			left = slices.Delete(left, at, at+1)
-			r.Workers[i].Drained, touched = !c.Undo, true
+			remaining = slices.Delete(remaining, index, index+1)
+			r.Workers[i].Drained, changed = !c.Undo, true
 		}
-		if touched {
+		if changed {
 			out = append(out, config.Change{SetRack: &r})
 		}
 	}
-	if len(left) > 0 {
-		return nil, fmt.Errorf("%w: no worker %s", errUsage, id.Worker(left[0]))
+	if len(remaining) > 0 {
+		return nil, fmt.Errorf("%w: no worker %s", errUsage, id.Worker(remaining[0]))
 	}
 	return out, nil
 }
--- a/cmd/curlewsill/cmd/experiment.go
+++ b/cmd/curlewsill/cmd/experiment.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	if r.Partial {
-		fmt.Fprintln(c.env.stderr, "ended early: what follows is of the plays that were whole")
+		fmt.Fprintln(c.env.stderr, "ended early: the results cover only the completed simulations")
 	}
 	if c.Charts != "" {
 		if err := chart.Draw(c.Charts, chart.Format(c.Format), r); err != nil {
@@ -59,10 +59,11 @@
 	return c.env.print(r, func(w io.Writer) { showExperiment(w, r) })
 }
 
-// showExperiment prints the means of each policy, the kinds, and the differences to the first.
+// showExperiment prints the means of each policy, the results by kind of job, and the
+// differences to the first policy.
 func showExperiment(out io.Writer, r *result.Report) {
 	if r.Partial {
-		fmt.Fprintln(out, "PARTIAL: not all seeds were played with all policies")
+		fmt.Fprintln(out, "PARTIAL: not all seeds were simulated with all policies")
 	}
 	showMeans(out, r)
 	fmt.Fprintln(out)
@@ -78,10 +79,10 @@
 	}
 }
 
-// columns are the measures of the first table.
+// columns are the measures in the table of means.
 var columns = []string{"worth", "net", "use", "fragmentation", "wasted", "starts", "stopped", "owner_busy", "owner_wait_s"}
 
-// showMeans prints the means of the measures that don't belong to a kind.
+// showMeans prints the means of the measures that aren't specific to a kind of job.
 func showMeans(out io.Writer, r *result.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer func() { _ = w.Flush() }()
@@ -99,7 +100,7 @@
 	}
 }
 
-// showKinds prints what became of the jobs of each kind, all seeds together.
+// showKinds prints the outcomes of the jobs of each kind, summed over all seeds.
 func showKinds(out io.Writer, r *result.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer func() { _ = w.Flush() }()
@@ -122,7 +123,7 @@
 	}
 }
 
-// showDifferences prints the paired differences, a line for each measure.
+// showDifferences prints the paired differences, one line per measure.
 func showDifferences(out io.Writer, r *result.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer func() { _ = w.Flush() }()
--- a/cmd/curlewsill/cmd/explain.go
+++ b/cmd/curlewsill/cmd/explain.go
@@ -14,13 +14,13 @@
 	"curlewsill.org/curlewsill/internal/dayreport"
 )
 
-// maxLine bounds one line of a log in bytes.
+// maxLine bounds the length of a log line in bytes.
 const maxLine = 1 << 20
 
 var (
-	// errNoLines reports logs that don't have the job.
+	// errNoLines reports that no log has a line about the job.
 	errNoLines = errors.New("no line of these logs has the job")
-	// errNoLog reports that no log was named.
+	// errNoLog reports that the command line names no log.
 	errNoLog = errors.New("explain needs a JOB and a LOG, or --day and a LOG")
 )
 
@@ -37,7 +37,8 @@
 type logLine struct {
 	File string `json:"file"`
 	When string `json:"when"`
-	// Event is the line's message; Fields are the others in the order of the log.
+	// Event is the line's message. Fields are the line's other fields in their
+	// original order.
 	Event  string `json:"event"`
 	Fields string `json:"fields"`
 }
@@ -53,7 +54,7 @@
 	return c.explainJob(c.Args.Names[0], c.Args.Names[1:])
 }
 
-// explainDay prints where the jobs of some logs lost time.
+// explainDay prints where the jobs in the logs lost time.
 func (c *explainCmd) explainDay(logs []string) error {
 	r := dayreport.New()
 	for _, name := range logs {
@@ -70,7 +71,7 @@
 	return r.Print(c.env.stdout)
 }
 
-// explainJob prints the lines of all logs that have a job, oldest first.
+// explainJob prints the lines of all logs about a job, oldest first.
 func (c *explainCmd) explainJob(job string, logs []string) error {
 	var lines []logLine
 	for _, name := range logs {
@@ -78,7 +79,7 @@
 		if err != nil {
 			return err
 		}
-		found, err := linesOf(f, name, job)
+		found, err := jobLines(f, name, job)
 		_ = f.Close()
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
@@ -96,8 +97,8 @@
 	})
 }
 
-// linesOf returns the lines of one log that have the job.
-func linesOf(r io.Reader, name, job string) ([]logLine, error) {
+// jobLines returns the lines of one log about the job.
+func jobLines(r io.Reader, name, job string) ([]logLine, error) {
 	var out []logLine
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLine)
@@ -108,7 +109,7 @@
 		}
 		l, ok := parseLine(text)
 		if !ok {
-			continue // a line of another program between ours
+			continue // a line of another program
 		}
 		l.File = name
 		out = append(out, l)
@@ -116,20 +117,20 @@
 	return out, sc.Err()
 }
 
-// parseLine reads one line; it may have a prefix before its JSON.
+// parseLine parses a log line: a JSON object, perhaps after a prefix.
 func parseLine(text string) (logLine, bool) {
-	at := strings.IndexByte(text, '{')
-	if at < 0 {
+	start := strings.IndexByte(text, '{')
+	if start < 0 {
 		return logLine{}, false
 	}
 	var head struct {
 		When  string `json:"ts"`
 		Event string `json:"msg"`
 	}
-	if json.Unmarshal([]byte(text[at:]), &head) != nil {
+	if json.Unmarshal([]byte(text[start:]), &head) != nil {
 		return logLine{}, false
 	}
-	_, rest, _ := strings.Cut(text[at:], `"msg":"`+head.Event+`",`)
+	_, rest, _ := strings.Cut(text[start:], `"msg":"`+head.Event+`",`)
 	rest = strings.TrimSuffix(strings.ReplaceAll(rest, `"`, ""), "}")
 	return logLine{When: head.When, Event: head.Event, Fields: strings.ReplaceAll(rest, ",", " ")}, true
 }
--- a/cmd/curlewsill/cmd/jobs.go
+++ b/cmd/curlewsill/cmd/jobs.go
@@ -27,7 +27,7 @@
 // Execute implements flags.Commander.
 func (*jobsCmd) Execute([]string) error { return nil }
 
-// jobsSubmitCmd is jobs submit.
+// jobsSubmitCmd is the subcommand jobs submit.
 type jobsSubmitCmd struct {
 	env          *env
 	ID           string        `long:"id" required:"yes" description:"name of the job, never used before"`
@@ -58,7 +58,7 @@
 	return c.env.print(off, func(w io.Writer) { fmt.Fprintf(w, "job %s is on the log at offset %d\n", c.ID, off) })
 }
 
-// jobsListCmd is jobs list.
+// jobsListCmd is the subcommand jobs list.
 type jobsListCmd struct{ env *env }
 
 // Execute implements flags.Commander.
@@ -75,16 +75,16 @@
 	defer func() { _ = w.Flush() }()
 	fmt.Fprintln(w, "JOB\tCUSTOMER\tSIZE\tSTATE\tATTEMPT\tBLOCK\tREASON")
 	for _, j := range jobs {
-		where := "-"
+		location := "-"
 		if j.Block.Size > 0 {
-			where = j.Block.String()
+			location = j.Block.String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%s\t%s\n",
-			j.Spec.ID, j.Spec.Customer, j.Spec.Accelerators, j.State, j.Attempt, where, j.Reason)
+			j.Spec.ID, j.Spec.Customer, j.Spec.Accelerators, j.State, j.Attempt, location, j.Reason)
 	}
 }
 
-// jobsShowCmd is jobs show.
+// jobsShowCmd is the subcommand jobs show.
 type jobsShowCmd struct {
 	env  *env
 	Args struct {
@@ -106,7 +106,7 @@
 	return fmt.Errorf("%w: %s", errNoJob, c.Args.Job)
 }
 
-// jobsCancelCmd is jobs cancel.
+// jobsCancelCmd is the subcommand jobs cancel.
 type jobsCancelCmd struct {
 	env  *env
 	Args struct {
--- a/cmd/curlewsill/cmd/load.go
+++ b/cmd/curlewsill/cmd/load.go
@@ -15,7 +15,7 @@
 	"curlewsill.org/curlewsill/internal/standin/backendsvc"
 )
 
-// maxLedger bounds the ledger of the backend servers.
+// maxLedger bounds the size of the backend servers' ledger.
 const maxLedger = unit.GiB
 
 // loadCmd is the subcommand load.
@@ -53,7 +53,7 @@
 	return c.env.print(rep, func(w io.Writer) { showLoad(w, rep) })
 }
 
-// ledger reads what the backend servers ran.
+// ledger fetches the record of what the backend servers ran.
 func (c *loadCmd) ledger(ctx context.Context) (backendsvc.Ledger, error) {
 	var l backendsvc.Ledger
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimSuffix(c.Ledger, "/")+backendsvc.LedgerPath, nil)
@@ -66,7 +66,7 @@
 func showLoad(w io.Writer, r load.Report) {
 	fmt.Fprintf(w, "sent %d: %d whole, %d refused as not run, %d unknown, %d cut, %d wrong\n",
 		r.Sent, r.Whole, r.RefusedNotRun, r.Unknown, r.Cut, r.Wrong)
-	fmt.Fprintf(w, "ran twice against its mark %d, refused as not run but ran %d, repeated %d, overbooked %d\n",
+	fmt.Fprintf(w, "ran twice although marked once %d, refused as not run but ran %d, repeated %d, overbooked %d\n",
 		r.RanTwice, r.NotRunButRan, r.Repeated, r.Overbooked)
 	fmt.Fprintf(w, "latency p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", r.P50, r.P99, r.P999)
 }
--- a/cmd/curlewsill/cmd/plan.go
+++ b/cmd/curlewsill/cmd/plan.go
@@ -10,7 +10,7 @@
 	"curlewsill.org/curlewsill/internal/intent"
 )
 
-// planMode is the mode of plan files.
+// planMode is the permission mode of plan files.
 const planMode = 0o644
 
 // planCmd is the subcommand plan.
@@ -24,7 +24,7 @@
 
 // Execute implements flags.Commander.
 func (c *planCmd) Execute([]string) error {
-	p, err := draw(c.env, c.Args.Intent)
+	p, err := planIntent(c.env, c.Args.Intent)
 	if err != nil {
 		return err
 	}
@@ -40,8 +40,8 @@
 	return c.env.print(p, func(w io.Writer) { showPlan(w, p) })
 }
 
-// draw returns the plan for an intent file.
-func draw(e *env, file string) (plan.Plan, error) {
+// planIntent returns the plan for an intent file.
+func planIntent(e *env, file string) (plan.Plan, error) {
 	changes, err := intent.Load(file)
 	if err != nil {
 		return plan.Plan{}, err
--- a/cmd/curlewsill/cmd/replay.go
+++ b/cmd/curlewsill/cmd/replay.go
@@ -60,7 +60,7 @@
 	return c.env.print(out, func(w io.Writer) { showReplay(w, out) })
 }
 
-// compare replays the trace with all policies at the same time.
+// compare replays the trace with all policies concurrently.
 func compare(site []config.Change, trace []replay.Event, names []string) (comparison, error) {
 	out := comparison{Policies: make([]replay.Result, len(names))}
 	var g errgroup.Group
@@ -78,13 +78,13 @@
 	return out, g.Wait()
 }
 
-// trace reads or makes the trace.
+// trace reads or generates the trace.
 func (c *replayCmd) trace(site []config.Change) ([]replay.Event, error) {
 	if (c.Generate == "") == (c.Trace == "") {
 		return nil, fmt.Errorf("%w: want either --trace or --generate", errUsage)
 	}
 	if c.Generate != "" {
-		return replay.Generate(c.Generate, c.Seed, c.Length, workersOf(site))
+		return replay.Generate(c.Generate, c.Seed, c.Length, workerIDs(site))
 	}
 	f, err := os.Open(c.Trace)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return replay.Read(f)
 }
 
-func workersOf(site []config.Change) []id.Worker {
+func workerIDs(site []config.Change) []id.Worker {
 	var out []id.Worker
 	for _, c := range site {
 		if c.SetRack == nil {
--- a/cmd/curlewsill/cmd/root.go
+++ b/cmd/curlewsill/cmd/root.go
@@ -1,7 +1,7 @@
 // Package cmd is the command line of curlewsill, one file for each subcommand.
 //
-// Results go to standard output, everything else to standard error. The exit codes
-// are listed in docs/CLI.md and below.
+// Results are written to standard output, everything else to standard error. The exit
+// codes are listed in docs/CLI.md and below.
 package cmd
 
 import (
@@ -28,22 +28,24 @@
 
 // The exit codes.
 const (
-	// exitDone says that what was asked for was done.
+	// exitDone reports success.
 	exitDone = 0
-	// exitFailed says that it was not.
+	// exitFailed reports a failure without a more specific code.
 	exitFailed = 1
-	// exitUsage says that the command line or a file is wrong; nothing was tried.
+	// exitUsage reports an invalid command line or file. Nothing was attempted.
 	exitUsage = 2
-	// exitRefused says that the host refused; nothing was changed.
+	// exitRefused reports that the host refused the call. Nothing was changed.
 	exitRefused = 3
-	// exitUnknown says that no verdict came back; it may have been done.
+	// exitUnknown reports that no verdict was received. The change may have taken
+	// effect.
 	exitUnknown = 4
 )
 
-// errUsage reports a command line that can't be carried out.
+// errUsage reports an invalid command line.
 var errUsage = errors.New("usage")
 
-// env is what every subcommand works with.
+// env holds the global options, the context and the standard streams of the
+// subcommands.
 type env struct {
 	URL       string `long:"url" env:"CURLEWSILL_URL" default:"http://127.0.0.1:8081" value-name:"URL" description:"operators' interface of any entry host"`
 	TokenFile string `long:"token-file" env:"CURLEWSILL_TOKEN_FILE" value-name:"FILE" description:"file with the operators' token"`
@@ -81,7 +83,7 @@
 	return e.exit(err)
 }
 
-// exit prints an error and returns the exit code for it.
+// exit prints err, unless it is nil, and returns its exit code.
 func (e *env) exit(err error) int {
 	var f *flags.Error
 	if errors.As(err, &f) && f.Type == flags.ErrHelp {
@@ -118,7 +120,7 @@
 	return client.New(e.URL, strings.TrimSpace(string(data))), nil
 }
 
-// view returns what the entry host believes, without the jobs.
+// view returns the entry host's view, without the jobs.
 func (e *env) view() (node.View, error) {
 	cl, err := e.client()
 	if err != nil {
@@ -127,7 +129,7 @@
 	return cl.Status(e.ctx)
 }
 
-// jobs returns the jobs that the entry host remembers.
+// jobs returns the jobs that the entry host keeps.
 func (e *env) jobs() ([]state.Job, error) {
 	cl, err := e.client()
 	if err != nil {
@@ -136,7 +138,7 @@
 	return cl.Jobs(e.ctx)
 }
 
-// plan returns the entry host's plan for changes.
+// plan returns the entry host's plan for the changes.
 func (e *env) plan(changes []config.Change) (plan.Plan, error) {
 	cl, err := e.client()
 	if err != nil {
@@ -145,7 +147,7 @@
 	return cl.Plan(e.ctx, changes)
 }
 
-// print writes v as JSON if that was asked for, and as text otherwise.
+// print writes v as JSON if the option is set, and as text otherwise.
 func (e *env) print(v any, text func(io.Writer)) error {
 	if !e.JSON {
 		text(e.stdout)
--- a/cmd/curlewsill/cmd/script_test.go
+++ b/cmd/curlewsill/cmd/script_test.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// TestScripts runs each script with a whole system of its own in this process, because
-// scripts run at the same time and would race as operators do.
+// TestScripts runs each script against a separate system in this process: scripts run
+// concurrently, and on a shared system their changes would conflict.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:           "testdata/script",
--- a/cmd/curlewsill/cmd/show.go
+++ b/cmd/curlewsill/cmd/show.go
@@ -10,10 +10,10 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// showCmd is a subcommand that shows part of what a host believes.
+// showCmd is a subcommand that shows a part of a host's view.
 type showCmd struct {
 	env *env
-	// part picks what is shown as JSON, text what is shown as a table.
+	// part returns what is printed as JSON. text prints the table.
 	part func(node.View) any
 	text func(*tabwriter.Writer, node.View)
 }
--- a/cmd/curlewsill/cmd/standin.go
+++ b/cmd/curlewsill/cmd/standin.go
@@ -16,7 +16,8 @@
 	"curlewsill.org/curlewsill/internal/standin/workersvc"
 )
 
-// headerTimeout bounds slow clients of a stand-in.
+// headerTimeout bounds the time in which clients of a stand-in must send a request's
+// headers.
 const headerTimeout = 10 * time.Second
 
 // standinCmd is the subcommand standin.
@@ -29,7 +30,7 @@
 // Execute implements flags.Commander.
 func (*standinCmd) Execute([]string) error { return nil }
 
-// standinLogCmd is standin log.
+// standinLogCmd is the subcommand standin log.
 type standinLogCmd struct {
 	env    *env
 	Listen string        `long:"listen" default:"127.0.0.1:9000" description:"address to listen on"`
@@ -42,7 +43,7 @@
 	return serve(c.env, c.Listen, logsvc.New(c.Keep, c.Lag))
 }
 
-// standinWorkersCmd is standin workers.
+// standinWorkersCmd is the subcommand standin workers.
 type standinWorkersCmd struct {
 	env    *env
 	Listen string `long:"listen" default:"127.0.0.1:9001" description:"address to listen on"`
@@ -51,7 +52,7 @@
 // Execute implements flags.Commander.
 func (c *standinWorkersCmd) Execute([]string) error { return serve(c.env, c.Listen, workersvc.New()) }
 
-// standinBackendsCmd is standin backends.
+// standinBackendsCmd is the subcommand standin backends.
 type standinBackendsCmd struct {
 	env     *env
 	Service string        `long:"service" required:"yes" description:"name of the service"`
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// serve serves until the program is told to stop.
+// serve serves until the context of e is done.
 func serve(e *env, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cmd/curlewsill/cmd/version.go
+++ b/cmd/curlewsill/cmd/version.go
@@ -15,7 +15,7 @@
 
 type version struct {
 	Release string `json:"release"`
-	// Records is the version of the log's records.
+	// Records is the version of the format of the log's records.
 	Records int `json:"records"`
 }
 
--- a/cmd/curlewsill/main.go
+++ b/cmd/curlewsill/main.go
@@ -1,4 +1,4 @@
-// Curlewsill is the operators' command line.
+// Curlewsill is the operators' command-line tool.
 package main
 
 import (
--- a/cmd/curlewsilld/cmd/process_test.go
+++ b/cmd/curlewsilld/cmd/process_test.go
@@ -30,20 +30,20 @@
 	"curlewsill.org/curlewsill/internal/standin/workersvc"
 )
 
-// runMain makes the test binary be curlewsilld.
+// runMain is an environment variable that makes the test binary run as curlewsilld.
 const runMain = "CURLEWSILLD_RUN_MAIN"
 
-// wait bounds what must happen sooner or later.
-const wait = 60 * time.Second
+// eventTimeout bounds the wait for an expected event.
+const eventTimeout = 60 * time.Second
 
-// process is one curlewsilld, a process of its own.
+// process is a curlewsilld in a separate process.
 type process struct {
 	cmd                *exec.Cmd
 	callers, operators string
 	client             *client.Client
 }
 
-// platform is the stand-ins, in the test's process.
+// platform holds the stand-ins of the platform, which run in the test's process.
 type platform struct {
 	logURL, workerURL string
 	workers           *workersvc.Service
@@ -112,11 +112,11 @@
 	}
 }
 
-// until waits for something that has to happen.
-func until(t *testing.T, what string, ok func() bool) {
-	for end := time.Now().Add(wait); !ok(); time.Sleep(20 * time.Millisecond) {
+// waitFor waits until ok reports true, and fails the test after eventTimeout.
+func waitFor(t *testing.T, what string, ok func() bool) {
+	for end := time.Now().Add(eventTimeout); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s did not happen in %s", what, wait)
+			t.Fatalf("%s did not happen in %s", what, eventTimeout)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	return v
 }
 
-// job returns a job as a host knows it.
+// job returns a job as the host knows it, or an empty one if it doesn't know it.
 func (x *process) job(ctx context.Context, name id.Job) state.Job {
 	jobs, _ := x.client.Jobs(ctx)
 	for _, j := range jobs {
@@ -137,9 +137,10 @@
 	return state.Job{}
 }
 
-// TestProcesses kills, freezes and stops entry hosts that are processes of their own,
-// under load and with gangs running. Nothing that must not be repeated may run twice,
-// nothing refused as not run may have run, and a planned stop exits with 0.
+// TestProcesses kills, freezes and stops entry hosts in separate processes, under load
+// and while a gang runs. No request and no gang that must run at most once may run
+// twice, no request that was refused as not run may have run, and a planned stop must
+// exit with 0.
 func TestProcesses(t *testing.T) {
 	p := newPlatform(t)
 	dir := t.TempDir()
@@ -149,7 +150,7 @@
 	}
 	ctx := t.Context()
 	for _, x := range all {
-		until(t, "ready", func() bool {
+		waitFor(t, "ready", func() bool {
 			v := x.view(ctx)
 			return v.State == node.Ready && len(v.Peers) == len(all) && v.Owner.Epoch > 0
 		})
@@ -172,13 +173,14 @@
 		t.Fatal(err)
 	}
 	for _, x := range all {
-		until(t, "configuration", func() bool { return x.view(ctx).ConfigAt >= off })
+		waitFor(t, "configuration", func() bool { return x.view(ctx).ConfigAt >= off })
 	}
-	disturb(t, p, all)
+	runWithFailures(t, p, all)
 }
 
-// disturb runs the load and the failures.
-func disturb(t *testing.T, p *platform, all map[id.Host]*process) {
+// runWithFailures submits a gang and sends load, while one host is killed, one is
+// frozen for 5 s and one is stopped as planned.
+func runWithFailures(t *testing.T, p *platform, all map[id.Host]*process) {
 	ctx := t.Context()
 	owner := all["h1"].view(ctx).Owner.Host
 	var rest []*process
@@ -192,13 +194,13 @@
 			rest = append(rest, x)
 		}
 	}
-	frozen, leaving, watch := rest[0], rest[1], rest[2]
-	if _, err := watch.client.Submit(ctx, record.Job{
+	frozen, leaving, observer := rest[0], rest[1], rest[2]
+	if _, err := observer.client.Submit(ctx, record.Job{
 		ID: "once", Customer: "excursion", Accelerators: 16, Once: true, Declared: time.Minute, Command: "run 12s",
 	}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the gang", func() bool { return watch.job(ctx, "once").State == state.Running })
+	waitFor(t, "the gang", func() bool { return observer.job(ctx, "once").State == state.Running })
 	done := make(chan load.Report, 1)
 	go func() {
 		rep, err := load.Do(ctx, run, func(context.Context) (backendsvc.Ledger, error) { return p.backends.Ledger(), nil })
@@ -220,13 +222,13 @@
 	rep := <-done
 	t.Logf("%+v", rep)
 	if rep.RanTwice+rep.NotRunButRan+rep.Wrong+rep.Cut > 0 || rep.Whole == 0 {
-		t.Errorf("promises broken: %+v", rep)
+		t.Errorf("guarantees violated: %+v", rep)
 	}
-	until(t, "the end of the gang", func() bool { return watch.job(ctx, "once").State == "finished" })
+	waitFor(t, "the end of the gang", func() bool { return observer.job(ctx, "once").State == "finished" })
 	if n := len(p.workers.Ledger().Starts); n != 2 {
 		t.Errorf("%d tasks were started, want 2", n)
 	}
-	for _, x := range []*process{frozen, watch} {
+	for _, x := range []*process{frozen, observer} {
 		if n := x.view(ctx).Counts.Faults; n > 0 {
 			t.Errorf("%d invariants violated", n)
 		}
--- a/cmd/curlewsilld/cmd/root.go
+++ b/cmd/curlewsilld/cmd/root.go
@@ -24,7 +24,7 @@
 	exitSettings = 2
 )
 
-// options are the flags. Those after Check go before the settings file.
+// options are the flags. The flags after Check override the settings file.
 type options struct {
 	Config    string `long:"config" required:"yes" value-name:"FILE" description:"settings file (INI)"`
 	Check     bool   `long:"check" description:"check the settings, print every fault and stop"`
@@ -60,10 +60,10 @@
 	return exitDone
 }
 
-// parseFlags reads the flags. If the program is to end with that, it returns its exit code
-// and false.
-func parseFlags(to any, args []string) (code int, ok bool) {
-	_, err := flags.ParseArgs(to, args)
+// parseFlags parses the flags into target. If the program must exit, for help or
+// invalid flags, it returns the exit code and false.
+func parseFlags(target any, args []string) (code int, ok bool) {
+	_, err := flags.ParseArgs(target, args)
 	if err == nil {
 		return exitDone, true
 	}
@@ -74,7 +74,7 @@
 	return exitSettings, false
 }
 
-// override lets flags go before the settings file.
+// override replaces settings by the flags that are set.
 func (o options) override(s *settings.Settings) {
 	for _, f := range []struct {
 		flag string
@@ -86,8 +86,8 @@
 	}
 }
 
-// run serves until the first SIGTERM or SIGINT has led to a planned stop, or a second
-// one ends the process at once.
+// run serves until a planned stop is complete. The first SIGTERM or SIGINT begins the
+// planned stop, a second one stops the process at once.
 func run(s settings.Settings) error {
 	stream, err := logging.NewStream(os.Stdout, s.LogLevel, logging.Format(s.LogFormat))
 	if err != nil {
--- a/cmd/curlewsilld/cmd/script_test.go
+++ b/cmd/curlewsilld/cmd/script_test.go
@@ -22,7 +22,8 @@
 	})
 }
 
-// TestScripts runs each script. The shipped settings are there as SITE.ini.
+// TestScripts runs each script. The shipped settings of each site are in the script's
+// directory as SITE.ini.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:           "testdata/script",
--- a/cmd/curlewsilld/cmd/site.go
+++ b/cmd/curlewsilld/cmd/site.go
@@ -15,10 +15,10 @@
 	"curlewsill.org/curlewsill/internal/settings"
 )
 
-// siteCommand is the first argument that runs an entry host on the users' platform.
+// siteCommand is the first argument for running an entry host on the users' platform.
 const siteCommand = "site"
 
-// siteOptions are the flags of an entry host on the users' platform.
+// siteOptions are the flags of the site command.
 type siteOptions struct {
 	Config string `long:"config" env:"CURLEWSILL_BOOT" required:"yes" value-name:"FILE" description:"settings file (INI)"`
 	Check  bool   `long:"check" description:"check the settings, print every fault and stop"`
@@ -46,7 +46,8 @@
 	return exitDone
 }
 
-// runSite serves until a planned stop has ended. SIGHUP reads the settings again.
+// runSite serves until a planned stop is complete. SIGTERM and SIGINT begin a planned
+// stop, SIGHUP reloads the settings.
 func runSite(file string, s settings.Site) error {
 	log, err := logging.NewStream(os.Stdout, s.LogLevel, logging.JSON)
 	if err != nil {
@@ -69,12 +70,12 @@
 				h.Stop()
 				continue
 			}
-			again, err := settings.LoadSite(file)
+			reloaded, err := settings.LoadSite(file)
 			if err != nil {
 				log.Error("settings-rejected", zap.Error(err))
 				continue
 			}
-			h.Reload(again)
+			h.Reload(reloaded)
 		}
 	}()
 	return h.Run(context.Background())
--- a/cmd/curlewsilld/main.go
+++ b/cmd/curlewsilld/main.go
@@ -1,4 +1,4 @@
-// Curlewsilld is the one process of an entry host.
+// Curlewsilld is the daemon of an entry host.
 package main
 
 import (
