--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -31,8 +31,8 @@
 
 // Errors that a Client returns.
 var (
-	// ErrRefused reports that the host refused the call. The error is also a
-	// *Refusal with the details.
+	// ErrRefused reports that the host refused the call. If the host sent details,
+	// the error is also a *Refusal.
 	ErrRefused = errors.New("refused")
 	// ErrUnreachable reports that no valid response was received. Whether the call
 	// took effect is unknown.
--- a/internal/edge/unread_test.go
+++ b/internal/edge/unread_test.go
@@ -34,13 +34,13 @@
 // Push implements edge.Core.
 func (*slowCore) Push(context.Context, node.Event) bool { return true }
 
-// TestUnread checks that the connection of a caller that doesn't read its response is
-// closed, and that a caller that waits long for its response receives it.
+// TestUnreadResponse checks that the connection of a caller that doesn't read its
+// response is closed, and that a caller that waits long for its response receives it.
 //
 // It guards against writes without a deadline. Such a caller would hold its connection
 // forever and, with a long response, also its slot among the requests in flight,
 // because its kernel still answers TCP keep-alive probes.
-func TestUnread(t *testing.T) {
+func TestUnreadResponse(t *testing.T) {
 	for _, reads := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			clientConn, serverConn := net.Pipe()
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -32,7 +32,7 @@
 	maxInFlight       = 20_000
 	maxLatency        = 10 * time.Minute
 	significantDigits = 3
-	// timeout bounds one request. It is longer than the host's own timeouts.
+	// timeout bounds one request, in addition to the host's own time limits.
 	timeout = time.Minute
 )
 
@@ -100,8 +100,8 @@
 	wrong
 )
 
-// sent is a request that was sent, with its result.
-type sent struct {
+// sentRequest is a request that was sent, with its result.
+type sentRequest struct {
 	tag    string
 	once   bool
 	result result
@@ -116,7 +116,7 @@
 
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram
-	done    []sent
+	sent    []sentRequest
 }
 
 // Do executes the run. The function ledger returns what the backend servers ran. It may
@@ -193,7 +193,7 @@
 	took := time.Since(due).Microseconds()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.done = append(x.done, sent{tag, once, res})
+	x.sent = append(x.sent, sentRequest{tag, once, res})
 	_ = x.latency.RecordValue(min(max(took, 1), maxLatency.Microseconds()))
 }
 
@@ -247,7 +247,7 @@
 func (x *runner) report(l backendsvc.Ledger) Report {
 	const perMs = 1000
 	out := Report{
-		Sent: len(x.done), Overbooked: l.Overbooked,
+		Sent: len(x.sent), Overbooked: l.Overbooked,
 		P50:  float64(x.latency.ValueAtQuantile(50)) / perMs,
 		P99:  float64(x.latency.ValueAtQuantile(99)) / perMs,
 		P999: float64(x.latency.ValueAtQuantile(99.9)) / perMs,
@@ -255,7 +255,7 @@
 	counts := map[result]*int{
 		whole: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, cut: &out.Cut, wrong: &out.Wrong,
 	}
-	for _, s := range x.done {
+	for _, s := range x.sent {
 		*counts[s.result]++
 		runs := l.Runs[s.tag]
 		switch {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -29,8 +29,8 @@
 	Requests  int
 	// MemoryLimit is the soft memory limit of the Go runtime.
 	MemoryLimit unit.Bytes
-	// StopWait is how long a planned stop waits for the callers' connections to
-	// close.
+	// StopWait is how long a planned stop waits, after the last response, for the
+	// callers' connections to close and for the last spans to be exported.
 	StopWait time.Duration
 	// LogLevel and LogFormat configure the log lines that the process writes.
 	LogLevel, LogFormat string
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -21,8 +21,8 @@
 	Store string
 	// Partitions is the number of partitions of each topic in the store.
 	Partitions int
-	// LeastTTL is the shortest TTL after which the store removes a member that
-	// sends no heartbeats.
+	// LeastTTL is the shortest time after which the store removes a member that
+	// sends nothing.
 	LeastTTL time.Duration
 	// ConfigBound is the time within which a new configuration must be in force
 	// on all hosts.
@@ -54,8 +54,9 @@
 const (
 	maxPartitions = 4096
 	maxPeriod     = 24 * time.Hour
-	// minEvacuation is the shortest evacuation bound that a host can meet: sending
-	// a start or stop order takes up to 1 s of it.
+	// minEvacuation is the shortest evacuation bound that a host can meet: after its
+	// last check against evacuations, a start order takes up to 1 s to reach its
+	// worker.
 	minEvacuation = 1500 * time.Millisecond
 	// minDescriptors leaves spare descriptors beside the connections to the store,
 	// to peers and to callers.
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -25,7 +25,7 @@
 type Stats struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
-	took     *prometheus.HistogramVec
+	latency  *prometheus.HistogramVec
 	faults   prometheus.Counter
 	viewer   Viewer
 	gauges   []gauge
@@ -47,7 +47,7 @@
 			Name: "curlewsill_requests_total",
 			Help: "Final responses to callers, by service, code (empty for a backend server's response) and whether the request ran.",
 		}, []string{"service", "code", "ran"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "curlewsill_request_seconds",
 			Help:    "Time from a request's arrival to its final response.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 16),
@@ -57,7 +57,7 @@
 			Help: "Violated invariants. The affected decisions were not taken.",
 		}),
 	}
-	s.registry.MustRegister(s.requests, s.took, s.faults, collectors.NewGoCollector(),
+	s.registry.MustRegister(s.requests, s.latency, s.faults, collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -69,14 +69,14 @@
 func (s *Stats) Fault(error) { s.faults.Inc() }
 
 // Request records a final response and its latency.
-func (s *Stats) Request(service id.Service, code route.Code, ran route.Ran, took time.Duration) {
+func (s *Stats) Request(service id.Service, code route.Code, ran route.Ran, latency time.Duration) {
 	if code == route.CodeNoService {
 		// The name came from the caller. As a label it would let callers create
 		// any number of time series.
 		service = ""
 	}
 	s.requests.WithLabelValues(string(service), string(code), string(ran)).Inc()
-	s.took.WithLabelValues(string(service)).Observe(took.Seconds())
+	s.latency.WithLabelValues(string(service)).Observe(latency.Seconds())
 }
 
 // Watch registers the metrics of a host's state.
