--- a/internal/demo/bench_test.go
+++ b/internal/demo/bench_test.go
@@ -13,8 +13,8 @@
 	"curlewsill.org/curlewsill/internal/demo"
 )
 
-// BenchmarkUrgent measures the time from the submission of an urgent job until all its
-// gates are open: on free accelerators, and on a full site.
+// BenchmarkUrgent measures the time from the submission of an urgent job until
+// its gates open, on free accelerators and on a site that is full.
 func BenchmarkUrgent(b *testing.B) {
 	for _, full := range []bool{false, true} {
 		b.Run(fmt.Sprintf("full=%v", full), func(b *testing.B) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// BenchmarkChange measures the time from the confirmation of a plan until it is in force
-// on all hosts, one at a time.
+// BenchmarkChange measures the time from the confirmation of a plan until it is
+// in force on all hosts, with one plan at a time.
 func BenchmarkChange(b *testing.B) {
 	d, err := demo.Start(b.Context(), "delta-north", io.Discard)
 	if err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs the whole system in one process, on loopback ports of its own
-// choice: stand-ins of the platform, three entry hosts, one of the shipped sites, and
-// a short run of requests, gangs and configuration changes with an outage of the log
-// in the middle.
+// Package demo runs the whole system in one process, on free loopback ports:
+// stand-ins of the platform, three entry hosts and one of the shipped sites. It
+// sends requests, submits gangs and changes the configuration for a short time,
+// with an outage of the log in the middle.
 package demo
 
 import (
@@ -34,55 +34,57 @@
 	"curlewsill.org/curlewsill/internal/standin/workersvc"
 )
 
-// The size and the times of the demo.
+// The parameters of the demo.
 const (
 	entryHosts  = 3
 	backends    = 50
 	slots       = 8
 	work        = 15 * time.Millisecond
-	keep        = 100_000
+	keepRecords = 100_000
 	requestRate = 300
 	onceShare   = 0.2
 	bodySize    = 512
 	outage      = 4 * time.Second
-	// before and after are the times of normal work around the outage.
-	before    = 4 * time.Second
-	after     = 6 * time.Second
-	readyWait = 15 * time.Second
-	tokenMode = 0o600
+	// beforeOutage and afterOutage are the times of normal operation around the
+	// outage.
+	beforeOutage  = 4 * time.Second
+	afterOutage   = 6 * time.Second
+	readyTimeout  = 15 * time.Second
+	tokenFileMode = 0o600
 )
 
-// Errors of a run.
+// The errors of a run.
 var (
-	// ErrNotReady reports that the hosts did not become ready.
-	ErrNotReady = errors.New("demo: the entry hosts did not become ready")
-	// ErrViolated reports that something that must always hold did not.
-	ErrViolated = errors.New("demo: what must always hold did not")
+	// ErrNotReady reports that the entry hosts did not become ready in time.
+	ErrNotReady = errors.New("demo: the entry hosts did not become ready in time")
+	// ErrViolated reports that an invariant did not hold.
+	ErrViolated = errors.New("demo: an invariant did not hold")
 )
 
 // Demo is a running system.
 type Demo struct {
-	site     string
-	progress io.Writer
-	dir      string
-	token    string
-	urls     []string
+	site      string
+	progress  io.Writer
+	dir       string
+	tokenFile string
+	urls      []string
 
-	logs     *logsvc.Service
-	workers  *workersvc.Service
-	backends *backendsvc.Service
-	daemons  []*daemon.Daemon
-	clients  []*client.Client
-	customer []id.Customer
-	service  id.Service
+	logs      *logsvc.Service
+	workers   *workersvc.Service
+	backends  *backendsvc.Service
+	daemons   []*daemon.Daemon
+	clients   []*client.Client
+	customers []id.Customer
+	service   id.Service
 
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
-	closes []func()
+	stop    context.CancelFunc
+	wg      sync.WaitGroup
+	closers []func()
 }
 
-// Start starts the system for a site and puts the site in force. Progress is for
-// people. The caller must Close what Start returns.
+// Start starts the system for a site and puts the site's configuration in
+// force. It writes messages for people to progress. The caller must Close the
+// Demo.
 func Start(ctx context.Context, site string, progress io.Writer) (*Demo, error) {
 	d := &Demo{site: site, progress: progress}
 	if err := d.start(ctx); err != nil {
@@ -92,24 +94,24 @@
 	return d, nil
 }
 
-// Callers returns the URL of the first host for callers.
+// Callers returns the first host's URL for callers.
 func (d *Demo) Callers() string { return "http://" + d.daemons[0].Callers() }
 
-// Operators returns the URL of the first host for operators.
+// Operators returns the first host's URL for operators.
 func (d *Demo) Operators() string { return "http://" + d.daemons[0].Operators() }
 
-// TokenFile returns the file with the operators' token.
-func (d *Demo) TokenFile() string { return d.token }
+// TokenFile returns the path of the file with the operators' token.
+func (d *Demo) TokenFile() string { return d.tokenFile }
 
-// Run runs the demo for a site and returns its report. The error is ErrViolated if an
-// invariant did not hold.
+// Run runs the demo for a site and returns its report. The error is ErrViolated
+// if an invariant did not hold.
 func Run(ctx context.Context, site string, progress io.Writer) (Report, error) {
 	d, err := Start(ctx, site, progress)
 	if err != nil {
 		return Report{}, err
 	}
 	defer d.Close()
-	rep, err := d.play(ctx)
+	rep, err := d.run(ctx)
 	if err != nil {
 		return rep, err
 	}
@@ -119,9 +121,10 @@
 	return rep, nil
 }
 
-func (d *Demo) say(format string, args ...any) { fmt.Fprintf(d.progress, format+"\n", args...) }
+func (d *Demo) progressf(format string, args ...any) { fmt.Fprintf(d.progress, format+"\n", args...) }
 
-// start starts the stand-ins and the hosts, and puts the site in force.
+// start starts the stand-ins and the hosts, and puts the site's configuration
+// in force.
 func (d *Demo) start(ctx context.Context) error {
 	ctx, d.stop = context.WithCancel(ctx)
 	dir, err := os.MkdirTemp("", "curlewsill-demo")
@@ -129,14 +132,14 @@
 		return err
 	}
 	d.dir = dir
-	d.token = filepath.Join(dir, "token")
-	if err := os.WriteFile(d.token, []byte("demo"), tokenMode); err != nil {
+	d.tokenFile = filepath.Join(dir, "token")
+	if err := os.WriteFile(d.tokenFile, []byte("demo"), tokenFileMode); err != nil {
 		return err
 	}
 	if err := d.startPlatform(ctx); err != nil {
 		return err
 	}
-	d.say("the platform's stand-ins are up: log, %d backend servers, workers", backends)
+	d.progressf("the platform's stand-ins are running: the log, %d backend servers and the workers", backends)
 	for i := range entryHosts {
 		if err := d.startHost(ctx, i); err != nil {
 			return err
@@ -145,13 +148,13 @@
 	if err := d.waitReady(ctx); err != nil {
 		return err
 	}
-	d.say("%d entry hosts are ready", entryHosts)
+	d.progressf("%d entry hosts are ready", entryHosts)
 	return d.applySite(ctx)
 }
 
-// startPlatform starts the stand-ins.
+// startPlatform starts the stand-ins and announces the backend servers.
 func (d *Demo) startPlatform(ctx context.Context) error {
-	d.logs = logsvc.New(keep, 0)
+	d.logs = logsvc.New(keepRecords, 0)
 	d.workers = workersvc.New()
 	for _, h := range []http.Handler{d.logs, d.workers} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,7 +163,7 @@
 		}
 		s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 		d.urls = append(d.urls, "http://"+l.Addr().String())
-		d.closes = append(d.closes, func() { _ = s.Close() })
+		d.closers = append(d.closers, func() { _ = s.Close() })
 		go func() { _ = s.Serve(l) }()
 	}
 	b, err := backendsvc.New(backends, slots, work)
@@ -168,7 +171,7 @@
 		return err
 	}
 	d.backends = b
-	d.closes = append(d.closes, b.Close)
+	d.closers = append(d.closers, b.Close)
 	changes, err := d.changes()
 	if err != nil {
 		return err
@@ -178,7 +181,7 @@
 			d.service = c.SetService.ID
 		}
 		if c.SetCustomer != nil {
-			d.customer = append(d.customer, c.SetCustomer.ID)
+			d.customers = append(d.customers, c.SetCustomer.ID)
 		}
 	}
 	a := wire.Announcement{Service: d.service}
@@ -188,7 +191,7 @@
 	return hosts.New(d.urls[0], http.DefaultClient).Announce(ctx, "service", a)
 }
 
-// changes returns the site's configuration.
+// changes returns the changes that set up the site's configuration.
 func (d *Demo) changes() ([]config.Change, error) {
 	data, err := examples.Read(d.site, "site.ini")
 	if err != nil {
@@ -202,7 +205,7 @@
 		Host: id.Host(fmt.Sprintf("entry-%d", i+1)), Domain: "demo",
 		Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Peers: "127.0.0.1:0",
 		LogURL: d.urls[0], HostsURL: d.urls[0], WorkersURL: d.urls[1],
-		TokenFile: d.token, BodyLimit: unit.MiB, Requests: 2048, MemoryLimit: unit.GiB, StopWait: time.Minute,
+		TokenFile: d.tokenFile, BodyLimit: unit.MiB, Requests: 2048, MemoryLimit: unit.GiB, StopWait: time.Minute,
 	}
 	dm, err := daemon.New(ctx, s, zap.NewNop())
 	if err != nil {
@@ -215,7 +218,7 @@
 }
 
 func (d *Demo) waitReady(ctx context.Context) error {
-	for end := time.Now().Add(readyWait); time.Now().Before(end); {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		ready := 0
 		for _, c := range d.clients {
 			if v, err := c.Status(ctx); err == nil && v.State == "ready" && len(v.Peers) == entryHosts && v.Owner.Host != "" {
@@ -225,12 +228,12 @@
 		if ready == entryHosts {
 			return nil
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return ErrNotReady
 }
 
-// applySite plans and confirms the site.
+// applySite plans and confirms the site's configuration.
 func (d *Demo) applySite(ctx context.Context) error {
 	changes, err := d.changes()
 	if err != nil {
@@ -244,11 +247,12 @@
 	if err != nil {
 		return err
 	}
-	d.say("site %s: plan %s with %d changes is in force at offset %d", d.site, p.ID, len(p.Changes), off)
+	d.progressf("site %s: plan %s with %d changes is in force at offset %d", d.site, p.ID, len(p.Changes), off)
 	return nil
 }
 
-// Close stops the hosts as planned and ends everything.
+// Close stops the hosts by a planned stop, ends the stand-ins and removes the
+// files.
 func (d *Demo) Close() {
 	for _, dm := range d.daemons {
 		dm.Stop()
@@ -257,7 +261,7 @@
 	if d.stop != nil {
 		d.stop()
 	}
-	for _, c := range d.closes {
+	for _, c := range d.closers {
 		c()
 	}
 	if d.dir != "" {
@@ -265,10 +269,11 @@
 	}
 }
 
-// requests sends the demo's load.
+// requests sends requests to all hosts for the given time and returns the
+// report on their answers.
 func (d *Demo) requests(ctx context.Context, length time.Duration) (load.Report, error) {
 	r := load.Run{
-		Service: d.service, Customers: d.customer, Rate: requestRate, Duration: length,
+		Service: d.service, Customers: d.customers, Rate: requestRate, Duration: length,
 		OnceShare: onceShare, Body: bodySize, Name: "demo", Seed: 1,
 	}
 	for _, dm := range d.daemons {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -8,8 +8,9 @@
 	"curlewsill.org/curlewsill/internal/demo"
 )
 
-// TestDemo runs the demo of each shipped site. Whatever the machine's speed, nothing
-// that must always hold may break, and work must get done.
+// TestDemo runs the demo of each shipped site. At any speed of the machine, no
+// invariant may be violated, and some requests, gangs and changes must be
+// completed.
 func TestDemo(t *testing.T) {
 	for _, site := range examples.Sites() {
 		t.Run(site, func(t *testing.T) {
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -15,44 +15,49 @@
 )
 
 const (
-	// pollEvery is how often the hosts are looked at.
-	pollEvery = 50 * time.Millisecond
-	// changeEvery is how often an operator changes the configuration.
-	changeEvery = time.Second
-	// jobs is how many gangs are submitted, one every jobEvery.
-	jobs     = 40
-	jobEvery = 150 * time.Millisecond
-	// drainWait bounds the wait for the gangs to end.
-	drainWait = 30 * time.Second
+	// pollInterval is how often the state of the hosts is polled.
+	pollInterval = 50 * time.Millisecond
+	// changeInterval is the pause between two changes of the configuration.
+	changeInterval = time.Second
+	// jobs is how many gangs are submitted, one every jobInterval.
+	jobs        = 40
+	jobInterval = 150 * time.Millisecond
+	// drainTimeout bounds the wait for the gangs to end.
+	drainTimeout = 30 * time.Second
 )
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Site     string      `json:"site"`
 	Requests load.Report `json:"requests"`
 	// Jobs counts the gangs by their last state.
 	Jobs map[state.JobState]int `json:"jobs"`
-	// Started counts gangs whose gates were opened, Twice those under more than
-	// one lease although they must not be repeated.
+	// Started counts the gangs whose gates were opened. Twice counts those
+	// among them that must not be repeated but were started under more than one
+	// lease.
 	Started int `json:"started"`
 	Twice   int `json:"twice"`
 	// Fragmentation is the mean share of free accelerators that could not serve
-	// the sizes in demand.
+	// the gang sizes in demand.
 	Fragmentation float64 `json:"fragmentation"`
-	// InForce is the longest time from an accepted plan until every host had it.
+	// InForce is the longest time from the acceptance of a plan until it was in
+	// force on every host.
 	InForce time.Duration `json:"in_force"`
 	Changes int           `json:"changes"`
-	// Refused counts changes that the outage of the log kept from being accepted.
+	// Refused counts the changes that were not accepted because of the log's
+	// outage.
 	Refused int `json:"changes_refused"`
 	Appends int `json:"appends"`
-	// Violations lists what did not hold; empty for a good run.
+	// Violations lists the invariants that did not hold; it is empty if all
+	// did.
 	Violations []string `json:"violations"`
 }
 
-// play is the run itself.
-func (d *Demo) play(ctx context.Context) (Report, error) {
+// run sends the load, takes the log down for a while, and checks the
+// invariants.
+func (d *Demo) run(ctx context.Context) (Report, error) {
 	rep := Report{Site: d.site}
-	length := before + outage + after
+	length := beforeOutage + outage + afterOutage
 	done := make(chan error, 3)
 	go func() {
 		var err error
@@ -61,25 +66,25 @@
 	}()
 	go func() { done <- d.submitJobs(ctx) }()
 	go func() { done <- d.changeConfig(ctx, length, &rep) }()
-	d.say("%d requests a second, %d gangs, a change of configuration every %s", requestRate, jobs, changeEvery)
-	frag := make(chan float64, 1)
-	watch, stop := context.WithCancel(ctx)
-	go func() { frag <- d.watchFragmentation(watch) }()
-	time.Sleep(before)
-	d.say("the log goes down for %s; requests go on, nothing new is agreed", outage)
+	d.progressf("sending %d requests per second and %d gangs, with a configuration change every %s", requestRate, jobs, changeInterval)
+	fragmentation := make(chan float64, 1)
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	go func() { fragmentation <- d.watchFragmentation(watchCtx) }()
+	time.Sleep(beforeOutage)
+	d.progressf("the log is unavailable for %s; requests are still served, but no change is accepted", outage)
 	d.logs.SetFaults(logsvc.Faults{Mode: logsvc.Refuse})
 	time.Sleep(outage)
 	d.logs.SetFaults(logsvc.Faults{})
-	d.say("the log is back")
+	d.progressf("the log is available again")
 	for range cap(done) {
 		if err := <-done; err != nil {
-			stop()
+			stopWatching()
 			return rep, err
 		}
 	}
 	err := d.drain(ctx, &rep)
-	stop()
-	rep.Fragmentation = <-frag
+	stopWatching()
+	rep.Fragmentation = <-fragmentation
 	if err != nil {
 		return rep, err
 	}
@@ -87,42 +92,44 @@
 	return rep, nil
 }
 
-// submitJobs submits gangs of many sizes.
+// submitJobs submits gangs of several sizes.
 func (d *Demo) submitJobs(ctx context.Context) error {
 	sizes := []int{1, 2, 4, 8, 8, 16, 16, 32, 64}
 	for i := range jobs {
 		j := record.Job{
-			ID: id.Job(fmt.Sprintf("demo-%02d", i)), Customer: d.customer[i%len(d.customer)],
+			ID: id.Job(fmt.Sprintf("demo-%02d", i)), Customer: d.customers[i%len(d.customers)],
 			Accelerators: sizes[i%len(sizes)], Declared: 3 * time.Second,
 			Command: fmt.Sprintf("run %ds", 1+i%4), Once: i%5 == 0, Urgent: i%7 == 0,
 		}
 		if err := d.submit(ctx, j); err != nil {
 			return err
 		}
-		time.Sleep(jobEvery)
+		time.Sleep(jobInterval)
 	}
 	return nil
 }
 
-// submit submits a job until the answer says that it is on the log.
+// submit submits a job until an answer, or the list of jobs, confirms that it
+// is on the log.
 func (d *Demo) submit(ctx context.Context, j record.Job) error {
 	var err error
 	for _, c := range append(slices.Clone(d.clients), d.clients...) {
-		// A job that is there already was taken by a call whose answer was lost.
-		if _, err = c.Submit(ctx, j); err == nil || d.has(ctx, j.ID) {
+		// A job that exists was accepted by an earlier call whose answer was
+		// lost.
+		if _, err = c.Submit(ctx, j); err == nil || d.hasJob(ctx, j.ID) {
 			return nil
 		}
 	}
 	return err
 }
 
-func (d *Demo) has(ctx context.Context, name id.Job) bool {
+func (d *Demo) hasJob(ctx context.Context, name id.Job) bool {
 	js, err := d.clients[0].Jobs(ctx)
 	return err == nil && slices.ContainsFunc(js, func(j state.Job) bool { return j.Spec.ID == name })
 }
 
-// changeConfig lets an operator change a weight again and again, and measures how
-// long each change takes to be in force on every host.
+// changeConfig changes a customer's weight repeatedly, and measures how long
+// each change takes to be in force on every host.
 func (d *Demo) changeConfig(ctx context.Context, length time.Duration, rep *Report) error {
 	changes, err := d.changes()
 	if err != nil {
@@ -130,7 +137,7 @@
 	}
 	i := slices.IndexFunc(changes, func(c config.Change) bool { return c.SetCustomer != nil })
 	customer := *changes[i].SetCustomer
-	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(changeEvery) {
+	for deadline := time.Now().Add(length); time.Now().Before(deadline); time.Sleep(changeInterval) {
 		customer.Weight = customer.Weight%9 + 1
 		c := customer
 		p, err := d.clients[0].Plan(ctx, []config.Change{{SetCustomer: &c}})
@@ -148,8 +155,8 @@
 	return nil
 }
 
-// InForce waits until every host has the configuration of an offset, and returns how
-// long that took.
+// InForce waits until every host has the configuration at an offset, and
+// returns how long that took.
 func (d *Demo) InForce(ctx context.Context, off id.Offset) time.Duration {
 	began := time.Now()
 	for _, c := range d.clients {
@@ -174,7 +181,8 @@
 	return n
 }
 
-// watchFragmentation returns the mean fragmentation that the owner reports.
+// watchFragmentation returns the mean of the fragmentation that the owner
+// reports until the context is done.
 func (d *Demo) watchFragmentation(ctx context.Context) float64 {
 	sum, n := 0.0, 0
 	for ctx.Err() == nil {
@@ -184,14 +192,14 @@
 				n++
 			}
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return sum / float64(max(n, 1))
 }
 
-// drain waits until every gang has ended.
+// drain waits until every gang has ended, or until drainTimeout.
 func (d *Demo) drain(ctx context.Context, rep *Report) error {
-	for end := time.Now().Add(drainWait); ; time.Sleep(pollEvery) {
+	for deadline := time.Now().Add(drainTimeout); ; time.Sleep(pollInterval) {
 		js, err := d.clients[0].Jobs(ctx)
 		if err != nil {
 			return err
@@ -200,15 +208,15 @@
 		for _, j := range js {
 			rep.Jobs[j.State]++
 		}
-		if rep.Jobs[state.Pending]+rep.Jobs[state.Running] == 0 || time.Now().After(end) {
+		if rep.Jobs[state.Pending]+rep.Jobs[state.Running] == 0 || time.Now().After(deadline) {
 			return nil
 		}
 	}
 }
 
-// check looks at what must hold.
+// check checks the invariants and adds the violations to the report.
 func (d *Demo) check(ctx context.Context, rep *Report) {
-	bad := func(n int, what string) {
+	addViolation := func(n int, what string) {
 		if n > 0 {
 			rep.Violations = append(rep.Violations, fmt.Sprintf("%d %s", n, what))
 		}
@@ -231,16 +239,16 @@
 			rep.Twice++
 		}
 	}
-	bad(rep.Twice, "jobs that must not be repeated were started again")
-	bad(rep.Requests.RanTwice, "requests that must not be repeated ran again")
-	bad(rep.Requests.NotRunButRan, "requests were refused as not run and ran")
-	bad(rep.Requests.Wrong+rep.Requests.Cut, "callers got an answer that was cut or not theirs")
-	bad(rep.Jobs[state.Pending]+rep.Jobs[state.Running], "gangs did not end")
+	addViolation(rep.Twice, "jobs that must not be repeated were started more than once")
+	addViolation(rep.Requests.RanTwice, "requests that must not be repeated ran more than once")
+	addViolation(rep.Requests.NotRunButRan, "requests were refused as not run although they ran")
+	addViolation(rep.Requests.Wrong+rep.Requests.Cut, "callers got a truncated answer, or the answer to another request")
+	addViolation(rep.Jobs[state.Pending]+rep.Jobs[state.Running], "gangs did not end in time")
 	for _, c := range d.clients {
 		v, err := c.Status(ctx)
 		if err != nil {
 			rep.Violations = append(rep.Violations, err.Error())
 		}
-		bad(v.Counts.Faults, "invariants violated on "+string(v.Host))
+		addViolation(v.Counts.Faults, "invariants violated on "+string(v.Host))
 	}
 }
--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -8,31 +8,32 @@
 // conn is one connection through a proxy.
 type conn struct {
 	proxy *Proxy
-	// near is the accepted side, far the one to the target.
-	near, far net.Conn
+	// client is the accepted connection, target the one to the proxy's target.
+	client, target net.Conn
 
 	mu sync.Mutex
-	// silent holds the directions that carry nothing more.
+	// silent holds the directions in which bytes are dropped.
 	silent Direction
 }
 
-// silence ends the carrying of bytes in a direction.
+// silence drops all further bytes in a direction.
 func (c *conn) silence(d Direction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent |= d
 }
 
-// carries reports whether bytes are carried in a direction.
-func (c *conn) carries(d Direction) bool {
+// forwards reports whether bytes are forwarded in a direction.
+func (c *conn) forwards(d Direction) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.silent&d == 0
 }
 
-// pump carries bytes one way until that side ends. The end is passed on unless the direction is
+// forward forwards bytes in one direction until the sender closes the
+// connection or it fails. The close is forwarded too, unless the direction is
 // silent.
-func (c *conn) pump(to, from net.Conn, d Direction) {
+func (c *conn) forward(to, from net.Conn, d Direction) {
 	buf := make([]byte, chunkSize)
 	for {
 		n, err := from.Read(buf)
@@ -43,33 +44,34 @@
 			break
 		}
 	}
-	_ = from.Close() // its end is what this loop has seen
-	if c.carries(d) {
+	_ = from.Close() // the read has failed or reached the end
+	if c.forwards(d) {
 		_ = to.Close()
 	}
 }
 
-// write passes bytes on, unless the direction is silent by the time they may move.
+// write waits until the bytes may be forwarded, and then writes them, unless
+// the direction has become silent.
 func (c *conn) write(to net.Conn, b []byte, d Direction) {
-	c.proxy.hold(d)
-	if !c.carries(d) {
+	c.proxy.waitToForward(d)
+	if !c.forwards(d) {
 		return
 	}
 	if _, err := to.Write(b); err != nil {
-		_ = to.Close() // the other pump sees it and ends
+		_ = to.Close() // this ends the loop of the other direction
 	}
 }
 
-// reset breaks both sides with a reset.
+// reset resets both connections.
 func (c *conn) reset() {
-	resetConn(c.near)
-	resetConn(c.far)
+	resetConn(c.client)
+	resetConn(c.target)
 }
 
-// resetConn closes a connection with a reset instead of an orderly end.
+// resetConn closes a connection with a TCP reset instead of an orderly close.
 func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the close is orderly; nothing else depends on it
+		_ = tcp.SetLinger(0) // if it fails the close is orderly, which is accepted
 	}
 	_ = c.Close()
 }
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,9 +1,11 @@
-// Package faultproxy is a loopback proxy of TCP connections that misbehaves when it is told to.
-// Tests and the soak place it between a program and its peers; the product doesn't import it.
+// Package faultproxy is a loopback TCP proxy that injects faults on demand.
+// Tests and the soak place it between a program and its peers; the product
+// doesn't import it.
 //
-// The kernel of this machine acknowledges whatever reaches the proxy. A connection that the proxy
-// has silenced therefore looks healthy to TCP's own probes and time-outs, and only a time limit or
-// a heartbeat of the program shows that it is dead.
+// The local kernel acknowledges whatever reaches the proxy. A connection that
+// the proxy has silenced therefore looks healthy to TCP's keepalive probes and
+// timeouts, and only a timeout or a heartbeat of the program detects that it is
+// dead.
 package faultproxy
 
 import (
@@ -15,22 +17,22 @@
 	"time"
 )
 
-// Direction says which bytes of a connection a fault concerns.
+// Direction is the set of directions of a connection that a fault affects.
 type Direction int
 
 // The directions. Both is their union.
 const (
-	// ToTarget is from the one who opened the connection to the target.
+	// ToTarget is from the client, which opened the connection, to the target.
 	ToTarget Direction = 1 << iota
-	// FromTarget is from the target back.
+	// FromTarget is from the target to the client.
 	FromTarget
 	Both = ToTarget | FromTarget
 )
 
-// chunkSize is how many bytes are carried at once.
+// chunkSize is how many bytes are forwarded at a time.
 const chunkSize = 32 << 10
 
-// Proxy carries connections to one target. It is safe for concurrent use.
+// Proxy forwards connections to one target. It is safe for concurrent use.
 type Proxy struct {
 	address string
 
@@ -39,21 +41,23 @@
 	target   string
 	// conns holds the open connections.
 	conns map[*conn]struct{}
-	// cut holds the directions in which nothing moves at present, healed is closed when that ends.
+	// cut holds the directions in which bytes are held back at present; healed
+	// is closed while there are none.
 	cut    Direction
 	healed chan struct{}
-	// delay is how long each chunk waits.
+	// delay is how long each chunk is delayed.
 	delay time.Duration
-	// refusing is set while the port is closed, muted while connects go unanswered. fillers are the connections that
-	// fill the queue meanwhile.
+	// refusing is set while the port is closed; muted is set while connects go
+	// unanswered, and fillers are the connections that fill the accept queue
+	// meanwhile.
 	refusing bool
-	muted    *muting
+	muted    *mutePeriod
 	fillers  []net.Conn
 	closed   bool
 }
 
-// New returns a proxy that listens on a free port of the loopback address and carries what comes
-// there to the target.
+// New returns a proxy that listens on a free loopback port and forwards
+// connections to the target.
 func New(target string) (*Proxy, error) {
 	l, err := listen("127.0.0.1:0")
 	if err != nil {
@@ -67,7 +71,7 @@
 	return p, nil
 }
 
-// listen listens at an address of this machine.
+// listen listens on an address of this machine.
 func listen(address string) (*net.TCPListener, error) {
 	at, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -80,43 +84,45 @@
 	return l, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.address }
 
-// Open returns how many connections are open.
+// Open returns the number of open connections.
 func (p *Proxy) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-// Silence makes all connections that are open now carry nothing more, for good and without a reset.
-// What is sent on them is acknowledged and dropped, and neither end hears of the other's close. New
-// connections work.
+// Silence makes the connections that are open now forward nothing more in a
+// direction, permanently and without a reset. What is sent there is
+// acknowledged and dropped, and a close in that direction isn't forwarded. New
+// connections aren't affected.
 func (p *Proxy) Silence(d Direction) {
-	for _, c := range p.open() {
+	for _, c := range p.openConns() {
 		c.silence(d)
 	}
 }
 
-// Reset breaks all open connections with a reset and returns how many there were.
+// Reset resets all open connections and returns how many there were.
 func (p *Proxy) Reset() int {
-	open := p.open()
-	for _, c := range open {
+	conns := p.openConns()
+	for _, c := range conns {
 		c.reset()
 	}
-	return len(open)
+	return len(conns)
 }
 
-// SetDelay sets how long each chunk of bytes waits, on open connections too.
+// SetDelay sets how long each chunk of bytes is delayed, on open connections
+// too.
 func (p *Proxy) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Cut holds back all bytes of open and new connections in a direction until Heal. They are carried
-// then.
+// Cut holds back all bytes of open and new connections in a direction. Heal
+// forwards them.
 func (p *Proxy) Cut(d Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +132,7 @@
 	p.cut |= d
 }
 
-// Heal ends Cut.
+// Heal ends Cut in all directions.
 func (p *Proxy) Heal() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +142,7 @@
 	}
 }
 
-// Close ends the proxy and resets its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() error {
 	err := p.Admit()
 	p.mu.Lock()
@@ -148,8 +154,8 @@
 	return err
 }
 
-// open returns the connections that are open.
-func (p *Proxy) open() []*conn {
+// openConns returns the open connections.
+func (p *Proxy) openConns() []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]*conn, 0, len(p.conns))
@@ -159,55 +165,57 @@
 	return out
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (p *Proxy) accept(l *net.TCPListener) {
 	for {
-		near, err := l.Accept()
+		client, err := l.Accept()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			p.awaitSound()
+			p.awaitUnmute()
 		case err != nil:
-			return // closed
+			return // the listener is closed
 		default:
-			go p.carry(near)
+			go p.serve(client)
 		}
 	}
 }
 
-// awaitSound waits until connects are answered again.
-func (p *Proxy) awaitSound() {
+// awaitUnmute reports that nothing is being accepted any more, and waits until
+// connects are answered again.
+func (p *Proxy) awaitUnmute() {
 	p.mu.Lock()
 	muted := p.muted
 	p.mu.Unlock()
 	if muted != nil {
-		muted.paused.Do(func() { close(muted.idle) })
+		muted.idleOnce.Do(func() { close(muted.acceptIdle) })
 		<-muted.ended
 	}
 }
 
-// carry connects an accepted connection to the target.
-func (p *Proxy) carry(near net.Conn) {
+// serve connects to the target and forwards bytes both ways until the
+// connection ends.
+func (p *Proxy) serve(client net.Conn) {
 	p.mu.Lock()
-	target := p.target
+	address := p.target
 	p.mu.Unlock()
-	far, err := net.Dial("tcp", target)
+	upstream, err := net.Dial("tcp", address)
 	if err != nil {
-		resetConn(near)
+		resetConn(client)
 		return
 	}
-	c := &conn{proxy: p, near: near, far: far}
+	c := &conn{proxy: p, client: client, target: upstream}
 	if !p.add(c) {
 		c.reset()
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { c.pump(far, near, ToTarget) })
-	both.Go(func() { c.pump(near, far, FromTarget) })
+	both.Go(func() { c.forward(upstream, client, ToTarget) })
+	both.Go(func() { c.forward(client, upstream, FromTarget) })
 	both.Wait()
 	p.remove(c)
 }
 
-// add notes an open connection. It reports false once the proxy is closed.
+// add registers an open connection. It reports false if the proxy is closed.
 func (p *Proxy) add(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -218,15 +226,16 @@
 	return true
 }
 
-// remove forgets a connection.
+// remove unregisters a connection that has ended.
 func (p *Proxy) remove(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-// hold waits as long as a chunk has to.
-func (p *Proxy) hold(d Direction) {
+// waitToForward waits until the next chunk may be forwarded in a direction: for
+// the delay, and for Heal if the direction is cut.
+func (p *Proxy) waitToForward(d Direction) {
 	p.mu.Lock()
 	delay, cut, healed := p.delay, p.cut&d != 0, p.healed
 	p.mu.Unlock()
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -15,31 +15,34 @@
 	"curlewsill.org/curlewsill/internal/faultproxy"
 )
 
-// quiet is how long a connection must bring nothing to count as silent. It can only make a wrong
-// proxy pass, never a right one fail.
-const quiet = 50 * time.Millisecond
+// silenceTimeout is how long nothing must arrive on a connection for it to
+// count as silent. If it is too short a faulty proxy may pass, but a correct
+// one never fails.
+const silenceTimeout = 50 * time.Millisecond
 
-// TestProxy runs scripts of connections through a proxy to a target that echoes lines.
+// TestProxy runs scripts that open connections through a proxy to a target that
+// echoes what it receives.
 func TestProxy(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
-		w := newWorld(t)
+		fx := newFixture(t)
 		for line := range strings.Lines(text) {
-			f := strings.Fields(line)
-			if len(f) == 0 || f[0] == "#" {
+			fields := strings.Fields(line)
+			if len(fields) == 0 || fields[0] == "#" {
 				continue
 			}
-			w.run(t, f)
+			fx.run(t, fields)
 		}
 	})
 }
 
-// world is a proxy before an echoing target, and connections through it by name.
-type world struct {
+// fixture is a proxy in front of an echoing target, and the connections through
+// it by their names in the script.
+type fixture struct {
 	proxy *faultproxy.Proxy
 	conns map[string]net.Conn
 }
 
-func newWorld(t *testing.T) *world {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,10 +55,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = p.Close() })
-	return &world{proxy: p, conns: map[string]net.Conn{}}
+	return &fixture{proxy: p, conns: map[string]net.Conn{}}
 }
 
-// echo answers each line with itself.
+// echo sends back what each connection receives.
 func echo(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -69,95 +72,97 @@
 	}
 }
 
-// run carries out one line of a script.
-func (w *world) run(t *testing.T, f []string) {
+// run executes one line of a script.
+func (fx *fixture) run(t *testing.T, fields []string) {
 	t.Helper()
-	switch f[0] {
+	switch fields[0] {
 	case "dial":
-		c, err := net.Dial("tcp", w.proxy.Addr())
+		c, err := net.Dial("tcp", fx.proxy.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		w.conns[f[1]] = c
+		fx.conns[fields[1]] = c
 	case "echoes":
-		w.expect(t, f[1], nil)
+		fx.expect(t, fields[1], nil)
 	case "silent":
-		w.expect(t, f[1], os.ErrDeadlineExceeded)
+		fx.expect(t, fields[1], os.ErrDeadlineExceeded)
 	case "broken":
-		w.expect(t, f[1], syscall.ECONNRESET)
+		fx.expect(t, fields[1], syscall.ECONNRESET)
 	case "silence":
-		w.proxy.Silence(directions[f[1]])
+		fx.proxy.Silence(directions[fields[1]])
 	case "reset":
-		w.proxy.Reset()
+		fx.proxy.Reset()
 	case "cut":
-		w.proxy.Cut(directions[f[1]])
+		fx.proxy.Cut(directions[fields[1]])
 	case "heal":
-		w.proxy.Heal()
+		fx.proxy.Heal()
 	case "refuse":
-		w.must(t, w.proxy.Refuse())
+		fx.must(t, fx.proxy.Refuse())
 	case "mute":
-		w.must(t, w.proxy.Mute())
+		fx.must(t, fx.proxy.Mute())
 	case "admit":
-		w.must(t, w.proxy.Admit())
+		fx.must(t, fx.proxy.Admit())
 	case "refused":
-		w.dialFails(t, isRefused)
+		fx.dialFails(t, isRefused)
 	case "unanswered":
-		w.dialFails(t, os.IsTimeout)
-	case "late": // what was sent before comes now
-		w.read(t, f[1], nil, time.Minute)
+		fx.dialFails(t, os.IsTimeout)
+	case "late": // reads the echo of an earlier line
+		fx.read(t, fields[1], nil, time.Minute)
 	default:
-		t.Fatalf("unknown line %q", f)
+		t.Fatalf("unknown script line %q", fields)
 	}
 }
 
-// must ends the test at an error.
-func (w *world) must(t *testing.T, err error) {
+// must fails the test if there is an error.
+func (fx *fixture) must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// dialFails says how a connect fails.
-func (w *world) dialFails(t *testing.T, so func(error) bool) {
+// dialFails requires that a connect fails with an error that matches.
+func (fx *fixture) dialFails(t *testing.T, matches func(error) bool) {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", w.proxy.Addr(), quiet)
+	c, err := net.DialTimeout("tcp", fx.proxy.Addr(), silenceTimeout)
 	if err == nil {
 		_ = c.Close()
 	}
-	if op, ok := errors.AsType[*net.OpError](err); !ok || !so(op) {
-		t.Fatalf("a connect got %v", err)
+	if op, ok := errors.AsType[*net.OpError](err); !ok || !matches(op) {
+		t.Fatalf("a connect returned an unexpected error: %v", err)
 	}
 }
 
-// isRefused reports whether an error tells of a closed port.
+// isRefused reports whether an error says that the port is closed.
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 var directions = map[string]faultproxy.Direction{
 	"to-target": faultproxy.ToTarget, "from-target": faultproxy.FromTarget, "both": faultproxy.Both,
 }
 
-// expect sends a line and says what becomes of reading it back.
-func (w *world) expect(t *testing.T, name string, want error) {
+// expect writes a line and requires that reading its echo succeeds, or fails
+// with the error want.
+func (fx *fixture) expect(t *testing.T, name string, want error) {
 	t.Helper()
-	if _, err := io.WriteString(w.conns[name], "hello\n"); err != nil {
+	if _, err := io.WriteString(fx.conns[name], "hello\n"); err != nil {
 		if !errors.Is(err, want) {
 			t.Fatal(name, err)
 		}
-		return // the kernel tells of a reset once, here or below
+		return // the kernel reports a reset once: here, or at the read below
 	}
 	limit := time.Minute
 	if errors.Is(want, os.ErrDeadlineExceeded) {
-		limit = quiet
+		limit = silenceTimeout
 	}
-	w.read(t, name, want, limit)
+	fx.read(t, name, want, limit)
 }
 
-// read reads one line.
-func (w *world) read(t *testing.T, name string, want error, limit time.Duration) {
+// read reads one line and compares the line and the error with what is
+// expected.
+func (fx *fixture) read(t *testing.T, name string, want error, limit time.Duration) {
 	t.Helper()
-	c := w.conns[name]
+	c := fx.conns[name]
 	if err := c.SetReadDeadline(time.Now().Add(limit)); err != nil {
 		t.Fatal(name, err)
 	}
--- a/internal/faultproxy/mute_test.go
+++ b/internal/faultproxy/mute_test.go
@@ -8,25 +8,28 @@
 	"curlewsill.org/curlewsill/internal/faultproxy"
 )
 
-// TestMuteWhileAccepting mutes many proxies at the moment at which each accepts a connection.
-//
-// A connect to a muted proxy was answered, in 3 of 150 runs beside other load. An accept that was under way when Mute set the
-// listener's deadline took one connection more, and by then Mute had found the queue before it full: of 2,400 proxies that were muted right
-// after a connect 38 answered another one, with an empty queue, and had accepted one or two connections.
+// TestMuteWhileAccepting mutes many proxies at the moment when each accepts a
+// connection. It guards against a muted proxy that answers a connect: Mute had
+// filled the accept queue while an accept was still in flight, which then took
+// a connection from the queue and so made room for another one. This happened
+// in 3 of 150 runs under load. Of 2,400 proxies that were muted right after a
+// connect, 38 answered another one: their queues were empty, and they had
+// accepted one or two connections.
 func TestMuteWhileAccepting(t *testing.T) {
 	const proxies, rounds = 24, 12
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for range proxies {
-		all.Go(func() {
+		group.Go(func() {
 			for range rounds {
 				muteWhileAccepting(t)
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
-// muteWhileAccepting mutes a proxy right after a connect; the next one must go unanswered.
+// muteWhileAccepting mutes a proxy right after a connect and requires that the
+// next connect goes unanswered.
 func muteWhileAccepting(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +53,7 @@
 		t.Error(err)
 		return
 	}
-	c, err := net.DialTimeout("tcp", p.Addr(), quiet)
+	c, err := net.DialTimeout("tcp", p.Addr(), silenceTimeout)
 	if err == nil {
 		_ = c.Close()
 		t.Error("a muted proxy answered a connect")
--- a/internal/faultproxy/shut.go
+++ b/internal/faultproxy/shut.go
@@ -10,30 +10,34 @@
 )
 
 const (
-	// fillTime is how long a connect must go unanswered for the queue before the proxy to count as full.
-	fillTime = 30 * time.Millisecond
-	// mostFill bounds how many connections fill that queue; the kernel takes one more than it is told.
-	mostFill = 8
-	// admitTime is how long Admit tries to get a port back that another socket of this machine has taken.
-	admitTime = 2 * time.Second
-	// admitPause is the pause between two tries.
-	admitPause = 20 * time.Millisecond
-	// usualQueue is how many connections wait to be accepted while nothing is wrong.
-	usualQueue = 128
+	// fillTimeout is how long a connect must go unanswered to count as dropped
+	// by a full accept queue.
+	fillTimeout = 30 * time.Millisecond
+	// maxFillers bounds the connects that fill the accept queue; the kernel
+	// queues one connection more than the backlog says.
+	maxFillers = 8
+	// relistenTimeout is how long Admit tries to listen on its port again if
+	// another socket of this machine has taken it.
+	relistenTimeout = 2 * time.Second
+	// relistenInterval is the pause between two of these tries.
+	relistenInterval = 20 * time.Millisecond
+	// defaultBacklog is the length of the accept queue in normal operation.
+	defaultBacklog = 128
 )
 
-// errNotFull reports a queue that takes all connections.
+// errNotFull reports an accept queue that can't be filled.
 var errNotFull = errors.New("faultproxy: connects are still answered")
 
-// muting is one time of unanswered connects.
-type muting struct {
-	// idle is closed, once, when nothing is being accepted any more, ended when connects are answered again.
-	idle, ended chan struct{}
-	paused      sync.Once
+// mutePeriod is the time from a Mute to its end.
+type mutePeriod struct {
+	// acceptIdle is closed, once, when nothing is being accepted any more;
+	// ended is closed when connects are answered again.
+	acceptIdle, ended chan struct{}
+	idleOnce          sync.Once
 }
 
-// Refuse resets all connections and closes the port until Admit, so that connects are refused as by a
-// machine that runs while nothing listens there.
+// Refuse resets all connections and closes the port until Admit. Connects are
+// then refused, as by a machine that runs but has no listener there.
 func (p *Proxy) Refuse() error {
 	p.mu.Lock()
 	if p.refusing || p.closed {
@@ -51,38 +55,43 @@
 	return err
 }
 
-// Mute lets connects go unanswered until Admit, as by a machine that is off or behind a cut: nothing is
-// accepted, and the kernel drops what the full queue before the proxy can't take. Open connections go on.
+// Mute lets connects go unanswered until Admit, as for a machine that is off or
+// behind a network partition: nothing is accepted, and the kernel drops
+// connects that the full accept queue has no room for. Open connections aren't
+// affected.
 func (p *Proxy) Mute() error {
 	p.mu.Lock()
 	if p.refusing || p.closed || p.muted != nil {
 		p.mu.Unlock()
 		return nil
 	}
-	muted := &muting{idle: make(chan struct{}), ended: make(chan struct{})}
+	muted := &mutePeriod{acceptIdle: make(chan struct{}), ended: make(chan struct{})}
 	p.muted = muted
-	err := errors.Join(p.listener.SetDeadline(time.Unix(1, 0)), setQueue(p.listener, 0))
+	err := errors.Join(p.listener.SetDeadline(time.Unix(1, 0)), setBacklog(p.listener, 0))
 	p.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	// An accept that is under way may take one connection more: filled before, the queue would have room again.
+	// An accept that is in flight may take one more connection from the queue.
+	// If the queue was filled before that, it would have room again.
 	select {
-	case <-muted.idle:
+	case <-muted.acceptIdle:
 		return p.fill(muted)
 	case <-muted.ended:
 		return nil
 	}
 }
 
-// fill opens connections until one goes unanswered, or until the Mute that it is part of has ended. A connect may also go unanswered because this
-// machine is busy: only one that follows on a connection which waits in the queue shows that the queue is full, or else mostFill of them in a row.
-func (p *Proxy) fill(muted *muting) error {
-	waits := false
-	for range mostFill {
-		c, err := net.DialTimeout("tcp", p.address, fillTime)
-		if late, ok := errors.AsType[net.Error](err); ok && late.Timeout() {
-			if waits {
+// fill opens connections until one goes unanswered, or until its mute period
+// has ended. A connect may also go unanswered because this machine is busy.
+// Therefore an unanswered connect only shows a full queue if an earlier connect
+// was queued, or if maxFillers connects in a row go unanswered.
+func (p *Proxy) fill(muted *mutePeriod) error {
+	queued := false
+	for range maxFillers {
+		c, err := net.DialTimeout("tcp", p.address, fillTimeout)
+		if netErr, ok := errors.AsType[net.Error](err); ok && netErr.Timeout() {
+			if queued {
 				return nil
 			}
 			continue
@@ -93,31 +102,33 @@
 		if err != nil {
 			return fmt.Errorf("faultproxy: %w", err)
 		}
-		waits = true
+		queued = true
 	}
-	if waits {
+	if queued {
 		return errNotFull
 	}
 	return nil
 }
 
-// keepFiller keeps a connection that fills the queue; nil if it wasn't opened. It reports false, and closes it, if the
-// Mute that it belongs to has ended: the port may have been closed under it.
-func (p *Proxy) keepFiller(muted *muting, c net.Conn) bool {
+// keepFiller keeps a connection that fills the accept queue; c is nil if the
+// connect failed. If the mute period has ended it closes the connection and
+// reports false: a failed connect is no error then, because the port may have
+// been closed during it.
+func (p *Proxy) keepFiller(muted *mutePeriod, c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	mine := p.muted == muted
+	current := p.muted == muted
 	switch {
 	case c == nil:
-	case mine:
+	case current:
 		p.fillers = append(p.fillers, c)
 	default:
-		_ = c.Close() // it carried nothing
+		_ = c.Close() // no data was sent on it
 	}
-	return mine
+	return current
 }
 
-// Admit ends Refuse and Mute. The proxy listens at the same address as before.
+// Admit ends Refuse and Mute. The proxy listens on the same address as before.
 func (p *Proxy) Admit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,37 +151,38 @@
 // unmute ends Mute. The proxy is locked.
 func (p *Proxy) unmute() error {
 	for _, c := range p.fillers {
-		_ = c.Close() // it carried nothing
+		_ = c.Close() // no data was sent on it
 	}
 	p.fillers = nil
-	err := errors.Join(setQueue(p.listener, usualQueue), p.listener.SetDeadline(time.Time{}))
+	err := errors.Join(setBacklog(p.listener, defaultBacklog), p.listener.SetDeadline(time.Time{}))
 	close(p.muted.ended)
 	p.muted = nil
 	return err
 }
 
-// listenAgain listens at an address that was listened at before.
+// listenAgain listens on an address that the proxy has listened on before. It
+// retries until relistenTimeout.
 func listenAgain(address string) (*net.TCPListener, error) {
-	for end := time.Now().Add(admitTime); ; time.Sleep(admitPause) {
+	for deadline := time.Now().Add(relistenTimeout); ; time.Sleep(relistenInterval) {
 		l, err := listen(address)
-		if err == nil || time.Now().After(end) {
+		if err == nil || time.Now().After(deadline) {
 			return l, err
 		}
 	}
 }
 
-// setQueue sets how many connections may wait before a listener.
-func setQueue(l *net.TCPListener, n int) error {
+// setBacklog sets how many connections the accept queue of a listener holds.
+func setBacklog(l *net.TCPListener, n int) error {
 	c, err := l.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("faultproxy: %w", err)
 	}
-	var inner error
-	err = c.Control(func(fd uintptr) { inner = syscall.Listen(int(fd), n) })
-	return errors.Join(err, inner)
+	var listenErr error
+	err = c.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), n) })
+	return errors.Join(err, listenErr)
 }
 
-// SetTarget sets where connections that are opened from now on are carried.
+// SetTarget sets the target of connections that are accepted from now on.
 func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sitedemo/sitedemo.go
+++ b/internal/sitedemo/sitedemo.go
@@ -1,7 +1,8 @@
-// Package sitedemo shows the path on the users' platform in one process: entry hosts
-// with their listeners, and stand-ins of the store and the workers. One host dies and
-// the store refuses for a while; every job is to be completed, and every task to be
-// started once.
+// Package sitedemo runs the system against the users' platform in one process:
+// entry hosts with their listeners, and stand-ins of the store and the workers.
+// During the run one host is stopped and the store refuses all calls for a while.
+// Nevertheless every job must be completed, and every task must be started
+// exactly once.
 package sitedemo
 
 import (
@@ -27,23 +28,23 @@
 )
 
 // ErrIncomplete reports jobs that were not completed in time.
-var ErrIncomplete = errors.New("sitedemo: jobs were not completed")
+var ErrIncomplete = errors.New("sitedemo: jobs were not completed in time")
 
-// The size of the trial.
+// The parameters of the run.
 const (
-	hostCount    = 3
-	workerCount  = 4
-	jobCount     = 40
-	tasksOfAJob  = 3
-	taskTime     = 100 * time.Millisecond
-	storeRefuses = time.Second
-	// patience is how long the whole trial may take.
-	patience = time.Minute
-	// lookEvery is the pause between two calls that ask for the same.
-	lookEvery = 50 * time.Millisecond
+	hostCount   = 3
+	workerCount = 4
+	jobCount    = 40
+	tasksPerJob = 3
+	taskTime    = 100 * time.Millisecond
+	storeOutage = time.Second
+	// runTimeout bounds the whole run.
+	runTimeout = time.Minute
+	// pollInterval is the pause between two attempts of the same call.
+	pollInterval = 50 * time.Millisecond
 )
 
-// Report is what the trial has shown.
+// Report is the result of a run.
 type Report struct {
 	Jobs      int           `json:"jobs"`
 	Completed int           `json:"completed"`
@@ -53,18 +54,18 @@
 	Took      time.Duration `json:"took"`
 }
 
-// site is the trial's hosts and stand-ins.
+// site holds the entry hosts and the stand-ins of a run.
 type site struct {
 	store   *standin.Store
 	workers []*standin.Worker
 	hosts   []*entry.Host
-	stops   []context.CancelFunc
+	cancels []context.CancelFunc
 	closers []func()
 }
 
-// Run plays the trial and tells its steps on progress.
+// Run carries out the demo and reports its steps on progress.
 func Run(ctx context.Context, progress io.Writer) (Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	began := time.Now()
 	s := &site{store: standin.NewStore()}
@@ -72,23 +73,23 @@
 	if err := s.start(ctx); err != nil {
 		return Report{}, err
 	}
-	say := func(text string) { fmt.Fprintln(progress, text) }
-	say("hosts, workers and the store are up; jobs are handed in")
+	printStep := func(text string) { fmt.Fprintln(progress, text) }
+	printStep("the hosts, the workers and the store are running; submitting jobs")
 	for i := range jobCount {
 		switch i {
 		case jobCount / 4:
-			s.stops[0]()
-			say("one host has died")
+			s.cancels[0]()
+			printStep("one host has been stopped")
 		case jobCount / 2:
 			s.store.SetFault(standin.FaultBusy)
-			time.AfterFunc(storeRefuses, func() { s.store.SetFault(standin.FaultNone) })
-			say("the store refuses everything for a while")
+			time.AfterFunc(storeOutage, func() { s.store.SetFault(standin.FaultNone) })
+			printStep("the store refuses all calls for a while")
 		}
 		if err := s.submit(ctx, i); err != nil {
 			return Report{}, err
 		}
 	}
-	rep := Report{Jobs: jobCount, Tasks: jobCount * tasksOfAJob}
+	rep := Report{Jobs: jobCount, Tasks: jobCount * tasksPerJob}
 	for i := range jobCount {
 		if err := s.await(ctx, i); err != nil {
 			return rep, err
@@ -145,60 +146,60 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	s.hosts, s.stops = append(s.hosts, h), append(s.stops, cancel)
+	s.hosts, s.cancels = append(s.hosts, h), append(s.cancels, cancel)
 	go func() { _ = h.Run(ctx) }()
 	return nil
 }
 
 func (s *site) close() {
-	for _, stop := range s.stops {
-		stop()
+	for _, cancel := range s.cancels {
+		cancel()
 	}
 	for _, c := range s.closers {
 		c()
 	}
 }
 
-// submit hands a job in until it is taken, each time at another host, as a balancer
-// would.
+// submit submits a job until a host accepts it. Each attempt goes to another
+// host, as through a load balancer.
 func (s *site) submit(ctx context.Context, n int) error {
-	for try := n; ; try++ {
-		status, _ := s.call(ctx, try, http.MethodPost, n, standin.JobBody(tasksOfAJob, "trial"))
+	for attempt := n; ; attempt++ {
+		status, _ := s.call(ctx, attempt, http.MethodPost, n, standin.JobBody(tasksPerJob, "trial"))
 		if status == http.StatusOK {
 			return nil
 		}
-		if err := wait(ctx, n); err != nil {
+		if err := waitToRetry(ctx, n); err != nil {
 			return err
 		}
 	}
 }
 
-// await asks for a job until it is completed.
+// await polls a job until it is completed.
 func (s *site) await(ctx context.Context, n int) error {
-	for try := n; ; try++ {
-		_, state := s.call(ctx, try, http.MethodGet, n, nil)
+	for attempt := n; ; attempt++ {
+		_, state := s.call(ctx, attempt, http.MethodGet, n, nil)
 		if state == "completed" {
 			return nil
 		}
-		if err := wait(ctx, n); err != nil {
+		if err := waitToRetry(ctx, n); err != nil {
 			return err
 		}
 	}
 }
 
-func wait(ctx context.Context, n int) error {
+func waitToRetry(ctx context.Context, n int) error {
 	select {
 	case <-ctx.Done():
 		return fmt.Errorf("%w: job %d", ErrIncomplete, n)
-	case <-time.After(lookEvery):
+	case <-time.After(pollInterval):
 		return nil
 	}
 }
 
-// call makes a client's call about job n and returns the status, 0 for no answer, and
-// the state that the answer shows.
-func (s *site) call(ctx context.Context, try int, method string, n int, body []byte) (int, string) {
-	url := fmt.Sprintf("http://%s%s%016x", s.hosts[try%hostCount].Callers(), standin.SitePrefix, n+1)
+// call makes a client's call about job n. It returns the HTTP status, 0 if
+// there was no answer, and the job state in the answer.
+func (s *site) call(ctx context.Context, attempt int, method string, n int, body []byte) (int, string) {
+	url := fmt.Sprintf("http://%s%s%016x", s.hosts[attempt%hostCount].Callers(), standin.SitePrefix, n+1)
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, ""
@@ -207,7 +208,7 @@
 	req.Header.Set("Authorization", "Bearer "+standin.SiteKey)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, "" // a host that has died; the next try goes to another one
+		return 0, "" // the host has been stopped; the next attempt goes to another one
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var out struct{ State string }
--- a/internal/sitedemo/sitedemo_test.go
+++ b/internal/sitedemo/sitedemo_test.go
@@ -7,7 +7,8 @@
 	"curlewsill.org/curlewsill/internal/sitedemo"
 )
 
-// TestRun plays the trial: all jobs are completed, and each task is started once.
+// TestRun runs the demo: all jobs must be completed, and each task must be
+// started exactly once.
 func TestRun(t *testing.T) {
 	rep, err := sitedemo.Run(t.Context(), io.Discard)
 	if err != nil {
--- a/internal/standin/backendsvc/backendsvc.go
+++ b/internal/standin/backendsvc/backendsvc.go
@@ -1,6 +1,7 @@
-// Package backendsvc is a stand-in of a service's backend servers, for trials and
-// tests. Each listens on a port of its own, has a number of slots, and keeps a ledger
-// of what it ran. It can be told to misbehave at any time.
+// Package backendsvc is a stand-in of a service's backend servers, for trials
+// and tests. Each server listens on its own port and has a fixed number of
+// slots. A ledger counts what the servers have run. Each server can be made to
+// misbehave at any time.
 package backendsvc
 
 import (
@@ -18,45 +19,46 @@
 )
 
 const (
-	// LedgerPath takes GET and answers with the Ledger of all backend servers.
+	// LedgerPath answers GET with the Ledger of all backend servers.
 	LedgerPath = "/v1/ledger"
-	// FaultsPath takes PUT of Faults.
+	// FaultsPath accepts PUT of Faults.
 	FaultsPath = "/v1/faults"
-	// TagHeader names a request for the ledger; a load tool sets it.
+	// TagHeader names a request in the ledger; the load generator sets it.
 	TagHeader = "Load-Tag"
-	// SumHeader carries a checksum of the request's body in the answer.
+	// SumHeader carries the checksum of the request's body in the answer.
 	SumHeader = "Body-Sum"
 )
 
-// Mode is how a backend server misbehaves.
+// Mode is a way in which a backend server misbehaves.
 type Mode string
 
 // The modes.
 const (
-	Fine Mode = ""
+	NoFault Mode = ""
 	// Fail answers with status 500.
 	Fail Mode = "fail"
-	// Cut ends the connection in the middle of the answer.
+	// Cut closes the connection in the middle of the answer.
 	Cut Mode = "cut"
-	// Hang runs the request and answers nothing.
+	// Hang runs the request and never answers.
 	Hang Mode = "hang"
-	// Leave refuses because it is about to stop; Refuse because it has no slot.
+	// Leave refuses requests as a server does that is about to stop, Refuse as
+	// one that has no free slot.
 	Leave  Mode = "leave"
 	Refuse Mode = "refuse"
 )
 
-// Faults tells one backend server, by its place in the list, or all with -1, what to
-// do wrong.
+// Faults sets how one backend server misbehaves, or all of them. Backend is the
+// server's index in Addresses, or -1 for all.
 type Faults struct {
 	Backend int           `json:"backend"`
 	Mode    Mode          `json:"mode"`
 	Delay   time.Duration `json:"delay"`
 }
 
-// Ledger counts executions by tag.
+// Ledger counts executions by the requests' tags.
 type Ledger struct {
 	Runs map[string]int `json:"runs"`
-	// Overbooked counts requests that came when all slots were taken.
+	// Overbooked counts requests that arrived while all slots were taken.
 	Overbooked int `json:"overbooked"`
 }
 
@@ -65,16 +67,16 @@
 	slots int
 	work  time.Duration
 
-	mu      sync.Mutex
-	faults  []Faults
-	busy    []int
-	ledger  Ledger
-	servers []*http.Server
-	addrs   []string
+	mu        sync.Mutex
+	faults    []Faults
+	busy      []int
+	ledger    Ledger
+	servers   []*http.Server
+	addresses []string
 }
 
-// New returns n backend servers with the given number of slots, each of whose
-// requests takes the time work. They listen at once, on loopback.
+// New returns n backend servers that listen on loopback ports. Each has the
+// given number of slots and takes the time work for a request.
 func New(n, slots int, work time.Duration) (*Service, error) {
 	s := &Service{
 		slots: slots, work: work, faults: make([]Faults, n), busy: make([]int, n),
@@ -91,26 +93,27 @@
 			ReadHeaderTimeout: time.Minute,
 		}
 		s.servers = append(s.servers, srv)
-		s.addrs = append(s.addrs, l.Addr().String())
+		s.addresses = append(s.addresses, l.Addr().String())
 		go func() { _ = srv.Serve(l) }()
 	}
 	return s, nil
 }
 
-// Addresses returns where the backend servers listen.
-func (s *Service) Addresses() []string { return s.addrs }
+// Addresses returns the addresses of the backend servers.
+func (s *Service) Addresses() []string { return s.addresses }
 
-// Close ends all backend servers at once.
+// Close closes all backend servers immediately.
 func (s *Service) Close() {
 	for _, srv := range s.servers {
 		_ = srv.Close()
 	}
 }
 
-// CloseOne ends one backend server at once.
-func (s *Service) CloseOne(i int) { _ = s.servers[i].Close() }
+// CloseServer closes one backend server immediately.
+func (s *Service) CloseServer(i int) { _ = s.servers[i].Close() }
 
-// SetFaults makes backend servers misbehave from now on.
+// SetFaults sets how one backend server, or all of them, misbehaves from now
+// on.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +124,7 @@
 	}
 }
 
-// Ledger returns a copy of what was run.
+// Ledger returns a copy of the ledger.
 func (s *Service) Ledger() Ledger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +135,7 @@
 	return out
 }
 
-// serve is one request at one backend server.
+// serve answers one request to one backend server.
 func (s *Service) serve(i int, w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case LedgerPath:
@@ -140,7 +143,7 @@
 		_ = json.NewEncoder(w).Encode(s.Ledger())
 		return
 	case FaultsPath:
-		s.takeFaults(w, r)
+		s.putFaults(w, r)
 		return
 	case edge.HealthPath:
 		if s.mode(i) == Leave {
@@ -148,22 +151,22 @@
 		}
 		return
 	}
-	f, ok := s.enter(i)
+	f, ok := s.acquireSlot(i)
 	if !ok || f.Mode == Leave || f.Mode == Refuse {
 		refuse(w, f.Mode)
 		return
 	}
-	defer s.leave(i)
+	defer s.releaseSlot(i)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	s.note(r.Header.Get(TagHeader))
-	s.run(i, w, r, f, body)
+	s.countRun(r.Header.Get(TagHeader))
+	s.answer(i, w, r, f, body)
 }
 
-// run does the work of a request and answers.
-func (s *Service) run(i int, w http.ResponseWriter, r *http.Request, f Faults, body []byte) {
+// answer does the work of a request and answers it.
+func (s *Service) answer(i int, w http.ResponseWriter, r *http.Request, f Faults, body []byte) {
 	time.Sleep(s.work + f.Delay)
 	h := w.Header()
 	h.Set(edge.RequestHeader, r.Header.Get(edge.RequestHeader))
@@ -184,18 +187,20 @@
 	}
 }
 
-func refuse(w http.ResponseWriter, m Mode) {
-	why := "busy"
-	if m == Leave {
-		why = "leaving"
+// refuse answers that the request was not run, and why.
+func refuse(w http.ResponseWriter, mode Mode) {
+	reason := "busy"
+	if mode == Leave {
+		reason = "leaving"
 	}
 	w.Header().Set(edge.RanHeader, "no")
-	w.Header().Set(edge.RefusalHeader, why)
+	w.Header().Set(edge.RefusalHeader, reason)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// enter takes a slot if there is one.
-func (s *Service) enter(i int) (Faults, bool) {
+// acquireSlot takes a slot of a server. It reports false if all slots are taken
+// or the server's fault is to refuse requests.
+func (s *Service) acquireSlot(i int) (Faults, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.faults[i]
@@ -210,7 +215,7 @@
 	return f, true
 }
 
-func (s *Service) leave(i int) {
+func (s *Service) releaseSlot(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy[i]--
@@ -222,13 +227,15 @@
 	return s.faults[i].Mode
 }
 
+// load returns how many other requests a server is running, besides the one
+// that asks.
 func (s *Service) load(i int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.busy[i] - 1
 }
 
-func (s *Service) note(tag string) {
+func (s *Service) countRun(tag string) {
 	if tag == "" {
 		return
 	}
@@ -237,7 +244,7 @@
 	s.ledger.Runs[tag]++
 }
 
-func (s *Service) takeFaults(w http.ResponseWriter, r *http.Request) {
+func (s *Service) putFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -1,5 +1,5 @@
 // Package logsvc is a stand-in of the platform's log service and host list, for
-// trials and tests. It keeps everything in memory and can be told to fail.
+// trials and tests. It keeps everything in memory and can be made to fail.
 package logsvc
 
 import (
@@ -22,39 +22,41 @@
 	"curlewsill.org/curlewsill/internal/platform/wire"
 )
 
-// FaultsPath takes PUT of Faults.
+// FaultsPath accepts PUT of Faults.
 const FaultsPath = "/v1/faults"
 
 const (
-	// appendRate and appendBurst are what the platform's log takes, per second.
+	// appendRate and appendBurst limit the appends per second as the platform's
+	// log does.
 	appendRate  = 100
 	appendBurst = 20
 	maxWait     = 30 * time.Second
-	// hostExpiry is how long an entry host stays listed without an announcement.
+	// hostExpiry is how long an entry host stays listed after its last
+	// announcement.
 	hostExpiry = 10 * time.Second
 )
 
-// Mode is how the service misbehaves.
+// Mode is a way in which the service misbehaves.
 type Mode string
 
 // The modes.
 const (
-	// Fine answers everything.
-	Fine Mode = ""
-	// Refuse answers every call with an error, and does nothing.
+	// NoFault answers every call.
+	NoFault Mode = ""
+	// Refuse answers every call with an error and does nothing.
 	Refuse Mode = "refuse"
-	// Hang lets every call wait until the caller gives up.
+	// Hang never answers: each call ends when the caller gives up.
 	Hang Mode = "hang"
-	// Lose appends, and answers that it failed.
+	// Lose appends the record but answers that the append failed.
 	Lose Mode = "lose"
 )
 
-// Faults is what the service is told to do wrong.
+// Faults sets how the service misbehaves.
 type Faults struct {
 	Mode Mode `json:"mode"`
 	// Delay is added to every call.
 	Delay time.Duration `json:"delay"`
-	// Keep, if above 0, drops all but so many of the newest records now.
+	// Keep, if above 0, drops all but that many of the newest records at once.
 	Keep int `json:"keep"`
 }
 
@@ -64,30 +66,32 @@
 	limit *rate.Limiter
 	lag   time.Duration
 
-	mu     sync.Mutex
-	log    *log.Log
-	news   chan struct{}
-	faults Faults
-	hosts  map[string]listed
-	// calls counts the appends that took effect.
+	mu       sync.Mutex
+	log      *log.Log
+	appended chan struct{}
+	faults   Faults
+	hosts    map[string]listing
+	// appends counts the appends that took effect.
 	appends int
 }
 
-type listed struct {
+// listing is an announcement in the host list, and the times from and until
+// which the list shows it.
+type listing struct {
 	wire.Announcement
-	since, until time.Time
+	visibleAt, expiresAt time.Time
 }
 
-// New returns a service that keeps so many records. Its host list shows what it is
-// told only after lag.
+// New returns a service that keeps the given number of records. Its host list
+// shows an announcement only after lag.
 func New(keep int, lag time.Duration) *Service {
 	s := &Service{
 		app: iris.New(), limit: rate.NewLimiter(appendRate, appendBurst), lag: lag,
-		log: log.New(keep), news: make(chan struct{}), hosts: map[string]listed{},
+		log: log.New(keep), appended: make(chan struct{}), hosts: map[string]listing{},
 	}
 	s.app.Logger().SetLevel("disable")
-	s.app.Post(wire.RecordsPath, iris.FromStd(s.faulty(s.append)))
-	s.app.Get(wire.RecordsPath, iris.FromStd(s.faulty(s.read)))
+	s.app.Post(wire.RecordsPath, iris.FromStd(s.withFaults(s.append)))
+	s.app.Get(wire.RecordsPath, iris.FromStd(s.withFaults(s.read)))
 	s.app.Get(wire.HostsPath, iris.FromStd(s.list))
 	s.app.Put(wire.HostsPath+"/{name}", s.announce)
 	s.app.Put(FaultsPath, iris.FromStd(s.setFaults))
@@ -107,7 +111,7 @@
 	return s.appends
 }
 
-// SetFaults makes the service misbehave from now on.
+// SetFaults sets how the service misbehaves from now on.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,13 +130,13 @@
 	s.SetFaults(f)
 }
 
-// faulty applies the faults that concern every call.
-func (s *Service) faulty(next http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the faults that affect every call to a handler.
+func (s *Service) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.faults
 		s.mu.Unlock()
-		pause(r.Context(), f.Delay)
+		sleep(r.Context(), f.Delay)
 		switch f.Mode {
 		case Refuse:
 			http.Error(w, "outage", http.StatusServiceUnavailable)
@@ -144,15 +148,16 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until the context is done.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
@@ -169,11 +174,11 @@
 	s.mu.Lock()
 	off := s.log.Append(raw)
 	s.appends++
-	close(s.news)
-	s.news = make(chan struct{})
-	lose := s.faults.Mode == Lose
+	close(s.appended)
+	s.appended = make(chan struct{})
+	loseAnswer := s.faults.Mode == Lose
 	s.mu.Unlock()
-	if lose {
+	if loseAnswer {
 		http.Error(w, "the answer was lost", http.StatusServiceUnavailable)
 		return
 	}
@@ -181,35 +186,39 @@
 }
 
 func (s *Service) read(w http.ResponseWriter, r *http.Request) {
-	from := id.Offset(number(r, "from", 1))
-	limit := int(min(number(r, "limit", 128), 1024))
-	wait := min(time.Duration(number(r, "wait_ms", 0))*time.Millisecond, maxWait)
-	t := time.NewTimer(wait)
-	defer t.Stop()
+	from := id.Offset(queryNumber(r, "from", 1))
+	limit := int(min(queryNumber(r, "limit", 128), 1024))
+	wait := min(time.Duration(queryNumber(r, "wait_ms", 0))*time.Millisecond, maxWait)
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for expired := false; ; {
-		out, news := s.peek(from, limit)
-		if len(out.Records) > 0 || expired {
-			writeJSON(w, out)
+		batch, appended := s.readNow(from, limit)
+		if len(batch.Records) > 0 || expired {
+			writeJSON(w, batch)
 			return
 		}
 		select {
 		case <-r.Context().Done():
 			return
-		case <-t.C:
+		case <-timer.C:
 			expired = true
-		case <-news:
+		case <-appended:
 		}
 	}
 }
 
-func (s *Service) peek(from id.Offset, limit int) (wire.Records, chan struct{}) {
+// readNow returns the records from an offset on without waiting, and a channel
+// that is closed at the next append.
+func (s *Service) readNow(from id.Offset, limit int) (wire.Records, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first, raw := s.log.Read(from, limit)
-	return wire.Records{First: first, Head: s.log.Head(), Oldest: s.log.Oldest(), Records: raw}, s.news
+	return wire.Records{First: first, Head: s.log.Head(), Oldest: s.log.Oldest(), Records: raw}, s.appended
 }
 
-func number(r *http.Request, key string, def uint64) uint64 {
+// queryNumber returns a number in the query of a request, or def if it is
+// missing or invalid.
+func queryNumber(r *http.Request, key string, def uint64) uint64 {
 	n, err := strconv.ParseUint(r.URL.Query().Get(key), 10, 63)
 	if err != nil {
 		return def
@@ -226,11 +235,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := c.Params().Get("name")
-	l := listed{Announcement: a, since: time.Now().Add(s.lag), until: time.Now().Add(hostExpiry)}
+	announced := listing{Announcement: a, visibleAt: time.Now().Add(s.lag), expiresAt: time.Now().Add(hostExpiry)}
 	if old, ok := s.hosts[name]; ok && a.Entry != nil {
-		l.since = old.since
+		announced.visibleAt = old.visibleAt
 	}
-	s.hosts[name] = l
+	s.hosts[name] = announced
 }
 
 func (s *Service) list(w http.ResponseWriter, _ *http.Request) {
@@ -239,13 +248,13 @@
 	now := time.Now()
 	out := wire.Hosts{Services: map[id.Service][]wire.Backend{}}
 	for _, name := range config.Sorted(s.hosts) {
-		l := s.hosts[name]
+		announced := s.hosts[name]
 		switch {
-		case now.Before(l.since):
-		case l.Entry != nil && now.Before(l.until):
-			out.Entry = append(out.Entry, *l.Entry)
-		case l.Entry == nil:
-			out.Services[l.Service] = l.Backends
+		case now.Before(announced.visibleAt):
+		case announced.Entry != nil && now.Before(announced.expiresAt):
+			out.Entry = append(out.Entry, *announced.Entry)
+		case announced.Entry == nil:
+			out.Services[announced.Service] = announced.Backends
 		}
 	}
 	writeJSON(w, out)
--- a/internal/standin/workersvc/workersvc.go
+++ b/internal/standin/workersvc/workersvc.go
@@ -1,6 +1,6 @@
-// Package workersvc is a stand-in of the platform's workers, for trials and tests:
-// fake workers behind one HTTP address. A task's command says how it behaves, as in
-// "run 5s" or "crash 1s".
+// Package workersvc is a stand-in of the platform's workers, for trials and
+// tests: fake workers behind one HTTP address. The command of a task says how
+// it behaves, as in "run 5s" or "crash 1s".
 package workersvc
 
 import (
@@ -19,19 +19,20 @@
 )
 
 const (
-	// LedgerPath takes GET and answers with the Ledger.
+	// LedgerPath answers GET with the Ledger.
 	LedgerPath = "/v1/ledger"
-	// FaultsPath takes PUT of Faults.
+	// FaultsPath accepts PUT of Faults.
 	FaultsPath = "/v1/faults"
 )
 
-// defaultRun is how long a task runs whose command says nothing else.
+// defaultRun is how long a task runs whose command has no valid duration.
 const defaultRun = time.Second
 
-// accelerators is how many a worker has at most.
+// accelerators is the capacity of each worker.
 const accelerators = 64
 
-// Start is one opening of a gate.
+// Start records that a worker has opened the gate of a job's task, which starts
+// it.
 type Start struct {
 	Worker id.Worker `json:"worker"`
 	Job    id.Job    `json:"job"`
@@ -41,13 +42,13 @@
 // Ledger lists what the workers ran.
 type Ledger struct {
 	Starts []Start `json:"starts"`
-	// Ends counts task ends by state.
+	// Ends counts the ends of tasks by their state.
 	Ends map[worker.TaskState]int `json:"ends"`
 }
 
-// Faults is what some workers are told to do wrong.
+// Faults sets which workers misbehave, and how.
 type Faults struct {
-	// Silent workers answer nothing; Faulty ones crash every task.
+	// Silent workers never answer; Faulty workers crash every task.
 	Silent []id.Worker `json:"silent"`
 	Faulty []id.Worker `json:"faulty"`
 }
@@ -64,7 +65,8 @@
 	ledger  Ledger
 }
 
-// New returns a service without workers; each is there once it is first synced.
+// New returns a service without workers; each worker is created at its first
+// sync.
 func New() *Service {
 	s := &Service{
 		app: iris.New(), began: time.Now(), workers: map[id.Worker]*fake.Worker{},
@@ -84,7 +86,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.app.ServeHTTP(w, r) }
 
-// Ledger returns a copy of what the workers ran.
+// Ledger returns a copy of the ledger.
 func (s *Service) Ledger() Ledger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +97,8 @@
 	return out
 }
 
-// SetFaults makes some workers misbehave from now on, and the others not.
+// SetFaults replaces the faults of all workers: the ones that aren't named
+// behave well from now on.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,8 +113,8 @@
 }
 
 func (s *Service) sync(c iris.Context) {
-	var q worker.Sync
-	if err := c.ReadJSON(&q); err != nil {
+	var request worker.Sync
+	if err := c.ReadJSON(&request); err != nil {
 		c.StopWithError(http.StatusBadRequest, err)
 		return
 	}
@@ -122,9 +125,9 @@
 		<-c.Request().Context().Done()
 		return
 	}
-	rep := s.worker(name).Sync(time.Since(s.began), q)
+	report := s.worker(name).Sync(time.Since(s.began), request)
 	s.mu.Unlock()
-	_ = c.JSON(rep)
+	_ = c.JSON(report)
 }
 
 func (s *Service) worker(name id.Worker) *fake.Worker {
@@ -143,7 +146,7 @@
 	return w
 }
 
-// plan reads a task's command.
+// plan parses a task's command.
 func plan(t worker.Want) fake.Run {
 	verb, arg, _ := strings.Cut(t.Command, " ")
 	d, err := time.ParseDuration(arg)
