--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -198,19 +198,19 @@
 	p.mu.Lock()
 	address := p.target
 	p.mu.Unlock()
-	upstream, err := net.Dial("tcp", address)
+	target, err := net.Dial("tcp", address)
 	if err != nil {
 		resetConn(client)
 		return
 	}
-	c := &conn{proxy: p, client: client, target: upstream}
+	c := &conn{proxy: p, client: client, target: target}
 	if !p.add(c) {
 		c.reset()
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { c.forward(upstream, client, ToTarget) })
-	both.Go(func() { c.forward(client, upstream, FromTarget) })
+	both.Go(func() { c.forward(target, client, ToTarget) })
+	both.Go(func() { c.forward(client, target, FromTarget) })
 	both.Wait()
 	p.remove(c)
 }
