--- a/internal/demo/bench_test.go
+++ b/internal/demo/bench_test.go
@@ -79,6 +79,6 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		d.InForce(b.Context(), off)
+		d.AwaitInForce(b.Context(), off)
 	}
 }
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -150,14 +150,14 @@
 			continue
 		}
 		rep.Changes++
-		rep.InForce = max(rep.InForce, d.InForce(ctx, off))
+		rep.InForce = max(rep.InForce, d.AwaitInForce(ctx, off))
 	}
 	return nil
 }
 
-// InForce waits until every host has the configuration at an offset, and
+// AwaitInForce waits until every host has the configuration at an offset, and
 // returns how long that took.
-func (d *Demo) InForce(ctx context.Context, off id.Offset) time.Duration {
+func (d *Demo) AwaitInForce(ctx context.Context, off id.Offset) time.Duration {
 	began := time.Now()
 	for _, c := range d.clients {
 		for ctx.Err() == nil {
