--- a/core/fake/log/log.go
+++ b/core/fake/log/log.go
@@ -1,37 +1,41 @@
-// Package log is the platform's append-only log for tests and stand-ins, in memory.
+// Package log is an in-memory fake of the platform's append-only log, for tests
+// and stand-ins.
 package log
 
 import "curlewsill.org/curlewsill/core/id"
 
-// Log is an append-only log that keeps a limited number of records. It is not safe
-// for concurrent use.
+// Log is an append-only log that keeps a limited number of records. It is not
+// safe for concurrent use.
 type Log struct {
-	// records holds the kept records; the first has offset oldest.
+	// records holds the retained records; the first one has offset oldest.
 	records [][]byte
 	oldest  id.Offset
-	keep    int
+	// keep is the maximum number of retained records.
+	keep int
 }
 
-// New returns an empty log that keeps the last keep records.
+// New returns an empty log that retains the newest keep records.
 func New(keep int) *Log { return &Log{oldest: 1, keep: keep} }
 
-// Append adds a record and returns its offset.
+// Append adds a record and returns its offset. It drops the oldest record when
+// more than the maximum are retained.
 func (l *Log) Append(raw []byte) id.Offset {
 	l.records = append(l.records, raw)
-	if drop := len(l.records) - l.keep; drop > 0 {
-		l.records = append([][]byte(nil), l.records[drop:]...)
-		l.oldest += id.Offset(drop)
+	if excess := len(l.records) - l.keep; excess > 0 {
+		l.records = append([][]byte(nil), l.records[excess:]...)
+		l.oldest += id.Offset(excess)
 	}
 	return l.Head()
 }
 
-// Head returns the offset of the newest record; 0 if there never was one.
+// Head returns the offset of the newest record, or 0 if none was ever appended.
 func (l *Log) Head() id.Offset { return l.oldest + id.Offset(len(l.records)) - 1 }
 
-// Oldest returns the offset of the oldest record that is kept.
+// Oldest returns the offset of the oldest retained record, or the offset that the
+// next record will get if the log is empty.
 func (l *Log) Oldest() id.Offset { return l.oldest }
 
-// Forget drops all records before off.
+// Forget drops all records with an offset below off.
 func (l *Log) Forget(off id.Offset) {
 	for l.oldest < off && len(l.records) > 0 {
 		l.records = l.records[1:]
@@ -39,13 +43,14 @@
 	}
 }
 
-// Read returns up to limit records from offset from on, or from the oldest one kept
-// if from was forgotten, with the offset of the first.
+// Read returns up to limit records that begin at offset from, and the offset of
+// the first one. If from was dropped already, it begins at the oldest retained
+// record.
 func (l *Log) Read(from id.Offset, limit int) (id.Offset, [][]byte) {
 	from = max(from, l.oldest)
 	if from > l.Head() {
 		return from, nil
 	}
-	part := l.records[from-l.oldest:]
-	return from, part[:min(limit, len(part))]
+	available := l.records[from-l.oldest:]
+	return from, available[:min(limit, len(available))]
 }
--- a/core/fake/worker/worker.go
+++ b/core/fake/worker/worker.go
@@ -1,5 +1,6 @@
-// Package worker is a worker for tests and stand-ins. It keeps to the rules of
-// core/worker and runs nothing: a task is a time until it exits.
+// Package worker is a fake worker for tests and stand-ins. It implements the
+// protocol of core/worker but executes nothing: a task exits or crashes after a
+// given time.
 package worker
 
 import (
@@ -14,7 +15,7 @@
 	"curlewsill.org/curlewsill/core/worker"
 )
 
-// event is an event of the task's chart.
+// event is an event of the state chart of a task.
 type event string
 
 const (
@@ -27,24 +28,26 @@
 
 var taskChart = chart.MustParse[worker.TaskState, event]("task.chart", charts.Read("task"))
 
-// Run says how a task behaves once its gate is open.
+// Run describes how a task behaves once its gate is open.
 type Run struct {
-	// For is how long it runs.
+	// For is the time that the task runs.
 	For time.Duration
-	// Crash makes it end with an error.
+	// Crash makes the task end as crashed instead of exited.
 	Crash bool
 }
 
-// Hooks connect a worker with its surroundings. Each may be nil.
+// Hooks are callbacks of a worker. Each may be nil.
 type Hooks struct {
-	// Plan says how a task will behave.
+	// Plan returns how a task will behave. By default it exits after a second.
 	Plan func(worker.Want) Run
-	// Started is told when a gate opens and Ended when a task ends.
+	// Started is called when the gate of a task opens, and Ended when a task
+	// ends.
 	Started func(id.Job, id.Lease)
 	Ended   func(id.Job, id.Lease, worker.TaskState)
 }
 
-type name struct {
+// taskKey identifies a task on one worker.
+type taskKey struct {
 	job   id.Job
 	lease id.Lease
 }
@@ -52,187 +55,202 @@
 type task struct {
 	want  worker.Want
 	state worker.TaskState
-	// until is the end of the lease and done the end of the run.
-	until, done time.Duration
-	// ended is when the task ended.
-	ended time.Duration
-	run   Run
+	// leaseEnd is when the lease expires, and runEnd when the task exits or
+	// crashes.
+	leaseEnd, runEnd time.Duration
+	// endedAt is when the task ended, if it has.
+	endedAt time.Duration
+	run     Run
 }
 
-// remember is how long an ended task is reported and not created again.
-const remember = time.Minute
+// endedRetention is how long the worker keeps an ended task: until then it
+// reports the task and doesn't create it again.
+const endedRetention = time.Minute
 
 // Worker is one fake worker. It is not safe for concurrent use.
 type Worker struct {
-	id     id.Worker
-	life   uint64
-	hooks  Hooks
-	free   uint64
-	epoch  id.Epoch
-	seq    id.Seq
-	tasks  map[name]*task
-	clock  time.Duration
-	faulty bool
-	// base is the last whole list that was taken, and told what was reported then.
-	base id.Seq
-	told map[name]worker.TaskState
-}
-
-// New returns a worker with the given number of accelerators, in its life'th life.
-func New(w id.Worker, accelerators int, life uint64, h Hooks) *Worker {
+	id          id.Worker
+	incarnation uint64
+	hooks       Hooks
+	freeMask    uint64
+	epoch       id.Epoch
+	seq         id.Seq
+	tasks       map[taskKey]*task
+	clock       time.Duration
+	faulty      bool
+	// base is the number of the last sync with a whole list that was applied, and
+	// reported holds the task states in the answer to it.
+	base     id.Seq
+	reported map[taskKey]worker.TaskState
+}
+
+// New returns a worker with the given number of accelerators. Each restart of a
+// worker needs a new incarnation number.
+func New(w id.Worker, accelerators int, incarnation uint64, h Hooks) *Worker {
 	if h.Plan == nil {
 		h.Plan = func(worker.Want) Run { return Run{For: time.Second} }
 	}
-	free := uint64(1)<<accelerators - 1
-	return &Worker{id: w, life: life, hooks: h, free: free, tasks: map[name]*task{}}
+	freeMask := uint64(1)<<accelerators - 1
+	return &Worker{id: w, incarnation: incarnation, hooks: h, freeMask: freeMask, tasks: map[taskKey]*task{}}
 }
 
-// Break makes every task that starts from now on crash at once.
+// Break sets whether each task that starts from now on crashes at once.
 func (w *Worker) Break(faulty bool) { w.faulty = faulty }
 
-// Advance moves the worker's clock on and ends what is due.
+// Advance sets the worker's clock and ends the tasks whose lease or run ends by
+// then. It also drops tasks that ended more than endedRetention ago.
 func (w *Worker) Advance(clock time.Duration) {
 	w.clock = clock
-	for _, n := range w.names() {
+	for _, n := range w.sortedKeys() {
 		t := w.tasks[n]
 		switch {
-		case t.state.Ended() && clock-t.ended > remember:
+		case t.state.Ended() && clock-t.endedAt > endedRetention:
 			delete(w.tasks, n)
 		case t.state.Ended():
-		case clock >= t.until:
+		case clock >= t.leaseEnd:
 			w.step(n, t, lapse)
-		case t.state == worker.Running && clock >= t.done && t.run.Crash:
+		case t.state == worker.Running && clock >= t.runEnd && t.run.Crash:
 			w.step(n, t, crash)
-		case t.state == worker.Running && clock >= t.done:
+		case t.state == worker.Running && clock >= t.runEnd:
 			w.step(n, t, exit)
 		}
 	}
 }
 
-// Sync takes in what the owner wants and answers with what the worker holds.
+// Sync applies a sync from the owner at the given clock time and returns the
+// worker's report. A sync changes no task if it is of an earlier epoch, not newer
+// than the last one of the same epoch, or meant for another incarnation.
 func (w *Worker) Sync(clock time.Duration, s worker.Sync) worker.Report {
 	w.Advance(clock)
 	if s.Epoch < w.epoch || s.Epoch == w.epoch && s.Seq <= w.seq {
-		return worker.Report{Worker: w.id, Epoch: w.epoch, Seq: w.seq, Clock: clock, Life: w.life}
+		return worker.Report{Worker: w.id, Epoch: w.epoch, Seq: w.seq, Clock: clock, Life: w.incarnation}
 	}
 	if s.Epoch != w.epoch {
 		w.base = 0
 	}
 	w.epoch, w.seq = s.Epoch, s.Seq
-	rep := worker.Report{Worker: w.id, Epoch: w.epoch, Seq: w.seq, Clock: clock, Life: w.life}
-	if s.Base != 0 && s.Base == w.base && s.Life == w.life {
+	rep := worker.Report{Worker: w.id, Epoch: w.epoch, Seq: w.seq, Clock: clock, Life: w.incarnation}
+	if s.Base != 0 && s.Base == w.base && s.Life == w.incarnation {
 		w.renew(s.Until)
 		if w.unchanged() {
 			rep.Base = s.Base
 			return rep
 		}
 	}
-	named := map[name]bool{}
-	if s.Base == 0 && s.Life == w.life {
-		named = w.obey(s, &rep)
-		w.base, w.told = s.Seq, map[name]worker.TaskState{}
+	listed := map[taskKey]bool{}
+	if s.Base == 0 && s.Life == w.incarnation {
+		listed = w.reconcile(s, &rep)
+		w.base, w.reported = s.Seq, map[taskKey]worker.TaskState{}
 	}
-	for _, n := range w.names() {
+	for _, n := range w.sortedKeys() {
 		t := w.tasks[n]
-		if !named[n] {
-			rep.Tasks = append(rep.Tasks, w.report(n, t.state, t.want.Mask))
+		if !listed[n] {
+			rep.Tasks = append(rep.Tasks, w.taskReport(n, t.state, t.want.Mask))
 		}
 		if w.base == s.Seq {
-			w.told[n] = t.state
+			w.reported[n] = t.state
 		}
 	}
 	return rep
 }
 
-// renew extends the lease of every task that still runs.
+// renew extends the lease of every task that has not ended.
 func (w *Worker) renew(until time.Duration) {
 	for _, t := range w.tasks {
 		if !t.state.Ended() {
-			t.until = max(t.until, until)
+			t.leaseEnd = max(t.leaseEnd, until)
 		}
 	}
 }
 
-// unchanged reports whether every task is as the report to base said.
+// unchanged reports whether every task is still in the state that was reported in
+// the answer to the sync base.
 func (w *Worker) unchanged() bool {
 	for n, t := range w.tasks {
-		if w.told[n] != t.state {
+		if w.reported[n] != t.state {
 			return false
 		}
 	}
 	return true
 }
 
-// obey brings the tasks into the wanted state and returns those that were named.
-func (w *Worker) obey(s worker.Sync, rep *worker.Report) map[name]bool {
-	named := map[name]bool{}
+// reconcile brings the tasks into the state that the sync lists, stops those that
+// it doesn't list, and returns the keys of the listed tasks.
+func (w *Worker) reconcile(s worker.Sync, rep *worker.Report) map[taskKey]bool {
+	listed := map[taskKey]bool{}
 	for _, t := range s.Tasks {
-		named[name{t.Job, t.Lease}] = true
+		listed[taskKey{t.Job, t.Lease}] = true
 	}
-	for _, n := range w.names() {
-		if t := w.tasks[n]; !named[n] && !t.state.Ended() {
+	for _, n := range w.sortedKeys() {
+		if t := w.tasks[n]; !listed[n] && !t.state.Ended() {
 			w.step(n, t, stop)
 		}
 	}
 	for _, t := range s.Tasks {
-		rep.Tasks = append(rep.Tasks, w.take(t))
+		rep.Tasks = append(rep.Tasks, w.reconcileTask(t))
 	}
-	return named
+	return listed
 }
 
-// take brings one task into the wanted state as far as the rules allow.
-func (w *Worker) take(t worker.Want) worker.Task {
-	n := name{t.Job, t.Lease}
-	have, ok := w.tasks[n]
+// reconcileTask brings one listed task into the wanted state as far as the
+// protocol allows, and returns its state: it creates the task if the sync
+// allows that and the accelerators are free, extends its lease, and opens its
+// gate.
+func (w *Worker) reconcileTask(t worker.Want) worker.Task {
+	n := taskKey{t.Job, t.Lease}
+	held, ok := w.tasks[n]
 	switch {
 	case !ok && !t.Create:
-		return w.report(n, worker.Missing, 0)
-	case !ok && t.Mask&^w.free != 0:
-		return w.report(n, worker.Denied, 0)
+		return w.taskReport(n, worker.Missing, 0)
+	case !ok && t.Mask&^w.freeMask != 0:
+		return w.taskReport(n, worker.Denied, 0)
 	case !ok:
-		have = &task{want: t, state: taskChart.Start(), until: w.clock + worker.GatedTerm}
-		w.tasks[n] = have
-		w.free &^= t.Mask
+		held = &task{want: t, state: taskChart.Start(), leaseEnd: w.clock + worker.GatedTerm}
+		w.tasks[n] = held
+		w.freeMask &^= t.Mask
 	}
-	if have.state.Ended() {
-		return w.report(n, have.state, t.Mask)
+	if held.state.Ended() {
+		return w.taskReport(n, held.state, t.Mask)
 	}
-	have.until = max(have.until, t.Until)
-	if t.Open && have.state == worker.Gated {
-		have.run = w.hooks.Plan(t)
+	held.leaseEnd = max(held.leaseEnd, t.Until)
+	if t.Open && held.state == worker.Gated {
+		held.run = w.hooks.Plan(t)
 		if w.faulty {
-			have.run = Run{Crash: true}
+			held.run = Run{Crash: true}
 		}
-		have.done = w.clock + have.run.For
-		w.step(n, have, open)
+		held.runEnd = w.clock + held.run.For
+		w.step(n, held, open)
 	}
-	return w.report(n, have.state, t.Mask)
+	return w.taskReport(n, held.state, t.Mask)
 }
 
-func (w *Worker) step(n name, t *task, ev event) {
-	to, err := taskChart.Next(t.state, ev)
+// step applies an event to a task. If the task ends, it frees its accelerators.
+// An event that the chart doesn't allow in the current state is ignored.
+func (w *Worker) step(n taskKey, t *task, ev event) {
+	next, err := taskChart.Next(t.state, ev)
 	if err != nil {
 		return
 	}
-	t.state = to
+	t.state = next
 	if ev == open {
 		if w.hooks.Started != nil {
 			w.hooks.Started(n.job, n.lease)
 		}
 		return
 	}
-	t.ended = w.clock
-	w.free |= t.want.Mask
+	t.endedAt = w.clock
+	w.freeMask |= t.want.Mask
 	if w.hooks.Ended != nil {
-		w.hooks.Ended(n.job, n.lease, to)
+		w.hooks.Ended(n.job, n.lease, next)
 	}
 }
 
-func (w *Worker) report(n name, st worker.TaskState, mask uint64) worker.Task {
+func (w *Worker) taskReport(n taskKey, st worker.TaskState, mask uint64) worker.Task {
 	return worker.Task{Job: n.job, Lease: n.lease, State: st, Mask: mask}
 }
 
-// Running returns the jobs that run here, in ascending order.
+// Running returns the jobs with a running task on this worker, in ascending
+// order.
 func (w *Worker) Running() []id.Job {
 	out := map[id.Job]bool{}
 	for n, t := range w.tasks {
@@ -243,12 +261,13 @@
 	return config.Sorted(out)
 }
 
-func (w *Worker) names() []name {
-	out := make([]name, 0, len(w.tasks))
+// sortedKeys returns the keys of all tasks, ordered by job and lease.
+func (w *Worker) sortedKeys() []taskKey {
+	out := make([]taskKey, 0, len(w.tasks))
 	for n := range w.tasks {
 		out = append(out, n)
 	}
-	slices.SortFunc(out, func(a, b name) int {
+	slices.SortFunc(out, func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.lease, b.lease))
 	})
 	return out
--- a/core/scripttest/scripttest.go
+++ b/core/scripttest/scripttest.go
@@ -1,5 +1,6 @@
-// Package scripttest runs a test's scripts, the text files in its folder testdata, each as a
-// subtest. What a script's lines mean is up to the test. Only tests import it.
+// Package scripttest runs the script files of a test, which are the .txt files in
+// the testdata folder of its package, each as a subtest. The test interprets the
+// lines of a script. Only tests import this package.
 package scripttest
 
 import (
@@ -9,19 +10,20 @@
 	"testing"
 )
 
-// Each runs a subtest for each script of testdata, in the order of their names, with the
-// script's text. It fails if there is none.
+// Each runs a subtest for each script in testdata, in the order of the file
+// names, and passes the text of the script to run. The test fails if there is
+// no script.
 func Each(t *testing.T, run func(t *testing.T, text string)) {
 	t.Helper()
 	EachIn(t, "", run)
 }
 
-// EachIn is Each for the scripts of a folder of testdata.
+// EachIn is like Each for the scripts in a subfolder of testdata.
 func EachIn(t *testing.T, folder string, run func(t *testing.T, text string)) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("testdata", folder, "*.txt"))
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scripts", err)
+		t.Fatal("no scripts found", err)
 	}
 	for _, f := range files {
 		t.Run(filepath.Base(f), func(t *testing.T) {
@@ -34,7 +36,9 @@
 	}
 }
 
-// EachLine calls check with the words of each line of a file below testdata, in their order. Empty lines, and those that begin with #, are passed over.
+// EachLine calls check with the whitespace-separated words of each line of a file
+// under testdata, in the order of the lines. It skips empty lines and lines that
+// begin with #.
 func EachLine(t *testing.T, file string, check func(words []string)) {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", file))
