--- a/core/proof/check_test.go
+++ b/core/proof/check_test.go
@@ -11,122 +11,133 @@
 )
 
 const (
-	// partialFor is how long a gang may run in part: until the owner sees that a
-	// member is silent, plus one term.
-	partialFor = gang.Grace + gang.Term + 2*time.Second
-	// leaveFor is how long a leaving backend server may still be sent requests.
-	leaveFor = 3 * time.Second
-	// perWorker is the number of accelerators of each worker.
-	perWorker = 8
-	// inForceFor is how long an accepted configuration may take to be in force.
-	inForceFor = 4 * time.Second
+	// maxPartial is how long a gang may run on only some of its workers: the
+	// grace period after which the owner stops renewing the leases of a gang
+	// with a silent member, one lease term, and a margin of 2 s.
+	maxPartial = gang.Grace + gang.Term + 2*time.Second
+	// maxLeavingDelay is how long hosts may still send requests to a backend
+	// server after it began to leave.
+	maxLeavingDelay = 3 * time.Second
+	// workerAccelerators is the number of accelerators of each worker.
+	workerAccelerators = 8
+	// maxConfigDelay is how long an accepted configuration may take to be in
+	// force on each host.
+	maxConfigDelay = 4 * time.Second
 )
 
-// started is told that a worker opened a gate.
-func (w *world) started(name id.Worker, j id.Job, n id.Lease) {
-	k := start{name, j, n}
-	w.starts[k]++
-	if w.starts[k] > 1 {
-		w.violated("worker %s started job %s lease %d twice", name, j, n)
+// taskStarted records that a worker opened the gate of a task. It reports a
+// violation if the task was started before, if the job must not be repeated and
+// was started under another lease, or if it still runs under another lease.
+func (w *world) taskStarted(name id.Worker, j id.Job, n id.Lease) {
+	t := taskKey{name, j, n}
+	w.startCounts[t]++
+	if w.startCounts[t] > 1 {
+		w.reportViolation("worker %s started job %s lease %d twice", name, j, n)
 	}
-	for s := range w.starts {
+	for s := range w.startCounts {
 		if s.job == j && s.lease != n && w.once(j) {
-			w.violated("job %s must not be repeated and was started under leases %d and %d", j, s.lease, n)
+			w.reportViolation("job %s must not be repeated and was started under leases %d and %d", j, s.lease, n)
 		}
 	}
-	for other, p := range w.parts {
-		if other.job == j && other.lease != n && len(p.running) > 0 {
-			w.violated("job %s runs under leases %d and %d at a time", j, other.lease, n)
+	for other, g := range w.gangs {
+		if other.job == j && other.lease != n && len(g.running) > 0 {
+			w.reportViolation("job %s runs under leases %d and %d at a time", j, other.lease, n)
 		}
 	}
-	a := holding{j, n}
-	p := w.parts[a]
-	if p == nil {
-		p = &partial{size: w.membersOf(j), running: map[id.Worker]bool{}, since: w.now}
-		w.parts[a] = p
+	k := gangKey{j, n}
+	g := w.gangs[k]
+	if g == nil {
+		g = &gangWatch{size: w.gangSize(j), running: map[id.Worker]bool{}, partialSince: w.now}
+		w.gangs[k] = g
 	}
-	p.running[name] = true
-	w.judgePart(p)
+	g.running[name] = true
+	w.updatePartial(g)
 }
 
-// ended is told that a task ended.
-func (w *world) ended(name id.Worker, j id.Job, n id.Lease, st worker.TaskState) {
-	a := holding{j, n}
-	p := w.parts[a]
-	if p == nil || !p.running[name] {
+// taskEnded records that a task ended.
+func (w *world) taskEnded(name id.Worker, j id.Job, n id.Lease, st worker.TaskState) {
+	k := gangKey{j, n}
+	g := w.gangs[k]
+	if g == nil || !g.running[name] {
 		return
 	}
 	if st == worker.Exited {
-		p.exited++
+		g.exited++
 	}
-	w.stopPart(p, name)
+	w.memberStopped(g, name)
 }
 
-func (w *world) stopPart(p *partial, name id.Worker) {
-	delete(p.running, name)
-	w.judgePart(p)
+// memberStopped records that a gang no longer runs on a worker.
+func (w *world) memberStopped(g *gangWatch, name id.Worker) {
+	delete(g.running, name)
+	w.updatePartial(g)
 }
 
-// judgePart notes since when a gang runs in part. A task that exited by itself still
-// counts as part of the whole.
-func (w *world) judgePart(p *partial) {
-	whole := len(p.running)+p.exited >= p.size
+// updatePartial records since when a gang runs on only some of its workers. A
+// member whose task exited by itself doesn't make the gang partial.
+func (w *world) updatePartial(g *gangWatch) {
+	whole := len(g.running)+g.exited >= g.size
 	switch {
-	case whole || len(p.running) == 0:
-		p.since = 0
-	case p.since == 0:
-		p.since = w.now
+	case whole || len(g.running) == 0:
+		g.partialSince = 0
+	case g.partialSince == 0:
+		g.partialSince = w.now
 	}
 }
 
-// once reports whether a job must not be repeated, as its submission says.
+// once reports whether a job must not be repeated, according to its submission.
 func (w *world) once(j id.Job) bool {
 	s, ok := w.submitted[j]
 	return ok && s.Once
 }
 
-// membersOf returns how many workers the job's gang has, by its agreed block.
-func (w *world) membersOf(j id.Job) int {
+// gangSize returns the number of workers in the job's gang, which follows from
+// the block in the reference state.
+func (w *world) gangSize(j id.Job) int {
 	if x := w.ref.Jobs[j]; x != nil && x.Block.Size > 0 {
-		first, last := x.Block.Start/perWorker, (x.Block.Start+x.Block.Size-1)/perWorker
+		first, last := x.Block.Start/workerAccelerators, (x.Block.Start+x.Block.Size-1)/workerAccelerators
 		return last - first + 1
 	}
 	return 1
 }
 
-// checkParts looks for gangs that have run in part for too long.
-func (w *world) checkParts() {
-	for a, p := range w.parts {
-		if p.since != 0 && w.now.Sub(p.since) > partialFor {
-			w.violated("job %s lease %d runs on %d of %d workers since %s",
-				a.job, a.lease, len(p.running), p.size, w.now.Sub(p.since))
-			p.since = 0
+// checkPartialGangs reports gangs that have run on only some of their workers for
+// longer than maxPartial.
+func (w *world) checkPartialGangs() {
+	for k, g := range w.gangs {
+		if g.partialSince != 0 && w.now.Sub(g.partialSince) > maxPartial {
+			w.reportViolation("job %s lease %d has run on %d of %d workers for %s",
+				k.job, k.lease, len(g.running), g.size, w.now.Sub(g.partialSince))
+			g.partialSince = 0
 		}
 	}
 }
 
-// checkHost looks at a host after each of its steps.
-func (w *world) checkHost(m *machine) {
+// checkHostConfig reports a ready host whose configuration offset decreased. It
+// is called after each step of the host.
+func (w *world) checkHostConfig(m *machine) {
 	if !m.up || m.core.State() != node.Ready {
 		return
 	}
 	c := m.core.ConfigAt()
-	if c < m.config {
-		w.violated("%s: the configuration went back from %d to %d", m.name, m.config, c)
+	if c < m.highestConfig {
+		w.reportViolation("%s: the configuration offset decreased from %d to %d", m.name, m.highestConfig, c)
 	}
-	m.config = max(m.config, c)
+	m.highestConfig = max(m.highestConfig, c)
 }
 
-// checkConfig looks for hosts that are ready and late.
-func (w *world) checkConfig() {
+// checkConfigDelay reports ready hosts that have not applied an accepted
+// configuration within maxConfigDelay, although they are connected and nothing
+// has disrupted the log since it was accepted.
+func (w *world) checkConfigDelay() {
 	for _, m := range w.machines {
 		if !m.up || m.paused || m.core.State() != node.Ready || !w.connected(m) {
 			continue
 		}
-		for off, at := range w.accepted {
-			if w.now.Sub(at) > inForceFor && m.core.Applied() < off && w.quiet(at) {
-				w.violated("%s: configuration %d is not in force after %s", m.name, off, w.now.Sub(at))
-				delete(w.accepted, off)
+		for off, at := range w.acceptedAt {
+			if w.now.Sub(at) > maxConfigDelay && m.core.Applied() < off && w.logReadableSince(at) {
+				w.reportViolation("%s: configuration %d is not in force after %s", m.name, off, w.now.Sub(at))
+				delete(w.acceptedAt, off)
 			}
 		}
 	}
@@ -134,69 +145,75 @@
 
 // connected reports whether a host can reach the log, or a peer that can.
 func (w *world) connected(m *machine) bool {
-	if !m.noLog {
+	if !m.logCut {
 		return true
 	}
 	for _, o := range w.machines {
-		if o != m && !m.noPeers && o.up && !o.paused && !o.noLog && !o.noPeers {
+		if o != m && !m.peersCut && o.up && !o.paused && !o.logCut && !o.peersCut {
 			return true
 		}
 	}
 	return false
 }
 
-// checkSend looks at an attempt that leaves a host. A host that was frozen learns
-// anew for as long as any other.
+// checkSend reports an attempt that a host sends to a backend server that has
+// been leaving for longer than maxLeavingDelay. A host that was paused has that
+// time again from when it was resumed, to learn which backend servers are
+// leaving.
 func (w *world) checkSend(m *machine, b *backend, a route.Attempt) {
-	if b != nil && b.left != 0 && w.now.Sub(m.resumed) > leaveFor && w.now.Sub(b.left) > leaveFor {
-		w.violated("backend server %s is leaving since %s and was sent request %d", a.Backend, w.now.Sub(b.left), a.Request)
+	if b != nil && b.leavingSince != 0 && w.now.Sub(m.resumedAt) > maxLeavingDelay && w.now.Sub(b.leavingSince) > maxLeavingDelay {
+		w.reportViolation("backend server %s has been leaving for %s and was sent request %d", a.Backend, w.now.Sub(b.leavingSince), a.Request)
 	}
 }
 
-// reply takes a final answer.
+// reply records the final answer to a request and checks it: a request gets one
+// answer, by its deadline; a relayed answer is complete; and a refusal never
+// has Ran yes, and has Ran no only if the request didn't run.
 func (w *world) reply(m *machine, r route.Reply) {
 	c := w.calls[callID{m.name, r.Request}]
 	if c == nil {
-		w.violated("%s: an answer to request %d, which nobody sent", m.name, r.Request)
+		w.reportViolation("%s: answer to request %d, which no caller sent", m.name, r.Request)
 		return
 	}
 	c.replies = append(c.replies, r)
 	switch {
 	case len(c.replies) > 1:
-		w.violated("request %s was answered %d times", c.name, len(c.replies))
-	case r.Relay != 0 && !c.whole[r.Relay]:
-		w.violated("request %s got the answer of attempt %d, which was not whole", c.name, r.Relay)
+		w.reportViolation("request %s was answered %d times", c.name, len(c.replies))
+	case r.Relay != 0 && !c.wholeAttempts[r.Relay]:
+		w.reportViolation("request %s got the answer of attempt %d, which was not complete", c.name, r.Relay)
 	case r.Ran == route.RanNo && c.runs > 0:
-		w.violated("request %s was refused as not run and ran %d times", c.name, c.runs)
+		w.reportViolation("request %s was refused as not run but ran %d times", c.name, c.runs)
 	case r.Relay == 0 && r.Ran == route.RanYes:
-		w.violated("request %s was refused as run", c.name)
+		w.reportViolation("request %s was refused as one that did run", c.name)
 	}
 	if w.now > c.deadline(w) {
-		w.violated("request %s was answered %s after its deadline", c.name, w.now.Sub(c.deadline(w)))
+		w.reportViolation("request %s was answered %s after its deadline", c.name, w.now.Sub(c.deadline(w)))
 	}
 }
 
-// checkStopped looks at a host whose planned stop is complete.
+// checkStopped reports requests that a host left unanswered when it completed its
+// planned stop.
 func (w *world) checkStopped(m *machine) {
 	for k, c := range w.calls {
-		if k.host == m.name && len(c.replies) == 0 && !c.gone && c.life == m.life {
-			w.violated("%s stopped before request %s was answered", m.name, c.name)
+		if k.host == m.name && len(c.replies) == 0 && !c.callerGone && c.incarnation == m.incarnation {
+			w.reportViolation("%s stopped before request %s was answered", m.name, c.name)
 		}
 	}
 }
 
-// checkSame compares the state of each host with what the log adds up to.
-func (w *world) checkSame() {
+// checkStates compares the state of each host that has applied the whole log with
+// the reference state.
+func (w *world) checkStates() {
 	want, err := w.ref.Digest()
 	if err != nil {
-		w.violated("reference state: %v", err)
+		w.reportViolation("reference state: %v", err)
 	}
 	for _, m := range w.machines {
 		if !m.up || m.core.Applied() != w.ref.Applied {
 			continue
 		}
 		if got, err := m.core.Digest(); err != nil || got != want {
-			w.violated("%s: the state differs from the log's: %v", m.name, err)
+			w.reportViolation("%s: the state differs from the reference state: %v", m.name, err)
 		}
 	}
 }
--- a/core/proof/disturb_test.go
+++ b/core/proof/disturb_test.go
@@ -7,22 +7,24 @@
 	"curlewsill.org/curlewsill/core/node"
 )
 
-var errUnknownWord = errors.New("unknown word")
+var errUnknownAction = errors.New("unknown action")
 
-// disturb does something to a host.
-func (w *world) disturb(name id.Host, what string) error {
+// controlHost starts, stops, kills, pauses or resumes a host, or cuts or
+// restores its connections. It starts the host first if there is none of that
+// name.
+func (w *world) controlHost(name id.Host, verb string) error {
 	m := w.machines[name]
 	if m == nil {
 		m = w.startHost(name)
 	}
-	switch what {
+	switch verb {
 	case "start":
-		w.disturbed = w.now
+		w.lastDisruption = w.now
 		w.startHost(name)
 	case "kill":
 		m.up = false
 		for k, c := range w.calls {
-			c.gone = c.gone || k.host == name
+			c.callerGone = c.callerGone || k.host == name
 		}
 	case "pause":
 		m.paused = true
@@ -31,71 +33,73 @@
 	case "stop":
 		w.step(m, node.Stop{})
 	case "cut-log", "mend-log":
-		w.disturbed = w.now
-		m.noLog = what == "cut-log"
+		w.lastDisruption = w.now
+		m.logCut = verb == "cut-log"
 	case "cut-peers", "mend-peers":
-		w.disturbed = w.now
-		m.noPeers = what == "cut-peers"
+		w.lastDisruption = w.now
+		m.peersCut = verb == "cut-peers"
 	case "cut-workers", "mend-workers":
 		for n := range w.workers {
-			m.noWorkers[n] = what == "cut-workers"
+			m.workersCut[n] = verb == "cut-workers"
 		}
 	default:
-		return errUnknownWord
+		return errUnknownAction
 	}
 	return nil
 }
 
-// resume lets a paused host go on. It finds all that arrived meanwhile at once.
+// resume lets a paused host continue. The host handles at once all events that
+// arrived while it was paused.
 func (w *world) resume(m *machine) {
 	if !m.paused {
 		return
 	}
 	m.paused = false
-	w.disturbed, m.resumed = w.now, w.now
-	missed := m.missed
-	m.missed = nil
-	for _, ev := range missed {
+	w.lastDisruption, m.resumedAt = w.now, w.now
+	queued := m.queued
+	m.queued = nil
+	for _, ev := range queued {
 		if q, ok := ev.(node.Arrived); ok {
-			// A frozen process takes a request only when it goes on.
-			w.calls[callID{m.name, q.Request.ID}].at = w.now
+			// A paused process accepts a request only once it is resumed.
+			w.calls[callID{m.name, q.Request.ID}].arrivedAt = w.now
 		}
 		w.step(m, ev)
 	}
 }
 
-// disturbWorker does something to a worker.
-func (w *world) disturbWorker(name id.Worker, what string) error {
+// controlWorker kills or restarts a worker, makes it silent or answer again, or
+// makes it crash all its tasks or run them again.
+func (w *world) controlWorker(name id.Worker, verb string) error {
 	f := w.workers[name]
-	switch what {
+	switch verb {
 	case "kill":
 		w.killWorker(name)
 	case "start":
 		w.addWorker(name, f.accelerators)
 	case "silent", "answer":
-		f.silent = what == "silent"
+		f.silent = verb == "silent"
 	case "break", "mend":
-		f.Break(what == "break")
+		f.Break(verb == "break")
 	default:
-		return errUnknownWord
+		return errUnknownAction
 	}
 	return nil
 }
 
-// setBackend sets the mode of a backend server: fine, down, leave, refuse, cut, hang.
+// setBackend sets the mode of a backend server; see backend.mode.
 func (w *world) setBackend(name id.Backend, mode string) {
 	b := w.backends[name]
 	b.mode = mode
 	switch {
-	case mode == "leave" && b.left == 0:
-		b.left = w.now
+	case mode == "leave" && b.leavingSince == 0:
+		b.leavingSince = w.now
 	case mode == "fine":
-		b.left = 0
+		b.leavingSince = 0
 	}
 }
 
 // setLog sets the mode of the log.
 func (w *world) setLog(mode logMode) {
 	w.mode = mode
-	w.disturbed = w.now
+	w.lastDisruption = w.now
 }
--- a/core/proof/long_test.go
+++ b/core/proof/long_test.go
@@ -16,27 +16,27 @@
 )
 
 var (
-	longEvents = flag.Int("events", 60_000, "events of the long run")
-	longSeed   = flag.Uint64("seed", 1, "seed of the long run")
+	longEvents = flag.Int("events", 60_000, "number of events of the long run")
+	longSeed   = flag.Uint64("seed", 1, "random seed of the long run")
 )
 
-// TestLong mixes all failures at random, two and three at once, and checks what must
-// always hold. The same seed gives the same run:
+// TestLong injects failures at random, several of which may overlap, and checks
+// the invariants. The same seed gives the same run:
 //
 //	go test ./core/proof -run Long -args -events 1000000 -seed 7
 func TestLong(t *testing.T) {
 	t.Logf("seed %d, %d events", *longSeed, *longEvents)
 	c := newChaos(*longSeed)
-	for c.events < *longEvents && len(c.broken) == 0 {
-		c.act()
+	for c.events < *longEvents && len(c.violations) == 0 {
+		c.runRandomAction()
 		c.advance(time.Duration(c.rng.Int64N(int64(800 * time.Millisecond))))
 	}
-	if len(c.broken) == 0 {
-		c.settle()
+	if len(c.violations) == 0 {
+		c.recoverAndCheck()
 	}
-	t.Logf("%d events, %s of virtual time; %s", c.events, c.now.Sub(epochZero).Round(time.Second), c.summary())
-	if len(c.broken) > 0 {
-		t.Fatalf("seed %d, event %d:\n%s", *longSeed, c.events, strings.Join(c.broken, "\n"))
+	t.Logf("%d events, %s of virtual time; %s", c.events, c.now.Sub(clockStart).Round(time.Second), c.summary())
+	if len(c.violations) > 0 {
+		t.Fatalf("seed %d, event %d:\n%s", *longSeed, c.events, strings.Join(c.violations, "\n"))
 	}
 }
 
@@ -44,22 +44,23 @@
 	chaosHosts    = 5
 	chaosRacks    = 4
 	chaosBackends = 8
-	// recentKeys is among how many of the last keys a caller's second try chooses.
+	// recentKeys is how many of the last keys a repeated request chooses from.
 	recentKeys = 5
 )
 
-// chaos is a world with something going wrong all the time.
+// chaos is a world with random load and random failures.
 type chaos struct {
 	*world
-	names int
-	// used lists the keys of requests.
-	used []string
-	// acts counts what was done, by kind.
-	acts map[string]int
+	// nameCount is the number of generated names.
+	nameCount int
+	// usedKeys lists the keys of all requests so far.
+	usedKeys []string
+	// actionCounts counts the actions that were run, by name.
+	actionCounts map[string]int
 }
 
 func newChaos(seed uint64) *chaos {
-	s := &script{world: newWorld(seed), kept: map[string]plan.Plan{}}
+	s := &script{world: newWorld(seed), plans: map[string]plan.Plan{}}
 	if err := cmdHosts(s, parseWords([]string{fmt.Sprint(chaosHosts)})); err != nil {
 		panic(err)
 	}
@@ -72,20 +73,21 @@
 	}
 	s.netLoss, s.netDup = 0.01, 0.01
 	s.listLag = 30 * time.Second
-	return &chaos{world: s.world, acts: map[string]int{}}
+	return &chaos{world: s.world, actionCounts: map[string]int{}}
 }
 
-// kind is one thing that can happen, with how likely it is.
-type kind struct {
+// action is an action that the long run chooses with a probability proportional
+// to its weight.
+type action struct {
 	name   string
 	weight int
 	do     func(*chaos)
 }
 
-var kinds = []kind{
+var actions = []action{
 	{"submit", 30, (*chaos).submit},
 	{"cancel", 4, (*chaos).cancel},
-	{"wave", 1, (*chaos).wave},
+	{"wave", 1, (*chaos).cancelAll},
 	{"request", 60, (*chaos).requests},
 	{"configure", 4, (*chaos).configure},
 	{"kill-host", 2, (*chaos).killHost},
@@ -96,49 +98,51 @@
 	{"worker", 3, (*chaos).breakWorker},
 	{"rack", 1, (*chaos).loseRack},
 	{"backend", 5, (*chaos).breakBackend},
-	{"damage", 1, func(c *chaos) { c.land([]byte("damaged")) }},
+	{"damage", 1, func(c *chaos) { c.appendToLog([]byte("damaged")) }},
 }
 
-// act does one thing at random.
-func (c *chaos) act() {
+// runRandomAction runs one action, chosen at random by weight.
+func (c *chaos) runRandomAction() {
 	total := 0
-	for _, k := range kinds {
-		total += k.weight
+	for _, a := range actions {
+		total += a.weight
 	}
 	n := c.rng.IntN(total)
-	for _, k := range kinds {
-		if n -= k.weight; n < 0 {
-			c.acts[k.name]++
-			k.do(c)
+	for _, a := range actions {
+		if n -= a.weight; n < 0 {
+			c.actionCounts[a.name]++
+			a.do(c)
 			return
 		}
 	}
 }
 
-func (c *chaos) name(prefix string) string {
-	c.names++
-	return fmt.Sprintf("%s%d", prefix, c.names)
+// newName returns a name that was not used before.
+func (c *chaos) newName(prefix string) string {
+	c.nameCount++
+	return fmt.Sprintf("%s%d", prefix, c.nameCount)
 }
 
-// host returns a random host.
-func (c *chaos) host() *machine {
+// randomHost returns a random host, which may be down.
+func (c *chaos) randomHost() *machine {
 	names := config.Sorted(c.machines)
 	return c.machines[names[c.rng.IntN(len(names))]]
 }
 
-// later does something after a random time up to most.
-func (c *chaos) later(most time.Duration, do func()) {
-	c.after(time.Duration(c.rng.Int64N(int64(most))), do)
+// scheduleWithin calls do after a random delay of less than limit.
+func (c *chaos) scheduleWithin(limit time.Duration, do func()) {
+	c.schedule(time.Duration(c.rng.Int64N(int64(limit))), do)
 }
 
+// submit submits a random job at a random host.
 func (c *chaos) submit() {
-	m := c.host()
+	m := c.randomHost()
 	if !m.up {
 		return
 	}
 	sizes := []int{1, 2, 4, 8, 8, 16, 16, 32, 64}
 	commands := []string{"run 2s", "run 10s", "run 30s", "run 2m", "crash 3s"}
-	name := c.name("j")
+	name := c.newName("j")
 	c.propose(m, name, record.Entry{Submit: &record.Submit{Job: record.Job{
 		ID: id.Job(name), Customer: []id.Customer{"frost", "ghent"}[c.rng.IntN(2)],
 		Accelerators: sizes[c.rng.IntN(len(sizes))], Once: c.rng.IntN(3) == 0, Urgent: c.rng.IntN(5) == 0,
@@ -147,41 +151,45 @@
 	}}})
 }
 
+// cancel cancels a random job, which may have ended.
 func (c *chaos) cancel() {
-	m := c.host()
+	m := c.randomHost()
 	if !m.up || len(c.ref.Jobs) == 0 {
 		return
 	}
 	names := config.Sorted(c.ref.Jobs)
-	c.propose(m, c.name("c"), record.Entry{Cancel: &record.Cancel{Job: names[c.rng.IntN(len(names))]}})
+	c.propose(m, c.newName("c"), record.Entry{Cancel: &record.Cancel{Job: names[c.rng.IntN(len(names))]}})
 }
 
-// wave cancels everything that has not ended.
-func (c *chaos) wave() {
-	m := c.host()
+// cancelAll cancels all jobs that have not ended.
+func (c *chaos) cancelAll() {
+	m := c.randomHost()
 	if !m.up {
 		return
 	}
 	for _, name := range config.Sorted(c.ref.Jobs) {
 		if j := c.ref.Jobs[name]; j.State == "pending" || j.State == "running" {
-			c.propose(m, c.name("c"), record.Entry{Cancel: &record.Cancel{Job: name}})
+			c.propose(m, c.newName("c"), record.Entry{Cancel: &record.Cancel{Job: name}})
 		}
 	}
 }
 
+// requests sends up to four equal requests, each to a random host. If they must run
+// at most once, they may have a key, which they share. Some callers go away.
 func (c *chaos) requests() {
 	key := ""
 	once := c.rng.IntN(3) == 0
 	if once && c.rng.IntN(2) == 0 {
-		key = c.name("k")
-		if n := len(c.used); n > 0 && c.rng.IntN(3) == 0 {
-			// A caller that got no answer asks again, later and elsewhere.
-			key = c.used[n-1-c.rng.IntN(min(n, recentKeys))]
+		key = c.newName("k")
+		if n := len(c.usedKeys); n > 0 && c.rng.IntN(3) == 0 {
+			// A caller that got no answer repeats its request later, at
+			// any host.
+			key = c.usedKeys[n-1-c.rng.IntN(min(n, recentKeys))]
 		}
-		c.used = append(c.used, key)
+		c.usedKeys = append(c.usedKeys, key)
 	}
 	for range 1 + c.rng.IntN(4) {
-		m := c.host()
+		m := c.randomHost()
 		if !m.up {
 			continue
 		}
@@ -189,12 +197,12 @@
 		if c.rng.IntN(3) == 0 {
 			q.Deadline = c.now.Add(time.Duration(1+c.rng.IntN(8000)) * time.Millisecond)
 		}
-		c.request(m, c.name("q"), q)
+		c.request(m, c.newName("q"), q)
 		if c.rng.IntN(20) == 0 {
-			req := c.last
-			c.later(time.Second, func() {
-				if x := c.calls[callID{m.name, req}]; x != nil && len(x.replies) == 0 && x.life == m.life {
-					x.gone = true
+			req := c.lastRequest
+			c.scheduleWithin(time.Second, func() {
+				if x := c.calls[callID{m.name, req}]; x != nil && len(x.replies) == 0 && x.incarnation == m.incarnation {
+					x.callerGone = true
 					c.step(m, node.Gone{Request: req})
 				}
 			})
@@ -202,10 +210,11 @@
 	}
 }
 
-// configure lets one or two operators change something.
+// configure makes one or two changes to the configuration, each as an operator
+// at a random host.
 func (c *chaos) configure() {
 	for range 1 + c.rng.IntN(2) {
-		m := c.host()
+		m := c.randomHost()
 		if !m.up || m.core.State() != node.Ready {
 			continue
 		}
@@ -217,91 +226,103 @@
 		}
 		p, err := plan.Draw(m.core.Shared(), []config.Change{change})
 		if err != nil {
-			c.violated("plan: %v", err)
+			c.reportViolation("plan: %v", err)
 			return
 		}
 		if e, err := p.Entry(); err == nil && len(p.Changes) > 0 {
-			// A plan with a problem is sent as well: the log has to refuse it.
-			c.propose(m, c.name("p"), e)
+			// A plan with a problem is proposed as well, because the verdict on
+			// its record must reject it.
+			c.propose(m, c.newName("p"), e)
 		}
 	}
 }
 
+// killHost kills a random host and restarts it within 20 s.
 func (c *chaos) killHost() {
-	m := c.host()
-	_ = c.disturb(m.name, "kill")
-	c.later(20*time.Second, func() {
+	m := c.randomHost()
+	_ = c.controlHost(m.name, "kill")
+	c.scheduleWithin(20*time.Second, func() {
 		if !m.up {
-			_ = c.disturb(m.name, "start")
+			_ = c.controlHost(m.name, "start")
 		}
 	})
 }
 
+// pauseHost pauses a random host and resumes it within 25 s.
 func (c *chaos) pauseHost() {
-	m := c.host()
+	m := c.randomHost()
 	if !m.up || m.paused {
 		return
 	}
 	m.paused = true
-	life := m.life
-	c.later(25*time.Second, func() {
-		if m.life == life {
+	incarnation := m.incarnation
+	c.scheduleWithin(25*time.Second, func() {
+		if m.incarnation == incarnation {
 			c.resume(m)
 		}
 	})
 }
 
+// stopHost begins a planned stop of a random host and restarts the host after
+// 40 s.
 func (c *chaos) stopHost() {
-	m := c.host()
+	m := c.randomHost()
 	if !m.up || m.paused {
 		return
 	}
-	_ = c.disturb(m.name, "stop")
-	life := m.life
-	c.after(40*time.Second, func() {
-		if m.life == life {
-			_ = c.disturb(m.name, "kill")
-			_ = c.disturb(m.name, "start")
+	_ = c.controlHost(m.name, "stop")
+	incarnation := m.incarnation
+	c.schedule(40*time.Second, func() {
+		if m.incarnation == incarnation {
+			_ = c.controlHost(m.name, "kill")
+			_ = c.controlHost(m.name, "start")
 		}
 	})
 }
 
+// cutHost disconnects a random host from the log, its peers or the workers for
+// up to 60 s.
 func (c *chaos) cutHost() {
-	m := c.host()
+	m := c.randomHost()
 	what := []string{"log", "peers", "workers"}[c.rng.IntN(3)]
-	_ = c.disturb(m.name, "cut-"+what)
-	life := m.life
-	c.later(60*time.Second, func() {
-		if m.life == life {
-			_ = c.disturb(m.name, "mend-"+what)
+	_ = c.controlHost(m.name, "cut-"+what)
+	incarnation := m.incarnation
+	c.scheduleWithin(60*time.Second, func() {
+		if m.incarnation == incarnation {
+			_ = c.controlHost(m.name, "mend-"+what)
 		}
 	})
 }
 
+// breakLog makes the log fail in a random way for up to 30 s.
 func (c *chaos) breakLog() {
 	c.lateBy = time.Duration(1+c.rng.IntN(200)) * time.Second
 	c.setLog([]logMode{logRefuse, logHang, logLose, logLate}[c.rng.IntN(4)])
-	c.later(30*time.Second, func() { c.setLog(logFine) })
+	c.scheduleWithin(30*time.Second, func() { c.setLog(logFine) })
 }
 
+// breakWorker makes a random worker fail in a random way for up to 40 s.
 func (c *chaos) breakWorker() {
 	names := config.Sorted(c.workers)
 	name := names[c.rng.IntN(len(names))]
 	how := [][2]string{{"kill", "start"}, {"silent", "answer"}, {"break", "mend"}}[c.rng.IntN(3)]
-	_ = c.disturbWorker(name, how[0])
-	c.later(40*time.Second, func() { _ = c.disturbWorker(name, how[1]) })
+	_ = c.controlWorker(name, how[0])
+	c.scheduleWithin(40*time.Second, func() { _ = c.controlWorker(name, how[1]) })
 }
 
+// loseRack kills all workers of a random rack and restarts each within 40 s.
 func (c *chaos) loseRack() {
 	rack := fmt.Sprintf("r%dw", 1+c.rng.IntN(chaosRacks))
 	for _, name := range config.Sorted(c.workers) {
 		if strings.HasPrefix(string(name), rack) {
 			c.killWorker(name)
-			c.later(40*time.Second, func() { c.addWorker(name, perWorker) })
+			c.scheduleWithin(40*time.Second, func() { c.addWorker(name, workerAccelerators) })
 		}
 	}
 }
 
+// breakBackend makes a random backend server fail in a random way or leave, and
+// brings it back later.
 func (c *chaos) breakBackend() {
 	name := id.Backend(fmt.Sprintf("b%d", 1+c.rng.IntN(chaosBackends)))
 	if c.backends[name].mode == "leave" {
@@ -309,24 +330,26 @@
 	}
 	mode := []string{"down", "leave", "refuse", "cut", "hang"}[c.rng.IntN(5)]
 	c.setBackend(name, mode)
-	// One that left comes back when nobody can remember it as leaving.
+	// A backend server that left comes back only after every host has forgotten
+	// that it was leaving.
 	back := time.Duration(c.rng.Int64N(int64(30 * time.Second)))
 	if mode == "leave" {
 		back = 3 * time.Minute
 	}
-	c.after(back, func() { c.setBackend(name, "fine") })
+	c.schedule(back, func() { c.setBackend(name, "fine") })
 }
 
-// settle mends everything and checks that work comes to its end.
-func (c *chaos) settle() {
+// recoverAndCheck ends all failures, cancels all jobs, submits a new one, and
+// checks that within ten minutes every job ends and every request is answered.
+func (c *chaos) recoverAndCheck() {
 	c.setLog(logFine)
 	c.netLoss, c.netDup = 0, 0
 	for _, name := range config.Sorted(c.machines) {
 		m := c.machines[name]
 		c.resume(m)
-		m.noLog, m.noPeers, m.noWorkers = false, false, map[id.Worker]bool{}
+		m.logCut, m.peersCut, m.workersCut = false, false, map[id.Worker]bool{}
 		if !m.up {
-			_ = c.disturb(name, "start")
+			_ = c.controlHost(name, "start")
 		}
 	}
 	for _, name := range config.Sorted(c.workers) {
@@ -334,29 +357,30 @@
 		f.silent = false
 		f.Break(false)
 		if f.down {
-			c.addWorker(name, perWorker)
+			c.addWorker(name, workerAccelerators)
 		}
 	}
 	for _, name := range config.Sorted(c.backends) {
 		c.setBackend(name, "fine")
 	}
-	c.wave()
+	c.cancelAll()
 	c.advance(5 * time.Minute)
 	c.submit()
 	c.advance(5 * time.Minute)
 	for _, name := range config.Sorted(c.ref.Jobs) {
 		if j := c.ref.Jobs[name]; j.State == "pending" || j.State == "running" {
-			c.violated("job %s is still %s ten minutes after everything was mended", name, j.State)
+			c.reportViolation("job %s is still %s ten minutes after all failures ended", name, j.State)
 		}
 	}
 	for _, x := range c.calls {
-		if len(x.replies) == 0 && !x.gone {
-			c.violated("request %s never got an answer", x.name)
+		if len(x.replies) == 0 && !x.callerGone {
+			c.reportViolation("request %s never got an answer", x.name)
 		}
 	}
 }
 
-// summary says what happened, so that a run that exercises nothing is seen.
+// summary counts the actions, the jobs by state, the answers and the records,
+// so that a run that exercises nothing is noticed.
 func (c *chaos) summary() string {
 	states, answers := map[string]int{}, map[string]int{}
 	for _, j := range c.ref.Jobs {
@@ -365,5 +389,5 @@
 	for _, x := range c.calls {
 		answers[x.result(true)]++
 	}
-	return fmt.Sprintf("acts %v, jobs %v, answers %v, %d records", c.acts, states, answers, c.log.Head())
+	return fmt.Sprintf("actions %v, jobs %v, answers %v, %d records", c.actionCounts, states, answers, c.log.Head())
 }
--- a/core/proof/mutations_test.go
+++ b/core/proof/mutations_test.go
@@ -13,20 +13,21 @@
 	"testing"
 )
 
-var mutants = flag.Bool("mutants", false, "plant each fault of testdata/mutations.txt and run the proofs against it")
+var mutants = flag.Bool("mutants", false, "apply each mutation of testdata/mutations.txt to the code and run the proofs against it")
 
-// mutantSeeds and mutantEvents bound the long runs that a planted fault is given.
+// mutantSeeds and mutantEvents bound the long runs that try to detect a mutation.
 const (
 	mutantSeeds  = 6
 	mutantEvents = 400_000
 )
 
-// mutation is one planted fault.
+// mutation is one fault to insert into the code: in the file, the text before is
+// replaced by the text after.
 type mutation struct {
 	name, file, before, after string
 }
 
-// readMutations reads the list.
+// readMutations parses testdata/mutations.txt.
 func readMutations(t *testing.T) []mutation {
 	data, err := os.ReadFile("testdata/mutations.txt")
 	if err != nil {
@@ -49,7 +50,8 @@
 	return out
 }
 
-// apply returns the mutated file.
+// apply returns the text of the mutated file. The test fails unless the text to
+// replace occurs exactly once in the file.
 func (m mutation) apply(t *testing.T) string {
 	data, err := os.ReadFile(filepath.Join("..", m.file))
 	if err != nil {
@@ -57,27 +59,29 @@
 	}
 	before, after := strings.TrimSuffix(m.before, "\n"), strings.TrimSuffix(m.after, "\n")
 	if n := strings.Count(string(data), before); n != 1 {
-		t.Fatalf("the text to replace stands %d times in %s", n, m.file)
+		t.Fatalf("the text to replace occurs %d times in %s, want once", n, m.file)
 	}
 	return strings.Replace(string(data), before, after, 1)
 }
 
-// TestMutations checks that each planted fault still fits the code. With -mutants it
-// plants them and expects the scripts or a long run to catch each.
+// TestMutations checks that each mutation still applies to the code. With
+// -mutants it builds the code with each mutation and expects the scripts or a
+// long run to detect it.
 func TestMutations(t *testing.T) {
 	for _, m := range readMutations(t) {
 		t.Run(m.name, func(t *testing.T) {
 			text := m.apply(t)
 			if *mutants {
 				t.Parallel()
-				t.Log(plant(t, m, text))
+				t.Log(runMutant(t, m, text))
 			}
 		})
 	}
 }
 
-// plant builds the proofs with the fault and runs them. It returns what caught it.
-func plant(t *testing.T, m mutation, text string) string {
+// runMutant builds the proofs with the mutation and runs them. It returns which
+// of them detected it, and fails the test if none did.
+func runMutant(t *testing.T, m mutation, text string) string {
 	dir := t.TempDir()
 	path, err := filepath.Abs(filepath.Join("..", m.file))
 	if err != nil {
@@ -97,7 +101,7 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	if out, err := exec.Command("go", "test", "-vet=off", "-overlay", overlay, "../state").CombinedOutput(); err != nil {
-		return "caught by the reducer's scripts: " + strings.Join(failedScripts(out), ", ")
+		return "caught by the scripts of core/state: " + strings.Join(failedScripts(out), ", ")
 	}
 	if out, err := exec.Command(bin, "-test.run", "Scripts").CombinedOutput(); err != nil {
 		return "caught by scripts: " + strings.Join(failedScripts(out), ", ")
@@ -108,23 +112,26 @@
 			return fmt.Sprintf("caught by the long run: seed %d, %s", seed, firstViolation(out))
 		}
 	}
-	t.Errorf("not caught by the scripts nor by %d long runs of %d events", mutantSeeds, mutantEvents)
+	t.Errorf("caught neither by the scripts nor by %d long runs of %d events", mutantSeeds, mutantEvents)
 	return "not caught"
 }
 
 var (
-	failed    = regexp.MustCompile(`--- FAIL: TestScripts/([a-z.-]+)`)
-	violation = regexp.MustCompile(`event \d+:\n.*`)
+	failedScript  = regexp.MustCompile(`--- FAIL: TestScripts/([a-z.-]+)`)
+	violationText = regexp.MustCompile(`event \d+:\n.*`)
 )
 
+// failedScripts returns the names of the scripts that failed in a test's output.
 func failedScripts(out []byte) []string {
 	var names []string
-	for _, f := range failed.FindAllSubmatch(out, -1) {
+	for _, f := range failedScript.FindAllSubmatch(out, -1) {
 		names = append(names, string(f[1]))
 	}
 	return names
 }
 
+// firstViolation returns the first violation in the output of a long run, on
+// one line.
 func firstViolation(out []byte) string {
-	return string(bytes.Join(bytes.Fields(violation.Find(out)), []byte(" ")))
+	return string(bytes.Join(bytes.Fields(violationText.Find(out)), []byte(" ")))
 }
--- a/core/proof/script_test.go
+++ b/core/proof/script_test.go
@@ -21,30 +21,31 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-var update = flag.Bool("update", false, "write the output that scripts compare with")
+var update = flag.Bool("update", false, "update the expected output in the scripts")
 
 // TestScripts runs each script of testdata/script in a world of its own. The
-// commands are listed in commands; docs/PROOFS.md says what each script proves.
+// commands are those of the map commands; docs/PROOFS.md says what each script
+// proves.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:           "testdata/script",
 		UpdateScripts: *update,
 		Setup: func(e *testscript.Env) error {
-			e.Values["world"] = &script{world: newWorld(1), kept: map[string]plan.Plan{}}
+			e.Values["world"] = &script{world: newWorld(1), plans: map[string]plan.Plan{}}
 			return nil
 		},
 		Cmds: scriptCommands(),
 	})
 }
 
-// script is a world with the plans that a script has drawn.
+// script is a world and the plans that a script has drawn, by name.
 type script struct {
 	*world
-	kept map[string]plan.Plan
+	plans map[string]plan.Plan
 }
 
-// commands maps each command of the test language to its function. Arguments are
-// words or key=value pairs.
+// commands maps each script command to its function. Arguments are plain words or
+// key=value pairs.
 var commands = map[string]func(*script, words) error{
 	"hosts":   cmdHosts,
 	"site":    cmdSite,
@@ -68,6 +69,8 @@
 	"planned": cmdPlanned,
 }
 
+// scriptCommands returns the commands for testscript. Each command fails the
+// script if an invariant was violated while it ran.
 func scriptCommands() map[string]func(*testscript.TestScript, bool, []string) {
 	out := map[string]func(*testscript.TestScript, bool, []string){}
 	for name, f := range commands {
@@ -77,8 +80,8 @@
 			if neg == (err == nil) {
 				ts.Fatalf("%s %s: %v", name, strings.Join(args, " "), err)
 			}
-			if len(s.broken) > 0 {
-				ts.Fatalf("invariants violated:\n%s", strings.Join(s.broken, "\n"))
+			if len(s.violations) > 0 {
+				ts.Fatalf("invariants violated:\n%s", strings.Join(s.violations, "\n"))
 			}
 		}
 	}
@@ -103,6 +106,7 @@
 	return w
 }
 
+// at returns the plain word with index i, or an empty string.
 func (w words) at(i int) string {
 	if i < len(w.plain) {
 		return w.plain[i]
@@ -110,6 +114,8 @@
 	return ""
 }
 
+// number returns the value of a key as a number, or def if it is absent or
+// invalid.
 func (w words) number(key string, def int) int {
 	if n, err := strconv.Atoi(w.named[key]); err == nil {
 		return n
@@ -117,6 +123,8 @@
 	return def
 }
 
+// duration returns the value of a key as a duration, or def if it is absent or
+// invalid.
 func (w words) duration(key string, def time.Duration) time.Duration {
 	if d, err := time.ParseDuration(w.named[key]); err == nil {
 		return d
@@ -124,11 +132,12 @@
 	return def
 }
 
+// list returns the comma-separated values of a key.
 func (w words) list(key string) []string {
 	return strings.FieldsFunc(w.named[key], func(r rune) bool { return r == ',' })
 }
 
-// cmdHosts starts hosts: hosts N.
+// cmdHosts starts the hosts h1 to hN and waits 4 s: hosts N.
 func cmdHosts(s *script, w words) error {
 	n, err := strconv.Atoi(w.at(0))
 	for i := range n {
@@ -138,7 +147,8 @@
 	return err
 }
 
-// siteChanges is the configuration that most scripts start from.
+// siteChanges returns the changes for the initial configuration of a site: two
+// customers, a service, racks of 8 workers, and guarantees.
 func siteChanges(racks int, guarantees []string) ([]config.Change, error) {
 	changes := []config.Change{
 		{SetCustomer: &config.Customer{ID: "frost", Weight: 2}},
@@ -149,7 +159,7 @@
 		r := config.Rack{ID: id.Rack(fmt.Sprintf("r%d", i+1)), Domain: "d1"}
 		for k := range 8 {
 			r.Workers = append(r.Workers, config.Worker{
-				ID: id.Worker(fmt.Sprintf("r%dw%d", i+1, k)), Accelerators: perWorker, Cores: 60, Memory: 250 * unit.GiB,
+				ID: id.Worker(fmt.Sprintf("r%dw%d", i+1, k)), Accelerators: workerAccelerators, Cores: 60, Memory: 250 * unit.GiB,
 			})
 		}
 		changes = append(changes, config.Change{SetRack: &r})
@@ -163,7 +173,7 @@
 		size, err1 := strconv.Atoi(f[2])
 		count, err2 := strconv.Atoi(f[3])
 		if err1 != nil || err2 != nil {
-			return nil, fmt.Errorf("guarantee %s: size and count are numbers", g)
+			return nil, fmt.Errorf("guarantee %s: size and count must be numbers", g)
 		}
 		changes = append(changes, config.Change{SetGuarantee: &config.Guarantee{
 			ID: id.Guarantee(f[0]), Customer: id.Customer(f[1]), Size: size, Count: count,
@@ -172,8 +182,8 @@
 	return changes, nil
 }
 
-// cmdSite configures racks of 8 workers and starts the workers and backend servers:
-// site racks=2 backends=4 guarantees=NAME:CUSTOMER:SIZE:COUNT,...
+// cmdSite configures racks of 8 workers and starts the workers and backend
+// servers: site [racks=N] [backends=N] [guarantees=NAME:CUSTOMER:SIZE:COUNT,...].
 func cmdSite(s *script, w words) error {
 	racks := w.number("racks", 1)
 	changes, err := siteChanges(racks, w.list("guarantees"))
@@ -182,11 +192,11 @@
 	}
 	for i := range racks {
 		for k := range 8 {
-			s.addWorker(id.Worker(fmt.Sprintf("r%dw%d", i+1, k)), perWorker)
+			s.addWorker(id.Worker(fmt.Sprintf("r%dw%d", i+1, k)), workerAccelerators)
 		}
 	}
 	for i := range w.number("backends", 0) {
-		s.backends[id.Backend(fmt.Sprintf("b%d", i+1))] = &backend{work: 20 * time.Millisecond}
+		s.backends[id.Backend(fmt.Sprintf("b%d", i+1))] = &backend{serviceTime: 20 * time.Millisecond}
 	}
 	m := s.anyHost()
 	if m == nil {
@@ -205,28 +215,29 @@
 	}
 	s.propose(m, "site", e)
 	s.run(3 * time.Second)
-	return s.settled["site"]
+	return s.verdicts["site"]
 }
 
-// cmdRun lets time pass: run DURATION.
+// cmdRun advances the virtual clock: run DURATION.
 func cmdRun(s *script, w words) error {
 	d, err := time.ParseDuration(w.at(0))
 	s.advance(d)
 	return err
 }
 
-// advance lets time pass and checks what shows only with time.
+// advance runs the world for a time. It checks the limits on partial gangs and
+// delayed configurations every 250 ms, and at the end the states of the hosts.
 func (w *world) advance(d time.Duration) {
 	for end := w.now.Add(d); w.now < end; {
 		w.run(min(250*time.Millisecond, end.Sub(w.now)))
-		w.checkParts()
-		w.checkConfig()
+		w.checkPartialGangs()
+		w.checkConfigDelay()
 	}
-	w.checkSame()
+	w.checkStates()
 }
 
-// cmdPlan draws a plan at a host and keeps it: plan NAME HOST [guarantees=...]
-// [customer=NAME weight=N] [delete=SERVICE].
+// cmdPlan draws a plan at a host and keeps it under a name: plan NAME HOST
+// [guarantees=...] [customer=NAME weight=N quota=N] [delete=SERVICE].
 func cmdPlan(s *script, w words) error {
 	changes, err := siteChanges(0, w.list("guarantees"))
 	if err != nil {
@@ -243,16 +254,16 @@
 	}
 	m := s.machines[id.Host(w.at(1))]
 	p, err := plan.Draw(m.core.Shared(), changes)
-	s.kept[w.at(0)] = p
+	s.plans[w.at(0)] = p
 	if err == nil && p.Problem != "" {
 		return fmt.Errorf("%s", p.Problem)
 	}
 	return err
 }
 
-// cmdConfirm confirms a plan at a host: confirm NAME HOST.
+// cmdConfirm confirms a kept plan at a host: confirm NAME HOST.
 func cmdConfirm(s *script, w words) error {
-	e, err := s.kept[w.at(0)].Entry()
+	e, err := s.plans[w.at(0)].Entry()
 	if err != nil {
 		return err
 	}
@@ -260,8 +271,10 @@
 	return nil
 }
 
-// cmdSubmit submits a job at a host: submit JOB customer=C size=N run="run 5s" host=H
-// [once=yes] [urgent=yes] [declared=1h].
+// cmdSubmit submits a job at a host: submit JOB customer=C size=N run=run-5s
+// [host=H] [once=yes] [urgent=yes] [declared=1h] [cores=N]. The value of run is
+// the command of the job, with - for each space. Without host, any ready host
+// is used.
 func cmdSubmit(s *script, w words) error {
 	m := s.machines[id.Host(w.named["host"])]
 	if m == nil {
@@ -279,7 +292,8 @@
 	return nil
 }
 
-// cmdCancel cancels a job: cancel JOB [host=H].
+// cmdCancel cancels a job: cancel JOB [host=H]. Without host, any ready host is
+// used.
 func cmdCancel(s *script, w words) error {
 	m := s.machines[id.Host(w.named["host"])]
 	if m == nil {
@@ -290,7 +304,9 @@
 }
 
 // cmdRequest sends requests to a host: request NAME host=H [count=N] [once=yes]
-// [key=K] [customer=C] [timeout=D] [every=D], one after the other with every.
+// [key=K] [customer=C] [timeout=D] [every=D]. It sends all requests at once, or
+// one per interval with every. The first one is called NAME, the others NAME-1,
+// NAME-2, ...
 func cmdRequest(s *script, w words) error {
 	for i := range w.number("count", 1) {
 		q := route.Request{
@@ -309,7 +325,7 @@
 		}
 		m := s.machines[id.Host(w.named["host"])]
 		if every := w.duration("every", 0); every > 0 {
-			s.after(time.Duration(i)*every, func() { s.request(m, name, q) })
+			s.schedule(time.Duration(i)*every, func() { s.request(m, name, q) })
 			continue
 		}
 		s.request(m, name, q)
@@ -317,19 +333,22 @@
 	return nil
 }
 
-// cmdGone lets the callers of requests go away: gone NAME.
+// cmdGone tells the host that the caller of a request went away: gone NAME.
 func cmdGone(s *script, w words) error {
 	for k, c := range s.calls {
 		if c.name == w.at(0) {
-			c.gone = true
+			c.callerGone = true
 			s.step(s.machines[k.host], node.Gone{Request: k.req})
 		}
 	}
 	return nil
 }
 
-// cmdHost does something to a host: host H start|kill|pause|resume|stop|cut-log|
-// mend-log|cut-peers|mend-peers|cut-workers|mend-workers. H may be "owner" or "all".
+// cmdHost controls a host: host H VERB. H is the name of a host, "owner" or
+// "all". VERB is start, kill, pause, resume, stop, cut-log, mend-log, cut-peers,
+// mend-peers, cut-workers or mend-workers. The cut verbs make the log, the peers
+// or the workers unreachable for the host, and the mend verbs make them reachable
+// again.
 func cmdHost(s *script, w words) error {
 	names := []id.Host{id.Host(w.at(0))}
 	switch w.at(0) {
@@ -339,15 +358,17 @@
 		names = config.Sorted(s.machines)
 	}
 	for _, n := range names {
-		if err := s.disturb(n, w.at(1)); err != nil {
+		if err := s.controlHost(n, w.at(1)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// cmdWorker does something to workers: worker W[,W...] kill|start|silent|answer|
-// break|mend. A name may end in * for all that begin so.
+// cmdWorker controls workers: worker W[,W...] kill|start|silent|answer|break|mend.
+// A silent worker runs its tasks but answers no sync, until it is told to answer.
+// A broken worker crashes each task that it starts, until it is mended. A name
+// that ends in * stands for all workers with this prefix.
 func cmdWorker(s *script, w words) error {
 	found := false
 	for _, pattern := range strings.Split(w.at(0), ",") {
@@ -357,7 +378,7 @@
 				continue
 			}
 			found = true
-			if err := s.disturbWorker(name, w.at(1)); err != nil {
+			if err := s.controlWorker(name, w.at(1)); err != nil {
 				return err
 			}
 		}
@@ -378,17 +399,18 @@
 	return nil
 }
 
-// cmdLog sets the mode of the log: log fine|refuse|hang|lose|late [by=2m]
-// [damage] [forget] [forget-old]. Damage appends a broken record, forget drops all
-// records.
+// cmdLog sets the mode of the log or changes its records: log MODE [by=2m], or log
+// damage|forget|forget-old. The modes are those of logMode; by is the delay of late
+// appends. Damage appends an invalid record, forget drops all records, and
+// forget-old drops all but the newest three.
 func cmdLog(s *script, w words) error {
 	switch w.at(0) {
 	case "damage":
-		s.land([]byte("this is no record of ours"))
+		s.appendToLog([]byte("this is no record of ours"))
 	case "forget":
 		s.log.Forget(s.log.Head() + 1)
 	case "forget-old":
-		// Keeps the newest snapshot and what follows it.
+		// The newest snapshot and the records after it remain.
 		s.log.Forget(s.log.Head() - 2)
 	default:
 		s.lateBy = w.duration("by", 2*time.Minute)
@@ -397,8 +419,8 @@
 	return nil
 }
 
-// cmdNetwork sets what happens to messages of workers, and the lag of the host list:
-// network loss=PERCENT dup=PERCENT lag=D.
+// cmdNetwork sets the share of lost and of duplicated messages between hosts and
+// workers, and the lag of the host list: network loss=PERCENT dup=PERCENT lag=D.
 func cmdNetwork(s *script, w words) error {
 	s.netLoss = float64(w.number("loss", 0)) / 100
 	s.netDup = float64(w.number("dup", 0)) / 100
@@ -406,7 +428,7 @@
 	return nil
 }
 
-// cmdJob expects a job's state: job JOB STATE [attempt=N].
+// cmdJob checks the state of a job: job JOB STATE [attempt=N].
 func cmdJob(s *script, w words) error {
 	j := s.ref.Jobs[id.Job(w.at(0))]
 	if j == nil {
@@ -418,9 +440,10 @@
 	return nil
 }
 
-// cmdVerdict expects the verdict on a proposal: verdict NAME accepted|pending|TEXT.
+// cmdVerdict checks the verdict on a proposal: verdict NAME accepted|pending|TEXT.
+// TEXT is part of the reason for a rejection.
 func cmdVerdict(s *script, w words) error {
-	err, ok := s.settled[w.at(0)]
+	err, ok := s.verdicts[w.at(0)]
 	got := "accepted"
 	switch {
 	case !ok:
@@ -434,8 +457,9 @@
 	return nil
 }
 
-// cmdAnswer expects the answers to the requests of a name: answer NAME
-// whole|CODE|pending [ran=no|yes|unknown] [count=N].
+// cmdAnswer checks the answers to the requests NAME, NAME-1, ...: answer NAME
+// whole|CODE|pending [ran=no|yes|unknown] [count=N]. With count, exactly N
+// requests have this answer; without it, all have.
 func cmdAnswer(s *script, w words) error {
 	got := map[string]int{}
 	for _, c := range s.calls {
@@ -454,7 +478,8 @@
 	return nil
 }
 
-// result names the final answer of a call.
+// result describes the final answer to a call: pending, whole for a relayed
+// answer, or the code of a refusal. With ran, it adds whether the request ran.
 func (c *call) result(ran bool) string {
 	if len(c.replies) == 0 {
 		return "pending"
@@ -470,16 +495,17 @@
 	return out
 }
 
-// cmdKeyRuns expects how often requests of ghent with a key ran: keyruns KEY N.
+// cmdKeyRuns checks how often requests of customer ghent with a key ran: keyruns
+// KEY N.
 func cmdKeyRuns(s *script, w words) error {
-	if n := strconv.Itoa(s.keys[state.Key{Customer: "ghent", Key: w.at(0)}]); n != w.at(1) {
+	if n := strconv.Itoa(s.keyRuns[state.Key{Customer: "ghent", Key: w.at(0)}]); n != w.at(1) {
 		return fmt.Errorf("key %s ran %s times", w.at(0), n)
 	}
 	return nil
 }
 
-// cmdExpect expects something of a host: expect HOST ready|joining|isolated|draining|
-// stopped|owner|config=latest.
+// cmdExpect checks a host: expect HOST STATE, expect HOST owner, or expect HOST
+// config=latest. STATE is ready, joining, isolated, draining or stopped.
 func cmdExpect(s *script, w words) error {
 	m := s.machines[id.Host(w.at(0))]
 	if w.at(1) == "owner" {
@@ -490,7 +516,7 @@
 	}
 	if w.named["config"] == "latest" {
 		if m.core.ConfigAt() != s.ref.ConfigAt {
-			return fmt.Errorf("host %s is at %d, the log at %d", m.name, m.core.ConfigAt(), s.ref.ConfigAt)
+			return fmt.Errorf("host %s has configuration %d, the log has %d", m.name, m.core.ConfigAt(), s.ref.ConfigAt)
 		}
 		return nil
 	}
@@ -500,9 +526,10 @@
 	return nil
 }
 
-// cmdPlanned expects of a kept plan that some line contains a text: planned NAME TEXT.
+// cmdPlanned checks that a line of a kept plan, a preempted job or the plan's
+// problem contains a text: planned NAME TEXT.
 func cmdPlanned(s *script, w words) error {
-	p := s.kept[w.at(0)]
+	p := s.plans[w.at(0)]
 	all := slices.Clone(p.Lines)
 	for _, j := range p.Preempts {
 		all = append(all, "preempts "+string(j))
