--- a/internal/experiment/play/earn.go
+++ b/internal/experiment/play/earn.go
@@ -9,48 +9,55 @@
 	"curlewsill.org/curlewsill/internal/experiment/setup"
 )
 
-// What a job earns, by the platform's rule of credit.
+// Parameters of the platform's credit rule, which says how much worth a job
+// earns.
 const (
-	// lateFactor times the time in which a job should be done is when it earns nothing any more.
+	// lateFactor bounds how late a job may complete: after lateFactor times its
+	// allowed time, it earns nothing.
 	lateFactor = 3
-	// leastWeight is what each job weighs, and the rest of 1 goes by its work against the mean of
-	// its kind; mostWeight is the most.
-	leastWeight = 0.3
-	mostWeight  = 4
+	// minWeight is the part of a job's weight that doesn't depend on its work.
+	// The rest is 1-minWeight times the job's work divided by the mean work of
+	// its kind. maxWeight bounds the sum.
+	minWeight = 0.3
+	maxWeight = 4
 )
 
-// account adds up one kind.
-type account struct {
-	kind         *setup.Kind
-	out          result.Kind
-	started      []float64
-	meanWork     float64
-	earned, owed float64
+// kindScore collects the results of the jobs of one kind.
+type kindScore struct {
+	kind *setup.Kind
+	out  result.Kind
+	// startDelays has the times from submission to the first start, in seconds.
+	startDelays []float64
+	meanWork    float64
+	// earned is the worth that the jobs have earned, and possible the worth that
+	// they earn if all of them complete in time.
+	earned, possible float64
 }
 
-// earn adds up the kinds, and what they earn together.
-func earn(out *result.Run, outcomes []world.Outcome, s *setup.Setup, t world.Tally) {
-	earned, owed := 0.0, 0.0
+// scoreKinds fills in the results of each kind, and the worth of all kinds
+// together.
+func scoreKinds(out *result.Run, outcomes []world.Outcome, s *setup.Setup, t world.Tally) {
+	earned, possible := 0.0, 0.0
 	for i := range s.Kinds {
-		a := account{kind: &s.Kinds[i], out: result.Kind{Kind: s.Kinds[i].Name}}
-		a.meanWork = meanWork(outcomes, a.kind.Name)
+		k := kindScore{kind: &s.Kinds[i], out: result.Kind{Kind: s.Kinds[i].Name}}
+		k.meanWork = meanWork(outcomes, k.kind.Name)
 		for _, o := range outcomes {
-			if o.Kind == a.kind.Name {
-				a.add(o)
+			if o.Kind == k.kind.Name {
+				k.add(o)
 			}
 		}
-		a.close()
-		out.Kinds = append(out.Kinds, a.out)
-		earned += a.earned
-		owed += a.owed
+		k.finish()
+		out.Kinds = append(out.Kinds, k.out)
+		earned += k.earned
+		possible += k.possible
 	}
-	if owed > 0 {
-		out.Worth = earned / owed
-		out.Net = (earned - s.Prices.Waste*t.Wasted - s.Prices.Start*float64(t.Starts)) / owed
+	if possible > 0 {
+		out.Worth = earned / possible
+		out.Net = (earned - s.Prices.Waste*t.Wasted - s.Prices.Start*float64(t.Starts)) / possible
 	}
 }
 
-// meanWork returns the mean work of the jobs of a kind that can run.
+// meanWork returns the mean work of the jobs of a kind, without refused jobs.
 func meanWork(outcomes []world.Outcome, kind string) float64 {
 	sum, n := 0.0, 0
 	for _, o := range outcomes {
@@ -65,59 +72,61 @@
 	return sum / float64(n)
 }
 
-// add takes one job in. Nothing is owed for jobs that were refused or cancelled, or that crash workers.
-func (a *account) add(o world.Outcome) {
-	a.out.Arrived++
+// add adds the outcome of one job. Jobs that were refused or cancelled, or that
+// crash workers, count neither as earned nor as possible worth.
+func (k *kindScore) add(o world.Outcome) {
+	k.out.Arrived++
 	switch o.State {
 	case world.Refused:
-		a.out.Refused++
+		k.out.Refused++
 		return
 	case world.Cancelled:
-		a.out.Cancelled++
+		k.out.Cancelled++
 		return
 	case world.Open:
-		a.out.Open++
+		k.out.Open++
 	case world.Failed:
-		a.out.Failed++
+		k.out.Failed++
 	case world.Completed:
-		a.out.Completed++
-		a.out.Took = append(a.out.Took, o.Took.Seconds())
+		k.out.Completed++
+		k.out.Took = append(k.out.Took, o.Took.Seconds())
 	}
 	if o.Started > 0 {
-		a.started = append(a.started, o.Started.Seconds())
+		k.startDelays = append(k.startDelays, o.Started.Seconds())
 	}
 	if o.Crashes {
 		return
 	}
-	w := leastWeight + (1-leastWeight)*o.Work/a.meanWork
-	w = min(w, mostWeight)
-	a.owed += w * a.kind.Worth
-	a.earned += w * a.worth(o)
+	weight := minWeight + (1-minWeight)*o.Work/k.meanWork
+	weight = min(weight, maxWeight)
+	k.possible += weight * k.kind.Worth
+	k.earned += weight * k.worth(o)
 }
 
-// worth returns what one job earns by its time. A job that can't be done earns by being shown as
-// failed.
-func (a *account) worth(o world.Outcome) float64 {
+// worth returns the worth that one job earns before weighting, by the time that
+// it took. A job whose runs always fail earns its worth by ending as failed. worth
+// also counts the job as in time or late.
+func (k *kindScore) worth(o world.Outcome) float64 {
 	done := o.State == world.Completed || o.State == world.Failed && o.Fails >= 1
-	allowed := time.Duration(a.kind.Stretch*float64(o.Chain)) + a.kind.Target
+	allowed := time.Duration(k.kind.Stretch*float64(o.Chain)) + k.kind.Target
 	switch {
 	case !done || o.Took > lateFactor*allowed:
 		return 0
 	case o.Took > allowed:
-		a.out.Late++
-		return a.kind.LateWorth
+		k.out.Late++
+		return k.kind.LateWorth
 	}
-	a.out.InTime++
-	return a.kind.Worth
+	k.out.InTime++
+	return k.kind.Worth
 }
 
-// close fills in what needs all jobs of the kind.
-func (a *account) close() {
-	if a.owed > 0 {
-		a.out.Worth = a.earned / a.owed
+// finish fills in the results that need all jobs of the kind.
+func (k *kindScore) finish() {
+	if k.possible > 0 {
+		k.out.Worth = k.earned / k.possible
 	}
-	slices.Sort(a.out.Took)
-	slices.Sort(a.started)
-	a.out.P50, a.out.P90, a.out.P99 = result.Quantile(a.out.Took, 0.5), result.Quantile(a.out.Took, 0.9), result.Quantile(a.out.Took, 0.99)
-	a.out.StartP90 = result.Quantile(a.started, 0.9)
+	slices.Sort(k.out.Took)
+	slices.Sort(k.startDelays)
+	k.out.P50, k.out.P90, k.out.P99 = result.Quantile(k.out.Took, 0.5), result.Quantile(k.out.Took, 0.9), result.Quantile(k.out.Took, 0.99)
+	k.out.StartP90 = result.Quantile(k.startDelays, 0.9)
 }
--- a/internal/experiment/play/play.go
+++ b/internal/experiment/play/play.go
@@ -1,4 +1,4 @@
-// Package play plays one policy with one seed.
+// Package play simulates one policy with one seed.
 package play
 
 import (
@@ -17,9 +17,11 @@
 	"curlewsill.org/curlewsill/internal/experiment/setup"
 )
 
-// Play plays the events with a policy. It returns ctx's error if that is done before the end.
+// Play simulates the site with a policy and the given events. The simulation ends
+// when the settle time has passed after the experiment's length or the last event,
+// whichever is later. If ctx is done earlier, Play returns ctx's error.
 func Play(ctx context.Context, s *setup.Setup, p *setup.Policy, seed uint64, events []arrive.Event) (result.Run, error) {
-	w, err := world.New(begin(s, p, seed))
+	w, err := world.New(worldSetup(s, p, seed))
 	if err != nil {
 		return result.Run{}, err
 	}
@@ -30,7 +32,7 @@
 	}
 	for _, e := range events {
 		w.Plan(e.At, func() {
-			if err := happen(w, e); err != nil && !errors.Is(err, world.ErrNeverFits) {
+			if err := apply(w, e); err != nil && !errors.Is(err, world.ErrNeverFits) {
 				out.Violations = append(out.Violations, err.Error())
 			}
 		})
@@ -42,12 +44,13 @@
 		w.Run(s.Sample)
 		out.Samples = append(out.Samples, w.Sample())
 	}
-	sum(&out, w, s, length)
+	summarize(&out, w, s, length)
 	return out, nil
 }
 
-// begin returns what the world begins with.
-func begin(s *setup.Setup, p *setup.Policy, seed uint64) world.Setup {
+// worldSetup returns the setup of the simulated site, with the policy's changes
+// to cores and lease bound.
+func worldSetup(s *setup.Setup, p *setup.Policy, seed uint64) world.Setup {
 	bounds := s.Bounds
 	if p.MaxLease > 0 {
 		bounds.MaxLease = p.MaxLease
@@ -66,8 +69,9 @@
 	return out
 }
 
-// happen lets one event happen. A worker that isn't there is left out.
-func happen(w *world.World, e arrive.Event) error {
+// apply applies one event to the simulated site. Events of an unknown worker have
+// no effect.
+func apply(w *world.World, e arrive.Event) error {
 	switch {
 	case e.Job != nil:
 		return w.Submit(*e.Job)
@@ -80,16 +84,17 @@
 	case e.Up != "":
 		w.Up(e.Up)
 	default:
-		return fmt.Errorf("play: %w", errEmpty)
+		return fmt.Errorf("play: %w", errEmptyEvent)
 	}
 	return nil
 }
 
-// errEmpty reports an event of nothing.
-var errEmpty = errors.New("an empty event")
+// errEmptyEvent reports an event that has no job, cancellation, worker or fault.
+var errEmptyEvent = errors.New("event has no job, cancellation, worker or fault")
 
-// sum adds a run up.
-func sum(out *result.Run, w *world.World, s *setup.Setup, length time.Duration) {
+// summarize fills in the figures of a run. Use and Fragmentation are means over
+// the samples up to length.
+func summarize(out *result.Run, w *world.World, s *setup.Setup, length time.Duration) {
 	t := w.Tally()
 	out.Starts, out.Stopped, out.Broken, out.Lapsed = t.Starts, t.Stopped, t.Broken, t.Lapsed
 	out.Crashes = t.Crashes
@@ -100,16 +105,16 @@
 	}
 	out.Violations = append(out.Violations, w.Violations()...)
 	n := 0.0
-	for _, x := range out.Samples {
-		if x.At > length {
+	for _, sample := range out.Samples {
+		if sample.At > length {
 			break
 		}
-		out.Use += x.Use
-		out.Fragmentation += x.Fragmentation
+		out.Use += sample.Use
+		out.Fragmentation += sample.Fragmentation
 		n++
 	}
 	if n > 0 {
 		out.Use, out.Fragmentation = out.Use/n, out.Fragmentation/n
 	}
-	earn(out, w.Outcomes(), s, t)
+	scoreKinds(out, w.Outcomes(), s, t)
 }
--- a/internal/experiment/result/result.go
+++ b/internal/experiment/result/result.go
@@ -1,4 +1,5 @@
-// Package result holds what came out of an experiment, and compares policies seed by seed.
+// Package result holds the results of an experiment, and compares policies seed
+// by seed.
 package result
 
 import (
@@ -8,32 +9,40 @@
 	"curlewsill.org/curlewsill/core/world"
 )
 
-// Run is what came out of one policy with one seed.
+// Run is the result of one policy with one seed.
 type Run struct {
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
-	// Worth is the part of what the jobs could earn that they earned, Net the same less prices.
+	// Worth is the worth that the jobs earned, divided by the worth that they earn
+	// if all of them complete in time. Net is the same after the prices of starts
+	// and wasted work are subtracted.
 	Worth float64 `json:"worth"`
 	Net   float64 `json:"net"`
-	// Use is the mean part of the accelerators in use while jobs came, Fragmentation the mean part
-	// of the free ones that are on workers in use.
+	// Use is the mean share of the accelerators in use while jobs arrived.
+	// Fragmentation is the mean share of the free accelerators that are on
+	// workers in use.
 	Use           float64 `json:"use"`
 	Fragmentation float64 `json:"fragmentation"`
-	// Wasted is the part of the work of all runs that was thrown away.
-	Wasted  float64 `json:"wasted"`
-	Starts  int     `json:"starts"`
-	Stopped int     `json:"stopped"`
-	Broken  int     `json:"broken"`
-	Lapsed  int     `json:"lapsed"`
-	// Crashes counts the lives of workers that tasks have ended.
+	// Wasted is the share of the work of all runs that was lost.
+	Wasted float64 `json:"wasted"`
+	// Starts counts the runs that workers started. Stopped, Broken and Lapsed
+	// count those that ended by a stop order, by the loss of another member of
+	// their gang, and because their lease had lapsed.
+	Starts  int `json:"starts"`
+	Stopped int `json:"stopped"`
+	Broken  int `json:"broken"`
+	Lapsed  int `json:"lapsed"`
+	// Crashes counts the worker incarnations that tasks have crashed.
 	Crashes int `json:"crashes"`
-	// OwnerBusy is the part of the owner's processor in use, OwnerWait the longest time that
-	// something waited for it.
+	// OwnerBusy is the share of the time in which the owner's processor was busy.
+	// OwnerWait is the longest time for which anything waited for it.
 	OwnerBusy float64 `json:"owner_busy"`
 	OwnerWait float64 `json:"owner_wait_s"`
-	Passes    int     `json:"passes"`
-	Claims    int     `json:"claims"`
-	// Violations lists the first invariants that did not hold; none is what is expected.
+	// Passes counts the owners' scheduling passes, Claims the claims of ownership.
+	Passes int `json:"passes"`
+	Claims int `json:"claims"`
+	// Violations lists the first invariants that didn't hold. It is expected to be
+	// empty.
 	Violations []string `json:"violations"`
 	Kinds      []Kind   `json:"kinds"`
 
@@ -41,29 +50,35 @@
 	Samples []world.Sample `json:"-"`
 }
 
-// Kind is what came out of one kind of job.
+// Kind is the result of the jobs of one kind.
 type Kind struct {
 	Kind string `json:"kind"`
-	// Arrived counts all jobs, the others what became of them. Refused jobs can never run.
+	// Arrived counts all jobs of the kind; the counters after it divide them by
+	// outcome. Refused jobs can never run on the site. Open jobs had no outcome at
+	// the end of the simulation.
 	Arrived   int `json:"arrived"`
 	Refused   int `json:"refused"`
 	Completed int `json:"completed"`
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
 	Open      int `json:"open"`
-	// InTime and Late count the jobs that earned their worth, or the one for late ones.
+	// InTime counts the jobs that earned their whole worth, Late those that earned
+	// the worth of late jobs.
 	InTime int `json:"in_time"`
 	Late   int `json:"late"`
-	// Worth is the part of what they could earn.
+	// Worth is the worth that the jobs earned, divided by the worth that they earn
+	// if all of them complete in time.
 	Worth float64 `json:"worth"`
-	// P50 and the others are quantiles of the time to completion, Start that to the first start,
-	// in seconds.
+	// P50, P90 and P99 are quantiles of the time from submission to completion,
+	// and StartP90 is one of the time from submission to the first start, all in
+	// seconds.
 	P50      float64 `json:"p50_s"`
 	P90      float64 `json:"p90_s"`
 	P99      float64 `json:"p99_s"`
 	StartP90 float64 `json:"start_p90_s"`
 
-	// Took has the sorted times to completion in seconds, for charts.
+	// Took has the sorted times from submission to completion in seconds, for
+	// charts.
 	Took []float64 `json:"-"`
 }
 
@@ -83,35 +98,39 @@
 type Report struct {
 	LengthS float64  `json:"length_s"`
 	Seeds   []uint64 `json:"seeds"`
-	// Policies are those of the experiment in their order.
+	// Policies holds the policies' names in the order of the experiment.
 	Policies []string `json:"policies"`
-	// Partial is set if the experiment was ended before all were played.
+	// Partial is set if the experiment ended before all policies were played with
+	// all seeds.
 	Partial bool `json:"partial"`
-	// Runs are ordered by policy and seed. Those that were not played to their end are missing.
+	// Runs are ordered by policy and seed. Runs that didn't complete are missing.
 	Runs []Run `json:"runs"`
-	// Means has one entry for each policy and measure, Differences one for each policy but the
-	// first. Only seeds count that were played with both.
+	// Means has one entry for each policy and measure. Differences has one for
+	// each policy but the first and each measure, over the seeds that were played
+	// with both that policy and the first.
 	Means       []Mean `json:"means"`
 	Differences []Mean `json:"differences"`
 }
 
-// Mean is the mean of a measure over seeds, or of its differences to the first policy.
+// Mean is the mean of a measure over seeds, or of its differences to the first
+// policy.
 type Mean struct {
 	Policy  string  `json:"policy"`
 	Measure string  `json:"measure"`
 	Seeds   int     `json:"seeds"`
 	Mean    float64 `json:"mean"`
-	// StdErr is the standard error of the mean; 0 for fewer than two seeds.
+	// StdErr is the standard error of the mean, or 0 for fewer than two seeds.
 	StdErr float64 `json:"stderr"`
 }
 
-// measure is one figure of a run.
+// measure is a figure of a run by which policies are compared.
 type measure struct {
-	name string
-	of   func(*Run) float64
+	name  string
+	value func(*Run) float64
 }
 
-// measures returns the figures that are compared: those of all runs, and some for each kind.
+// measures returns the measures that are compared: those of whole runs, and three
+// for each kind of job.
 func measures(runs []Run) []measure {
 	out := []measure{
 		{"worth", func(r *Run) float64 { return r.Worth }},
@@ -139,7 +158,7 @@
 	return out
 }
 
-// Sum fills in the means and differences of the runs that are there.
+// Sum fills in Means and Differences from Runs.
 func (r *Report) Sum() {
 	all := measures(r.Runs)
 	for i, p := range r.Policies {
@@ -152,18 +171,19 @@
 	}
 }
 
-// values returns a measure of a policy's runs.
+// values returns the values of a measure for each run of a policy.
 func (r *Report) values(p string, m measure) []float64 {
 	var out []float64
 	for i := range r.Runs {
 		if r.Runs[i].Policy == p {
-			out = append(out, m.of(&r.Runs[i]))
+			out = append(out, m.value(&r.Runs[i]))
 		}
 	}
 	return out
 }
 
-// paired returns the differences to the first policy's runs with the same seeds.
+// paired returns the differences of a measure between a policy's runs and the first
+// policy's runs with the same seeds.
 func (r *Report) paired(p string, m measure) []float64 {
 	var out []float64
 	for i := range r.Runs {
@@ -173,7 +193,7 @@
 		}
 		at := slices.IndexFunc(r.Runs, func(b Run) bool { return b.Policy == r.Policies[0] && b.Seed == a.Seed })
 		if at >= 0 {
-			out = append(out, m.of(a)-m.of(&r.Runs[at]))
+			out = append(out, m.value(a)-m.value(&r.Runs[at]))
 		}
 	}
 	return out
@@ -200,7 +220,8 @@
 	return out
 }
 
-// Of returns the mean of a policy's measure.
+// Of returns the entry for a policy and measure from a list of means, or an empty
+// one if there is none.
 func Of(means []Mean, policy, name string) Mean {
 	for _, m := range means {
 		if m.Policy == policy && m.Measure == name {
@@ -210,7 +231,8 @@
 	return Mean{Policy: policy, Measure: name}
 }
 
-// Quantile returns the q-quantile of sorted values by the nearest rank; 0 if there are none.
+// Quantile returns the q-quantile of sorted values by the nearest-rank method, or 0
+// if there are no values.
 func Quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/experiment/result/result_test.go
+++ b/internal/experiment/result/result_test.go
@@ -7,8 +7,9 @@
 	"curlewsill.org/curlewsill/internal/experiment/result"
 )
 
-// TestDifferences compares two policies of which one lacks a seed: only pairs count. The
-// differences 0.1 and 0.3 have the mean 0.2, the standard deviation 0.1414 and the standard error 0.1.
+// TestDifferences compares two policies of which one lacks a seed: differences
+// cover only the seeds that both have. The differences 0.1 and 0.3 have the mean
+// 0.2, the standard deviation 0.1414 and the standard error 0.1.
 func TestDifferences(t *testing.T) {
 	r := result.Report{
 		Policies: []string{"a", "b"},
@@ -36,7 +37,7 @@
 	}
 }
 
-// TestQuantile takes the nearest rank.
+// TestQuantile checks quantiles by the nearest-rank method.
 func TestQuantile(t *testing.T) {
 	for _, c := range []struct {
 		sorted  []float64
@@ -49,7 +50,7 @@
 		{[]float64{1, 2, 3, 4}, 0, 1},
 	} {
 		if got := result.Quantile(c.sorted, c.q); got != c.want {
-			t.Errorf("%v of %v is %v, want %v", c.q, c.sorted, got, c.want)
+			t.Errorf("%v-quantile of %v is %v, want %v", c.q, c.sorted, got, c.want)
 		}
 	}
 }
