--- a/internal/dayreport/cause.go
+++ b/internal/dayreport/cause.go
@@ -2,55 +2,60 @@
 
 import "strings"
 
-// cause is what a job lost time by.
+// cause is the reason why a job lost time. Its value is shown in the report.
 type cause string
 
 // The causes.
 const (
-	// waited: no room for its first run, or no room that was good enough.
-	waited cause = "waiting for room"
-	// preempted: stopped for more urgent work.
+	// waitedForRoom: there was no room for the job's first run, or none that was
+	// good enough.
+	waitedForRoom cause = "waiting for room"
+	// preempted: the run was stopped to make room for more urgent work.
 	preempted cause = "stopped for urgent work"
-	// stalled: its run made no progress.
+	// stalled: the run made no progress.
 	stalled cause = "no progress"
-	// left: its worker was taken away.
-	left cause = "worker left"
-	// crashed: its worker was lost, or didn't know the run any more.
-	crashed cause = "worker lost"
-	// failed: its own run, or another member of its gang, failed.
-	failed cause = "a run failed"
-	// consequence: another member of its gang ended; the reason is that one's.
-	consequence cause = "gang member ended"
-	// slow: nothing of it was stopped; slow workers, several steps, or places far from its data or from each other.
+	// workerLeft: the run was stopped because its worker was leaving.
+	workerLeft cause = "worker left"
+	// workerLost: the worker was lost, or it no longer listed the run.
+	workerLost cause = "worker lost"
+	// runFailed: the run failed, or that of another member of its gang.
+	runFailed cause = "a run failed"
+	// memberEnded: the run ended because another member of its gang had ended. The
+	// real reason is in that member's lines.
+	memberEnded cause = "gang member ended"
+	// slow: no run of the job was stopped or lost. Its workers were slow, it has
+	// several steps, or its tasks were placed far from their data or from each
+	// other.
 	slow cause = "slow runs, later steps"
-	// other: any other reason.
+	// other: the reason is none of those above.
 	other cause = "another reason"
 )
 
-// words lead from what a line says to a cause. The first one that is found counts. "running" and "stopping" stand in lines of runs that their worker
-// doesn't list any more: what they were then.
-var words = []struct {
+// causeWords maps words in the reason of a log line to a cause. The first match
+// counts. "running" and "stopping" occur in task-vanished lines, about runs that
+// their worker no longer lists: they are the last known state of the run.
+var causeWords = []struct {
 	word  string
 	cause cause
 }{
 	{"makes room", preempted},
 	{"no progress", stalled},
-	{"its worker leaves", left},
-	{"lease has lapsed", crashed},
-	{"another life", crashed},
-	{"lapsed", crashed},
-	{"running", crashed},
-	{"stopping", crashed},
-	{"failed", failed},
-	{"alone", consequence},
-	{"broken", consequence},
-	{"stopped", consequence},
-	{"gang member", consequence},
+	{"its worker leaves", workerLeft},
+	{"lease has lapsed", workerLost},
+	{"another life", workerLost},
+	{"lapsed", workerLost},
+	{"running", workerLost},
+	{"stopping", workerLost},
+	{"failed", runFailed},
+	{"alone", memberEnded},
+	{"broken", memberEnded},
+	{"stopped", memberEnded},
+	{"gang member", memberEnded},
 }
 
-// causeOf returns the cause that a line's reason names.
+// causeOf returns the cause for the reason that a log line gives.
 func causeOf(why string) cause {
-	for _, w := range words {
+	for _, w := range causeWords {
 		if strings.Contains(why, w.word) {
 			return w.cause
 		}
@@ -58,10 +63,11 @@
 	return other
 }
 
-// decision says whether the time was lost by a decision of the owner's, so that another one could have saved it.
+// decision returns "yes" if the time was lost by a decision of the owner, so that
+// another decision could have saved it, else "no".
 func (c cause) decision() string {
 	switch c {
-	case waited, preempted, stalled, slow:
+	case waitedForRoom, preempted, stalled, slow:
 		return "yes"
 	}
 	return "no"
--- a/internal/dayreport/dayreport.go
+++ b/internal/dayreport/dayreport.go
@@ -1,5 +1,7 @@
-// Package dayreport tells from the logs of the entry hosts of a site where its jobs lost time: waiting for room, being started again, and why, or not
-// being taken at all. It says of each cause whether another decision of the owner's could have saved that time.
+// Package dayreport analyses the logs of a site's entry hosts and reports where jobs
+// lost time: how long they waited for room, how much time restarts cost and for which
+// reason, and which submissions were rejected. For each cause it shows whether another
+// decision of the owner could have saved the time.
 package dayreport
 
 import (
@@ -20,7 +22,7 @@
 // maxLine bounds one line of a log in bytes.
 const maxLine = 1 << 20
 
-// line has what is used of one line of a log.
+// line has the fields of a log line that the report uses.
 type line struct {
 	When   time.Time `json:"ts"`
 	Event  string    `json:"msg"`
@@ -31,30 +33,32 @@
 	Task   string    `json:"task"`
 	Run    job.Run   `json:"run"`
 	Why    string    `json:"why"`
-	// Age is in seconds.
+	// Age is the run time in seconds, in task-ended lines.
 	Age float64 `json:"age"`
 }
 
-// Report is what became of the jobs of some logs. Its zero value is not ready; call New.
+// Report collects the histories of the jobs in some logs. Its zero value isn't
+// usable; call New.
 type Report struct {
-	// lines are those about jobs, of all logs.
+	// lines has the lines about jobs from all logs that aren't processed yet.
 	lines []line
-	jobs  map[id.Job]*story
-	// refused counts the submissions that were not taken, by queue and reason.
-	refused []refusal
+	jobs  map[id.Job]*jobHistory
+	// rejections counts the rejected submissions by queue and reason.
+	rejections []rejection
 }
 
-// refusal is a number of submissions that were not taken for one reason.
-type refusal struct {
+// rejection counts the submissions to one queue that were rejected for one reason.
+type rejection struct {
 	queue id.Queue
 	why   string
 	calls int
 }
 
 // New returns a report without jobs.
-func New() *Report { return &Report{jobs: map[id.Job]*story{}} }
+func New() *Report { return &Report{jobs: map[id.Job]*jobHistory{}} }
 
-// Read takes in one log. Lines may have a prefix before their JSON; those of other programs are passed over.
+// Read reads one log. Lines may have a prefix before their JSON. Lines that aren't
+// about a job, such as those of other programs, are skipped.
 func (r *Report) Read(log io.Reader) error {
 	sc := bufio.NewScanner(log)
 	sc.Buffer(nil, maxLine)
@@ -71,8 +75,9 @@
 	return sc.Err()
 }
 
-// tell takes in what was read, the oldest lines first, whichever host they are of.
-func (r *Report) tell() {
+// process adds the lines that were read to the jobs' histories, the oldest first
+// across all hosts.
+func (r *Report) process() {
 	slices.SortStableFunc(r.lines, func(a, b line) int { return a.When.Compare(b.When) })
 	for _, l := range r.lines {
 		r.add(l)
@@ -80,118 +85,126 @@
 	r.lines = nil
 }
 
-// add takes in one line about a job.
+// add processes one line about a job.
 func (r *Report) add(l line) {
 	if l.Event == "call" && l.Method == "POST" && l.Status >= 400 {
-		r.refuse(l)
+		r.addRejection(l)
 		return
 	}
-	s := r.jobs[l.Job]
-	if s == nil {
-		s = &story{starts: map[string]time.Time{}}
-		r.jobs[l.Job] = s
+	h := r.jobs[l.Job]
+	if h == nil {
+		h = &jobHistory{starts: map[string]time.Time{}}
+		r.jobs[l.Job] = h
 	}
-	s.add(l)
+	h.add(l)
 }
 
-// refuse counts a submission that was not taken.
-func (r *Report) refuse(l line) {
-	i := slices.IndexFunc(r.refused, func(x refusal) bool { return x.queue == l.Queue && x.why == l.Why })
+// addRejection counts a rejected submission.
+func (r *Report) addRejection(l line) {
+	i := slices.IndexFunc(r.rejections, func(x rejection) bool { return x.queue == l.Queue && x.why == l.Why })
 	if i < 0 {
-		r.refused = append(r.refused, refusal{queue: l.Queue, why: l.Why})
-		i = len(r.refused) - 1
+		r.rejections = append(r.rejections, rejection{queue: l.Queue, why: l.Why})
+		i = len(r.rejections) - 1
 	}
-	r.refused[i].calls++
+	r.rejections[i].calls++
 }
 
-// story is what the logs have of one job.
-type story struct {
+// jobHistory is the history of one job as the logs show it.
+type jobHistory struct {
 	queue id.Queue
-	// accepted, placed and ended are when it was taken, first placed and ended; zero if no line tells.
+	// accepted, placed and ended are the times at which the job was accepted, first
+	// placed and ended. Each is zero if the logs don't show it.
 	accepted, placed, ended time.Time
-	// cancelled is set if its customer took it back.
+	// cancelled is set if the customer cancelled the job.
 	cancelled bool
-	// starts holds when the newest run of each task was placed.
+	// starts holds the time at which the newest run of each task was placed.
 	starts map[string]time.Time
-	// work is how long its longest task that was done has run, redone for how long runs went on that were not done, by why the longest of them ended.
-	work, redone time.Duration
-	why          cause
+	// longestDone is the run time of the longest run that ended with success.
+	// longestLost is how long the longest other run lasted, and lossCause why that
+	// one ended.
+	longestDone, longestLost time.Duration
+	lossCause                cause
 }
 
-// add takes in one line.
-func (s *story) add(l line) {
+// add processes one line about the job.
+func (h *jobHistory) add(l line) {
 	switch dispatch.Event(l.Event) {
 	case "call":
-		if l.Method == "POST" && s.accepted.IsZero() {
-			s.accepted, s.queue = l.When, l.Queue
+		if l.Method == "POST" && h.accepted.IsZero() {
+			h.accepted, h.queue = l.When, l.Queue
 		}
 	case dispatch.EventTaskPlaced:
-		if s.placed.IsZero() {
-			s.placed = l.When
+		if h.placed.IsZero() {
+			h.placed = l.When
 		}
-		s.starts[l.Task] = l.When
+		h.starts[l.Task] = l.When
 	case dispatch.EventTaskEnded, dispatch.EventTaskLost, dispatch.EventTaskVanished:
-		s.endRun(l)
+		h.endRun(l)
 	case dispatch.EventTaskStop:
-		s.blame(l, causeOf(l.Why))
+		h.addLoss(l, causeOf(l.Why))
 	case dispatch.EventJobEnded:
-		s.ended, s.cancelled = l.When, l.Why == "cancelled"
+		h.ended, h.cancelled = l.When, l.Why == "cancelled"
 	}
 }
 
-// endRun takes in that a run has ended.
-func (s *story) endRun(l line) {
+// endRun processes the end or the loss of a run.
+func (h *jobHistory) endRun(l line) {
 	if l.Why == "done" {
-		s.work = max(s.work, time.Duration(l.Age*float64(time.Second)))
+		h.longestDone = max(h.longestDone, time.Duration(l.Age*float64(time.Second)))
 		return
 	}
-	s.blame(l, causeOf(l.Why))
+	h.addLoss(l, causeOf(l.Why))
 }
 
-// blame takes in why a run is over that was not done. What befell the longest one counts.
-func (s *story) blame(l line, c cause) {
-	began, known := s.starts[l.Task]
-	if lasted := l.When.Sub(began); known && lasted > s.redone {
-		s.redone = lasted
-		if c != consequence || s.why == "" {
-			s.why = c
+// addLoss processes the end of a run without success. The cause of the longest such
+// run counts, but memberEnded doesn't replace another cause.
+func (h *jobHistory) addLoss(l line, c cause) {
+	began, known := h.starts[l.Task]
+	if lasted := l.When.Sub(began); known && lasted > h.longestLost {
+		h.longestLost = lasted
+		if c != memberEnded || h.lossCause == "" {
+			h.lossCause = c
 		}
 	}
 }
 
-// lost returns for how long the job took longer than its work, waiting for its first run, and from then on.
-func (s *story) lost() (waiting, later time.Duration) {
-	waiting = s.placed.Sub(s.accepted)
-	return max(0, waiting), max(0, s.ended.Sub(s.placed)-s.work)
+// lost returns how much time the job lost: until its first placement, and from then
+// to its end beyond the time of its longest successful run.
+func (h *jobHistory) lost() (waiting, later time.Duration) {
+	waiting = h.placed.Sub(h.accepted)
+	return max(0, waiting), max(0, h.ended.Sub(h.placed)-h.longestDone)
 }
 
-// whole reports whether the logs tell all of the job, and its customer has waited for its end.
-func (s *story) whole() bool {
-	return !s.accepted.IsZero() && !s.placed.IsZero() && !s.ended.IsZero() && !s.cancelled
+// complete reports whether the logs show the job's acceptance, first placement and
+// end, and the job wasn't cancelled.
+func (h *jobHistory) complete() bool {
+	return !h.accepted.IsZero() && !h.placed.IsZero() && !h.ended.IsZero() && !h.cancelled
 }
 
 // row is one line of the report.
 type row struct {
 	queue id.Queue
-	// period numbers the periods in which jobs were accepted, from 0.
+	// period is the number of the period in which the jobs were accepted, from 0.
 	period int
 	cause  cause
 	jobs   int
 	lost   time.Duration
 }
 
-// period is the length of the periods that are told apart.
-const period = 2 * time.Second
+// periodLength is the length of the periods of acceptance by which the report groups
+// jobs.
+const periodLength = 2 * time.Second
 
-// leastLost is from which loss on a job counts: what a call, a record and an order take.
-const leastLost = 500 * time.Millisecond
+// minLost is the smallest loss that counts. A call, a record and an order take about
+// this long in any case.
+const minLost = 500 * time.Millisecond
 
-// rows are the losses by queue, period and cause.
+// rows has the losses by queue, period and cause.
 type rows []row
 
-// count adds what one job has lost.
-func (r *rows) count(queue id.Queue, period int, c cause, lost time.Duration) {
-	if lost < leastLost {
+// add adds the loss of one job, unless it is below minLost.
+func (r *rows) add(queue id.Queue, period int, c cause, lost time.Duration) {
+	if lost < minLost {
 		return
 	}
 	i := slices.IndexFunc(*r, func(x row) bool { return x.queue == queue && x.period == period && x.cause == c })
@@ -203,19 +216,20 @@
 	(*r)[i].lost += lost
 }
 
-// losses returns the losses by queue and cause, the largest first, and by the period of acceptance and cause.
+// losses returns the losses by queue and cause, the largest first, and by period of
+// acceptance and cause.
 func (r *Report) losses() (byQueue, byPeriod rows) {
 	begin := r.begin()
-	for _, s := range r.jobs {
-		if !s.whole() {
+	for _, h := range r.jobs {
+		if !h.complete() {
 			continue
 		}
-		waiting, later := s.lost()
-		at := int(s.accepted.Sub(begin) / period)
-		byQueue.count(s.queue, 0, waited, waiting)
-		byQueue.count(s.queue, 0, s.laterCause(), later)
-		byPeriod.count("", at, waited, waiting)
-		byPeriod.count("", at, s.laterCause(), later)
+		waiting, later := h.lost()
+		period := int(h.accepted.Sub(begin) / periodLength)
+		byQueue.add(h.queue, 0, waitedForRoom, waiting)
+		byQueue.add(h.queue, 0, h.laterCause(), later)
+		byPeriod.add("", period, waitedForRoom, waiting)
+		byPeriod.add("", period, h.laterCause(), later)
 	}
 	slices.SortFunc(byQueue, func(a, b row) int {
 		return cmp.Or(cmp.Compare(b.lost, a.lost), cmp.Compare(a.queue, b.queue), cmp.Compare(a.cause, b.cause))
@@ -226,51 +240,52 @@
 	return byQueue, byPeriod
 }
 
-// begin returns when the first job was accepted.
+// begin returns the time at which the first job was accepted.
 func (r *Report) begin() time.Time {
 	var first time.Time
-	for _, s := range r.jobs {
-		if !s.accepted.IsZero() && (first.IsZero() || s.accepted.Before(first)) {
-			first = s.accepted
+	for _, h := range r.jobs {
+		if !h.accepted.IsZero() && (first.IsZero() || h.accepted.Before(first)) {
+			first = h.accepted
 		}
 	}
 	return first
 }
 
-// laterCause returns what a job lost time by after its first placement.
-func (s *story) laterCause() cause {
-	if s.why == "" {
+// laterCause returns why a job lost time after its first placement.
+func (h *jobHistory) laterCause() cause {
+	if h.lossCause == "" {
 		return slow
 	}
-	return s.why
+	return h.lossCause
 }
 
 // Print writes the report.
 func (r *Report) Print(w io.Writer) error {
-	r.tell()
-	whole := 0
-	for _, s := range r.jobs {
-		if s.whole() {
-			whole++
+	r.process()
+	complete := 0
+	for _, h := range r.jobs {
+		if h.complete() {
+			complete++
 		}
 	}
 	byQueue, byPeriod := r.losses()
 	out := &printer{w: w}
-	out.printf("%d jobs, %d of them told from their acceptance to their end and not cancelled\n\n", len(r.jobs), whole)
+	out.printf("%d jobs, %d of them told from their acceptance to their end and not cancelled\n\n", len(r.jobs), complete)
 	out.printf("%-16s %-24s %-9s %6s %9s\n", "queue", "time lost by", "decision", "jobs", "seconds")
 	for _, x := range byQueue {
 		out.printf("%-16s %-24s %-9s %6d %9.1f\n", x.queue, x.cause, x.cause.decision(), x.jobs, x.lost.Seconds())
 	}
 	out.printf("\n%-16s %-24s %-9s %6s %9s\n", "accepted after", "time lost by", "decision", "jobs", "seconds")
 	for _, x := range byPeriod {
-		after := time.Duration(x.period) * period
+		after := time.Duration(x.period) * periodLength
 		out.printf("%-16s %-24s %-9s %6d %9.1f\n", after, x.cause, x.cause.decision(), x.jobs, x.lost.Seconds())
 	}
-	r.printRefused(out)
+	r.printRejections(out)
 	return out.err
 }
 
-// printer writes until something fails, and keeps the first error.
+// printer writes formatted text. It keeps the first error and writes nothing after
+// it.
 type printer struct {
 	w   io.Writer
 	err error
@@ -282,15 +297,15 @@
 	}
 }
 
-// printRefused writes which submissions were not taken.
-func (r *Report) printRefused(out *printer) {
-	slices.SortFunc(r.refused, func(a, b refusal) int {
+// printRejections writes which submissions were rejected.
+func (r *Report) printRejections(out *printer) {
+	slices.SortFunc(r.rejections, func(a, b rejection) int {
 		return cmp.Or(cmp.Compare(b.calls, a.calls), cmp.Compare(a.queue, b.queue), cmp.Compare(a.why, b.why))
 	})
-	if len(r.refused) > 0 {
+	if len(r.rejections) > 0 {
 		out.printf("\n%-16s %6s  %s\n", "queue", "calls", "not taken")
 	}
-	for _, x := range r.refused {
+	for _, x := range r.rejections {
 		out.printf("%-16s %6d  %s\n", x.queue, x.calls, x.why)
 	}
 }
