--- a/internal/experiment/arrive/arrive.go
+++ b/internal/experiment/arrive/arrive.go
@@ -1,5 +1,6 @@
-// Package arrive says which jobs come when in an experiment. What comes depends on the seed alone,
-// so that all policies meet the same jobs.
+// Package arrive generates the events of an experiment: when which jobs are submitted
+// and which faults occur. The events depend on the setup and the seed, not on the
+// policy, so that all policies get the same jobs.
 package arrive
 
 import (
@@ -17,30 +18,35 @@
 	"curlewsill.org/curlewsill/internal/experiment/setup"
 )
 
-// mostSteps bounds the steps of a job.
-const mostSteps = 8
+// maxSteps bounds the number of steps of a job.
+const maxSteps = 8
 
-// Event is something that comes from outside at a time. One of the other fields is set.
+// Event is an external event at a given time. Exactly one of the fields other than
+// At is set.
 type Event struct {
-	At     time.Duration
-	Job    *world.Job
+	// At is the time since the start of the experiment.
+	At time.Duration
+	// Job is submitted.
+	Job *world.Job
+	// Cancel is the job that its customer cancels.
 	Cancel id.Job
-	// Down and Up are workers that die and come back.
+	// Down is a worker that goes down, Up one that comes back.
 	Down, Up id.Worker
 	Fault    *world.Fault
 }
 
-// Draw returns all events of an experiment with a seed, the earliest first.
+// Draw generates the jobs of all kinds and the faults of an experiment for a seed.
+// It returns the events in order of time.
 func Draw(s *setup.Setup, seed uint64) []Event {
 	var out []Event
 	racks := racksOf(s)
 	for i := range s.Kinds {
 		name := s.Kinds[i].Name
-		d := drawer{
-			kind: &s.Kinds[i], random: rand.New(rand.NewPCG(seed, hash(name))), crashing: rand.New(rand.NewPCG(seed, hash(name+"/crashes"))),
+		g := generator{
+			kind: &s.Kinds[i], random: rand.New(rand.NewPCG(seed, hash(name))), crashRandom: rand.New(rand.NewPCG(seed, hash(name+"/crashes"))),
 			racks: racks,
 		}
-		out = append(out, d.all(s)...)
+		out = append(out, g.jobs(s)...)
 	}
 	for i := range s.Faults {
 		out = append(out, Event{At: s.Faults[i].At, Fault: &s.Faults[i].Fault})
@@ -49,7 +55,7 @@
 	return out
 }
 
-// Sort orders events by time; those of the same time stay in their order.
+// Sort sorts events by time. Events of the same time keep their order.
 func Sort(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 }
@@ -65,28 +71,31 @@
 	return out
 }
 
-// hash returns a number that depends on a name.
+// hash returns the FNV-1a hash of a name, which seeds a random source of its own for
+// each kind.
 func hash(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// drawer draws the jobs of one kind.
-type drawer struct {
+// generator generates the jobs of one kind.
+type generator struct {
 	kind   *setup.Kind
 	random *rand.Rand
-	// crashing draws which jobs crash workers, so that all else is the same whatever their share.
-	crashing *rand.Rand
-	racks    []string
+	// crashRandom decides which jobs crash workers. It is separate from random so
+	// that a change of the share of such jobs changes nothing else.
+	crashRandom *rand.Rand
+	racks       []string
 }
 
-// all draws the jobs of the whole length: the times at the highest rate, of which those are left
-// out that the rate of their time doesn't have.
-func (d *drawer) all(s *setup.Setup) []Event {
-	peak := d.kind.PerSecond
+// jobs generates the jobs of the whole length as a Poisson process with a varying
+// rate, by thinning: it draws arrivals at the peak rate and keeps each with the
+// probability of the rate at its time divided by the peak rate.
+func (g *generator) jobs(s *setup.Setup) []Event {
+	peak := g.kind.PerSecond
 	for _, b := range s.Bursts {
-		if b.Kind == d.kind.Name {
+		if b.Kind == g.kind.Name {
 			peak *= max(1, b.Factor)
 		}
 	}
@@ -95,99 +104,99 @@
 	}
 	var out []Event
 	for at := 0.0; ; {
-		at += d.random.ExpFloat64() / peak
+		at += g.random.ExpFloat64() / peak
 		when := time.Duration(at * float64(time.Second))
 		if when >= s.Length {
 			return out
 		}
-		j := d.job(len(out))
-		if d.random.Float64() < d.rate(s, when)/peak {
+		j := g.job(len(out))
+		if g.random.Float64() < g.rate(s, when)/peak {
 			out = append(out, Event{At: when, Job: &j})
 		}
 	}
 }
 
-// rate returns how many jobs come in a second at a time.
-func (d *drawer) rate(s *setup.Setup, at time.Duration) float64 {
-	r := d.kind.PerSecond
+// rate returns the mean number of jobs per second at a time, bursts included.
+func (g *generator) rate(s *setup.Setup, at time.Duration) float64 {
+	r := g.kind.PerSecond
 	for _, b := range s.Bursts {
-		if b.Kind == d.kind.Name && at >= b.At && at < b.At+b.Lasts {
+		if b.Kind == g.kind.Name && at >= b.At && at < b.At+b.Lasts {
 			r *= b.Factor
 		}
 	}
 	return r
 }
 
-// chance reports true in a share of the cases.
-func (d *drawer) chance(share float64) bool { return d.random.Float64() < share }
+// chance reports true with a probability of share.
+func (g *generator) chance(share float64) bool { return g.random.Float64() < share }
 
-// draw draws a number.
-func (d *drawer) draw(x setup.Draw) float64 {
+// draw returns a random number with a log-normal distribution, capped at its Most.
+func (g *generator) draw(x setup.Draw) float64 {
 	sigma := math.Sqrt(math.Log(1 + x.Spread*x.Spread))
-	v := x.Mean * math.Exp(sigma*d.random.NormFloat64()-sigma*sigma/2)
+	v := x.Mean * math.Exp(sigma*g.random.NormFloat64()-sigma*sigma/2)
 	return min(v, x.Most)
 }
 
-// job draws the Nth job.
-func (d *drawer) job(n int) world.Job {
-	k := d.kind
+// job generates a job with the number n in its name.
+func (g *generator) job(n int) world.Job {
+	k := g.kind
 	j := world.Job{
 		Name: id.Job(fmt.Sprintf("%s-%06d", k.Name, n)), Kind: k.Name, FailShare: k.Fails,
 		Spec: job.Spec{
-			Customer: k.Customers[d.random.IntN(len(k.Customers))], Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority,
+			Customer: k.Customers[g.random.IntN(len(k.Customers))], Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority,
 			MaxAttempts: k.Attempts, Stretch: k.Stretch, Target: k.Target,
 		},
 	}
-	if d.chance(k.Hopeless) {
+	if g.chance(k.Hopeless) {
 		j.FailShare = 1
 	}
-	if d.crashing.Float64() < k.Crashes {
+	if g.crashRandom.Float64() < k.Crashes {
 		j.CrashAfter = k.CrashAfter
 	}
 	steps := 1
-	for steps < mostSteps && d.chance(1-1/k.Steps) {
+	for steps < maxSteps && g.chance(1-1/k.Steps) {
 		steps++
 	}
-	step := d.step()
+	step := g.step()
 	for i := range steps {
 		if i > 0 {
 			step.DependsOn = []int{i - 1}
 		}
-		d.addStep(&j, step)
+		g.addStep(&j, step)
 	}
-	if d.chance(k.Cancelled) {
-		j.CancelAfter = time.Duration(d.random.Float64() * float64(j.Takes[0]+k.Target))
+	if g.chance(k.Cancelled) {
+		j.CancelAfter = time.Duration(g.random.Float64() * float64(j.Takes[0]+k.Target))
 	}
 	return j
 }
 
-// step draws what the steps of a job have in common.
-func (d *drawer) step() job.Step {
-	k := d.kind
+// step generates the properties that all steps of a job share.
+func (g *generator) step() job.Step {
+	k := g.kind
 	s := job.Step{
-		Need: job.Resources{CPU: k.Cores, Memory: k.Memory, Accelerators: k.Accelerators[d.random.IntN(len(k.Accelerators))]},
-		Gang: d.chance(k.Gang), Checkpointing: d.chance(k.Saves),
+		Need: job.Resources{CPU: k.Cores, Memory: k.Memory, Accelerators: k.Accelerators[g.random.IntN(len(k.Accelerators))]},
+		Gang: g.chance(k.Gang), Checkpointing: g.chance(k.Saves),
 	}
-	s.SameRack = d.chance(k.SameRack) && s.Gang
-	rack := d.racks[d.random.IntN(len(d.racks))]
-	if d.chance(k.Near) {
+	s.SameRack = g.chance(k.SameRack) && s.Gang
+	rack := g.racks[g.random.IntN(len(g.racks))]
+	if g.chance(k.Near) {
 		s.DataRack = rack
 	}
 	return s
 }
 
-// addStep adds a step with tasks of its own.
-func (d *drawer) addStep(j *world.Job, s job.Step) {
-	k := d.kind
-	s.Count = max(1, int(math.Round(d.draw(k.Tasks))))
-	run := d.draw(k.Run)
-	guess := run * k.EstimateFactor * d.draw(setup.Draw{Mean: 1, Spread: k.EstimateSpread, Most: math.Inf(1)})
-	s.Estimate = max(time.Millisecond, seconds(guess))
+// addStep adds a step with a random number of tasks, run times and an estimate.
+func (g *generator) addStep(j *world.Job, s job.Step) {
+	k := g.kind
+	s.Count = max(1, int(math.Round(g.draw(k.Tasks))))
+	run := g.draw(k.Run)
+	estimate := run * k.EstimateFactor * g.draw(setup.Draw{Mean: 1, Spread: k.EstimateSpread, Most: math.Inf(1)})
+	s.Estimate = max(time.Millisecond, seconds(estimate))
 	for range s.Count {
-		j.Takes = append(j.Takes, max(time.Millisecond, seconds(run*(1+k.Uneven*(2*d.random.Float64()-1)))))
+		j.Takes = append(j.Takes, max(time.Millisecond, seconds(run*(1+k.Uneven*(2*g.random.Float64()-1)))))
 	}
 	j.Spec.Steps = append(j.Spec.Steps, s)
 }
 
-// seconds returns a time.
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/experiment/arrive/arrive_test.go
+++ b/internal/experiment/arrive/arrive_test.go
@@ -20,8 +20,9 @@
 	return s
 }
 
-// TestDraw checks what is drawn against what was asked for: 2 jobs a second for 1,000 s, three times
-// as many for 100 s of them, with the means, bounds and shares of their kind.
+// TestDraw checks the generated events against the experiment in testdata: 2 jobs a
+// second for 1,000 s, three times as many during a burst of 100 s, with the means,
+// bounds and shares of their kind.
 func TestDraw(t *testing.T) {
 	s := load(t)
 	events := arrive.Draw(s, 5)
@@ -29,7 +30,7 @@
 	var run, last time.Duration
 	for _, e := range events {
 		if e.At < last {
-			t.Fatalf("%s comes after %s", e.At, last)
+			t.Fatalf("event at %s follows one at %s", e.At, last)
 		}
 		last = e.At
 		if e.Fault != nil {
@@ -51,8 +52,8 @@
 		}
 	}
 	for _, x := range []struct {
-		what           string
-		got, want, off float64
+		what                 string
+		got, want, tolerance float64
 	}{
 		{"jobs", jobs, 2400, 0.1},
 		{"jobs of the burst", burst, 600, 0.15},
@@ -61,25 +62,27 @@
 		{"run time", run.Seconds() / jobs, 2, 0.1},
 		{"faults", faults, 1, 0},
 	} {
-		if math.Abs(x.got-x.want) > x.off*x.want {
+		if math.Abs(x.got-x.want) > x.tolerance*x.want {
 			t.Errorf("%s: %g, want about %g", x.what, x.got, x.want)
 		}
 	}
 }
 
-// TestSame checks that a seed gives the same jobs each time, and another seed others.
-func TestSame(t *testing.T) {
+// TestDeterministic checks that a seed gives the same events each time, and that another seed
+// gives different ones.
+func TestDeterministic(t *testing.T) {
 	s := load(t)
 	a, b, c := arrive.Draw(s, 5), arrive.Draw(s, 5), arrive.Draw(s, 6)
 	if !reflect.DeepEqual(a, b) {
-		t.Error("two draws of a seed differ")
+		t.Error("two draws with one seed differ")
 	}
 	if reflect.DeepEqual(a, c) {
-		t.Error("two seeds draw the same")
+		t.Error("draws with two seeds are equal")
 	}
 }
 
-// TestTrace turns lines of a trace into events: a job beyond one worker is a gang of whole ones.
+// TestTrace converts lines of a trace to events: a job that needs more accelerators
+// than one worker has becomes a gang of tasks that each take a whole worker.
 func TestTrace(t *testing.T) {
 	s := load(t)
 	events := arrive.FromTrace(s, []replay.Event{
--- a/internal/experiment/arrive/trace.go
+++ b/internal/experiment/arrive/trace.go
@@ -10,19 +10,20 @@
 	"curlewsill.org/curlewsill/internal/replay"
 )
 
-// FromTrace returns the events of a trace, in its order. A job that asks for more accelerators than
-// a worker has becomes a gang of whole workers.
+// FromTrace converts a trace to events, in the same order. A job that needs more
+// accelerators than the largest worker has becomes a gang in which each task takes
+// all accelerators of such a worker.
 func FromTrace(s *setup.Setup, trace []replay.Event) []Event {
-	whole := 1
+	largest := 1
 	for _, w := range s.World.Workers {
-		whole = max(whole, w.Capacity.Accelerators)
+		largest = max(largest, w.Capacity.Accelerators)
 	}
 	var out []Event
 	for _, e := range trace {
 		x := Event{At: e.At}
 		switch e.Kind {
 		case replay.Submit, replay.GuaranteeUsed:
-			x.Job = traced(s, e, whole)
+			x.Job = traceJob(s, e, largest)
 		case replay.Cancel:
 			x.Cancel = e.Job
 		case replay.WorkerDown:
@@ -35,16 +36,16 @@
 	return out
 }
 
-// traced returns a job of a trace.
-func traced(s *setup.Setup, e replay.Event, whole int) *world.Job {
+// traceJob converts a job of a trace. A task takes at most perTask accelerators.
+func traceJob(s *setup.Setup, e replay.Event, perTask int) *world.Job {
 	k := s.Kind(s.TraceKind)
 	if e.Urgent {
 		k = s.Kind(s.UrgentKind)
 	}
-	count := (e.Accelerators + whole - 1) / whole
+	count := (e.Accelerators + perTask - 1) / perTask
 	step := job.Step{
 		Count: count, Gang: count > 1, SameRack: count > 1, Checkpointing: k.Saves > 0, Estimate: max(time.Millisecond, e.Declared),
-		Need: job.Resources{CPU: k.Cores, Memory: k.Memory, Accelerators: min(e.Accelerators, whole)},
+		Need: job.Resources{CPU: k.Cores, Memory: k.Memory, Accelerators: min(e.Accelerators, perTask)},
 	}
 	j := &world.Job{
 		Name: e.Job, Kind: k.Name, FailShare: k.Fails,
--- a/internal/experiment/batch/batch_test.go
+++ b/internal/experiment/batch/batch_test.go
@@ -30,9 +30,9 @@
 	return r
 }
 
-// TestSame plays an experiment twice, on one processor and on three: the results are the same to
+// TestDeterministic plays an experiment twice, on one processor and on three: the results are the same to
 // the byte, and nothing broke.
-func TestSame(t *testing.T) {
+func TestDeterministic(t *testing.T) {
 	var texts [][]byte
 	for _, processors := range []int{1, 3} {
 		r := run(t.Context(), t, processors, io.Discard)
