--- a/internal/experiment/setup/kind.go
+++ b/internal/experiment/setup/kind.go
@@ -12,19 +12,20 @@
 	"curlewsill.org/curlewsill/internal/inifile"
 )
 
-// readKind reads one kind of job.
+// readKind reads the section of one kind of job. By default its jobs are of all
+// customers of the site.
 func readKind(s *inifile.Section, c config.Config) Kind {
 	k := Kind{
 		Name: s.Name, Priority: s.Int("priority", 1, 0, maxSize), PerSecond: s.Number("per_second", 0, 0, maxRate),
-		Tasks: readDraw(s, "tasks", 1, maxTasks), Run: readDraw(s, "run_s", 1, maxTime.Seconds()),
+		Tasks: readDistribution(s, "tasks", 1, maxTasks), Run: readDistribution(s, "run_s", 1, maxTime.Seconds()),
 		Uneven: s.Number("uneven", 0, 0, 1), EstimateSpread: s.Number("estimate_spread", 0, 0, maxFactor),
-		EstimateFactor: s.Number("estimate_factor", 1, 1.0/maxFactor, maxFactor), Accelerators: sizes(s),
+		EstimateFactor: s.Number("estimate_factor", 1, 1.0/maxFactor, maxFactor), Accelerators: readAccelerators(s),
 		Cores:  job.MilliCPU(1000 * s.Number("cores", 1, 0, maxCores)),
 		Memory: s.Size("memory", unit.GiB, unit.KiB, maxCores*unit.GiB),
 		Steps:  s.Number("steps", 1, 1, maxFactor),
-		Gang:   share(s, "gang"), SameRack: share(s, "same_rack"), Saves: share(s, "saves"), Near: share(s, "near"),
-		Cancelled: share(s, "cancelled"), Hopeless: share(s, "hopeless"), Fails: share(s, "fails"),
-		Crashes: share(s, "crashes"), CrashAfter: s.Duration("crash_after", crashAfter, time.Millisecond, maxTime),
+		Gang:   readShare(s, "gang"), SameRack: readShare(s, "same_rack"), Saves: readShare(s, "saves"), Near: readShare(s, "near"),
+		Cancelled: readShare(s, "cancelled"), Hopeless: readShare(s, "hopeless"), Fails: readShare(s, "fails"),
+		Crashes: readShare(s, "crashes"), CrashAfter: s.Duration("crash_after", crashDelay, time.Millisecond, maxTime),
 		Attempts: s.Int("attempts", 3, 1, maxSize), Stretch: s.Number("stretch", 3, 0, maxFactor),
 		Target: s.Duration("target", time.Second, 0, maxTime),
 		Worth:  s.Number("worth", 1, 0, maxFactor), LateWorth: s.Number("late_worth", 0, 0, maxFactor),
@@ -44,18 +45,20 @@
 	return k
 }
 
-// share reads a part of a whole.
-func share(s *inifile.Section, key string) float64 { return s.Number(key, 0, 0, 1) }
+// readShare reads a number from 0 to 1, 0 by default.
+func readShare(s *inifile.Section, key string) float64 { return s.Number(key, 0, 0, 1) }
 
-// readDraw reads the three keys of a distribution.
-func readDraw(s *inifile.Section, key string, def, most float64) Draw {
-	d := Draw{Mean: s.Number(key, def, 0, most), Spread: s.Number(key+"_spread", 0, 0, maxFactor)}
-	d.Most = s.Number(key+"_most", most, 0, most)
+// readDistribution reads the three keys of a distribution: KEY for the mean, KEY_spread
+// and KEY_most.
+func readDistribution(s *inifile.Section, key string, def, limit float64) Draw {
+	d := Draw{Mean: s.Number(key, def, 0, limit), Spread: s.Number(key+"_spread", 0, 0, maxFactor)}
+	d.Most = s.Number(key+"_most", limit, 0, limit)
 	return d
 }
 
-// sizes reads how many accelerators a task may need.
-func sizes(s *inifile.Section) []int {
+// readAccelerators reads the numbers of accelerators from which a task's need is
+// drawn; 1 by default.
+func readAccelerators(s *inifile.Section) []int {
 	var out []int
 	for _, v := range s.List("accelerators") {
 		n, err := strconv.Atoi(v)
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -1,5 +1,6 @@
-// Package setup reads an experiment: a site file, as `curlewsill plan` takes it, and an experiment
-// file. Both are checked strictly; an error names file, section and key.
+// Package setup reads the definition of an experiment from two INI files: a site
+// file, in the format of `curlewsill plan`, and an experiment file. Both are checked
+// strictly; an error names file, section and key.
 package setup
 
 import (
@@ -18,118 +19,134 @@
 	"curlewsill.org/curlewsill/internal/intent"
 )
 
-// Service is the one service of a model.
+// Service is the only service of a simulated site.
 const Service = id.Service("model")
 
 // Setup is one experiment.
 type Setup struct {
-	// Length is how long jobs come, Settle how long the model goes on after that.
+	// Length is how long jobs arrive, Settle how long the simulation continues
+	// after that.
 	Length, Settle time.Duration
-	// Sample is the time between two looks at use and fragmentation.
+	// Sample is the time between two samples of use and fragmentation.
 	Sample time.Duration
 	// Seeds is never empty.
 	Seeds []uint64
-	// Trace names a file of jobs that come besides those drawn; empty for none. The jobs are of
-	// TraceKind, the urgent ones of UrgentKind, but for what the trace says of them.
+	// Trace names a trace file of jobs that are submitted in addition to the
+	// generated ones; empty for none. Properties that the trace doesn't give are
+	// those of the kind TraceKind, or UrgentKind for urgent jobs.
 	Trace                 string
 	TraceKind, UrgentKind string
-	// World is what each play begins with, but for its seed and decisions.
+	// World is the setup of the simulated site, without seed and dispatcher.
 	World world.Setup
-	// Bounds are those of the decisions.
+	// Bounds configures the owners' dispatchers.
 	Bounds dispatch.Config
 	Prices Prices
 	Kinds  []Kind
 	Bursts []Burst
 	Faults []Fault
-	// Policies is never empty. The others are compared with the first.
+	// Policies is never empty. Each policy is compared with the first one.
 	Policies []Policy
 }
 
-// Prices are taken off what jobs earn.
+// Prices are subtracted from the worth that jobs earn.
 type Prices struct {
-	// Waste is for one core-second of work that is thrown away, Start for one start.
+	// Waste is the price of a core-second of lost work, Start that of a start.
 	Waste, Start float64
 }
 
-// Policy is one way to decide.
+// Policy is one scheduling policy that an experiment compares.
 type Policy struct {
-	Name     string
+	Name string
+	// Switches says which mechanisms of the dispatcher are on.
 	Switches policy.Policy
-	// Cores replaces that of all hosts; 0 to leave it.
+	// Cores replaces the cores of each host, unless it is 0.
 	Cores float64
-	// MaxLease replaces that of Bounds; 0 to leave it.
+	// MaxLease replaces MaxLease of Bounds, unless it is 0.
 	MaxLease time.Duration
 }
 
-// Kind is a kind of job that comes at random times.
+// Kind describes the jobs of one kind, which arrive at random times.
 type Kind struct {
 	Name      string
 	Customers []id.Customer
 	Priority  int
-	// PerSecond is the mean rate.
+	// PerSecond is the mean number of jobs per second, without bursts.
 	PerSecond float64
-	// Tasks is the number of tasks of a step, Run the run time of one on a worker of speed 1, in
-	// seconds. Uneven is by how much tasks of a step differ at most, as a part.
+	// Tasks is the number of tasks of a step. Run is the run time of a task in
+	// seconds on a worker of speed 1. Uneven is the largest deviation of a task's
+	// run time from that of its step, as a fraction.
 	Tasks, Run Draw
 	Uneven     float64
-	// EstimateSpread is that of the customers' estimates around the truth, EstimateFactor their
-	// mean by the truth.
+	// EstimateSpread is the relative spread of the customers' run time estimates,
+	// EstimateFactor their mean divided by the real run time.
 	EstimateSpread, EstimateFactor float64
-	// Accelerators are drawn evenly.
+	// Accelerators lists the possible numbers of accelerators of a task, all
+	// equally likely.
 	Accelerators []int
-	Cores        job.MilliCPU
-	Memory       unit.Bytes
-	// Steps is the mean number of steps of a job, each after the one before.
+	// Cores and Memory are the needs of each task.
+	Cores  job.MilliCPU
+	Memory unit.Bytes
+	// Steps is the mean number of steps of a job. Each step depends on the one
+	// before it.
 	Steps float64
-	// The shares of jobs that are gangs; of gangs that ask for one rack; that save; that have data
-	// in one rack; that are cancelled; that can't be done.
+	// Gang is the share of jobs that are gangs, SameRack the share of gangs that ask
+	// for one rack. Saves is the share of jobs that write checkpoints, Near of those
+	// with data in one rack, Cancelled of those that are cancelled, and Hopeless of
+	// those whose runs always fail.
 	Gang, SameRack, Saves, Near, Cancelled, Hopeless float64
-	// Crashes is the share of jobs whose first task ends the life of each worker that starts it, CrashAfter how long after the start.
+	// Crashes is the share of jobs whose first task crashes each worker that starts
+	// it, CrashAfter the time from the start to the crash.
 	Crashes    float64
 	CrashAfter time.Duration
-	// Fails is the chance that a run fails.
-	Fails    float64
+	// Fails is the probability that a run fails.
+	Fails float64
+	// Attempts is how often a task may be attempted.
 	Attempts int
-	// A job should be done within Stretch times its longest chain of work, and Target. It earns
-	// Worth then, LateWorth within three times that, times its size by the mean.
-	Stretch          float64
-	Target           time.Duration
+	// Stretch times a job's longest chain of work, plus Target, is the time that a
+	// job may take.
+	Stretch float64
+	Target  time.Duration
+	// Worth is what a job earns that completes in that time, LateWorth what one
+	// earns that takes up to three times as long. Both are multiplied by a weight
+	// that grows with the job's work relative to the mean of its kind.
 	Worth, LateWorth float64
 }
 
-// Draw is a log-normal distribution, cut off at Most.
+// Draw is a log-normal distribution whose values are capped at Most.
 type Draw struct {
-	// Mean is that of the distribution before the cut, Spread the standard deviation by it.
+	// Mean is the mean before values are capped, Spread the standard deviation
+	// divided by Mean.
 	Mean, Spread, Most float64
 }
 
-// Burst multiplies the rate of a kind for a while.
+// Burst multiplies the arrival rate of a kind by Factor from At on, for as long as
+// Lasts.
 type Burst struct {
 	Kind      string
 	At, Lasts time.Duration
 	Factor    float64
 }
 
-// Fault is a fault at a time.
+// Fault is a fault that is injected at a given time.
 type Fault struct {
 	world.Fault
 	At time.Duration
 }
 
-// Bounds of values.
+// Bounds of the values in an experiment file.
 const (
-	maxTime    = 7 * 24 * time.Hour
-	maxSeeds   = 1000
-	maxTasks   = 100_000
-	maxRate    = 10_000
-	maxFactor  = 1000
-	maxCores   = 4096
-	maxSize    = 1_000_000
-	maxHosts   = 1000
-	leastCores = 0.001
+	maxTime   = 7 * 24 * time.Hour
+	maxSeeds  = 1000
+	maxTasks  = 100_000
+	maxRate   = 10_000
+	maxFactor = 1000
+	maxCores  = 4096
+	maxSize   = 1_000_000
+	maxHosts  = 1000
+	minCores  = 0.001
 )
 
-// Load reads the two files.
+// Load reads the site file and the experiment file with the given names.
 func Load(site, experiment string) (*Setup, error) {
 	changes, err := intent.Load(site)
 	if err != nil {
@@ -142,7 +159,7 @@
 	return read(changes, f)
 }
 
-// Parse is Load for the content of the files.
+// Parse is like Load, but takes the content of the files. The names are for errors.
 func Parse(siteName string, site []byte, name string, experiment []byte) (*Setup, error) {
 	changes, err := intent.Parse(siteName, site)
 	if err != nil {
@@ -186,22 +203,22 @@
 	for _, x := range f.Sections("fault") {
 		s.Faults = append(s.Faults, readFault(x))
 	}
-	has := func(kind world.FaultKind) bool {
+	hasFault := func(kind world.FaultKind) bool {
 		return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == kind })
 	}
-	if has(world.Evacuate) {
+	if hasFault(world.Evacuate) {
 		s.World.Evacuation = s.Bounds.Evacuation
 	} else {
-		s.Bounds.Evacuation = 0 // there is no operator whose records are read
+		s.Bounds.Evacuation = 0 // without such faults, no operator evacuates failure domains
 	}
-	if has(world.Reborn) {
+	if hasFault(world.Reborn) {
 		s.World.TellStart, s.World.Times.MaxLease = true, s.Bounds.MaxLease
 	}
 	s.Policies = readPolicies(f)
 	if len(s.Kinds) == 0 {
 		e.Fault("", "a section [kind NAME] in the file")
 	}
-	s.TraceKind, s.UrgentKind = s.kindOf(e, "trace_kind"), s.kindOf(e, "urgent_kind")
+	s.TraceKind, s.UrgentKind = s.readKindName(e, "trace_kind"), s.readKindName(e, "urgent_kind")
 	if len(s.World.Workers) == 0 {
 		e.Fault("", "a section [rack NAME] in the site")
 	}
@@ -211,8 +228,9 @@
 	return s, nil
 }
 
-// kindOf reads the name of a kind of the trace's jobs: one that is there, the first by default.
-func (s *Setup) kindOf(e *inifile.Section, key string) string {
+// readKindName reads the name of a kind for the trace's jobs. It must be a kind of
+// the experiment; the first one is the default.
+func (s *Setup) readKindName(e *inifile.Section, key string) string {
 	var names []string
 	for i := range s.Kinds {
 		names = append(names, s.Kinds[i].Name)
@@ -223,7 +241,7 @@
 	return e.OneOf(key, names...)
 }
 
-// Kind returns a kind by its name, or nil.
+// Kind returns the kind with the given name, or nil.
 func (s *Setup) Kind(name string) *Kind {
 	for i := range s.Kinds {
 		if s.Kinds[i].Name == name {
@@ -233,7 +251,7 @@
 	return nil
 }
 
-// readBounds reads what the decisions keep to.
+// readBounds reads the configuration of the dispatchers.
 func readBounds(b *inifile.Section) dispatch.Config {
 	return dispatch.Config{
 		MaxLease:  b.Duration("max_lease", 10*time.Second, time.Second, maxTime),
@@ -243,11 +261,11 @@
 		Handover:  b.Duration("handover", 3*time.Second, time.Millisecond, time.Minute),
 		Away:      b.Duration("away", 2*time.Second, time.Millisecond, time.Hour),
 
-		Evacuation: b.Duration("evacuation", evacuation, evacuation/5, time.Minute),
+		Evacuation: b.Duration("evacuation", evacuationDelay, evacuationDelay/5, time.Minute),
 	}
 }
 
-// readBurst reads one burst of a kind that is there.
+// readBurst reads one burst. Its kind must be one of kinds.
 func readBurst(b *inifile.Section, kinds []Kind) Burst {
 	out := Burst{
 		Kind: b.Need("kind"), At: b.Duration("at", 0, 0, maxTime), Lasts: b.Duration("lasts", time.Second, 0, maxTime),
@@ -259,7 +277,7 @@
 	return out
 }
 
-// readFault reads one fault.
+// readFault reads one fault to inject.
 func readFault(x *inifile.Section) Fault {
 	var kinds []string
 	for _, k := range world.FaultKinds() {
@@ -275,12 +293,13 @@
 	}
 }
 
-// readPolicies reads the policies. Without a section there is one with all mechanisms on.
+// readPolicies reads the policies. Without a policy section, the only policy has all
+// mechanisms on.
 func readPolicies(f *inifile.File) []Policy {
 	var out []Policy
 	for _, s := range f.Sections("policy") {
 		p := Policy{
-			Name: s.Name, Switches: policy.New(), Cores: s.Number("cores", 0, leastCores, maxCores),
+			Name: s.Name, Switches: policy.New(), Cores: s.Number("cores", 0, minCores, maxCores),
 			MaxLease: s.Duration("max_lease", 0, time.Second, maxTime),
 		}
 		for _, name := range s.List("off") {
--- a/internal/experiment/setup/setup_test.go
+++ b/internal/experiment/setup/setup_test.go
@@ -12,13 +12,13 @@
 	"curlewsill.org/curlewsill/internal/experiment/setup"
 )
 
-// TestFiles reads the experiments in testdata. The file "want" of each has a line for each fault
-// that must be told, in their order; a file without lines is in order.
-// SWITCHES stands for the names of all switches of a policy.
+// TestFiles reads the experiments in testdata. The file "want" of each has one line
+// for each error that must be reported, in the same order; it is empty for a valid
+// experiment. SWITCHES stands for the names of all switches of a policy.
 func TestFiles(t *testing.T) {
 	names, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(names) == 0 {
-		t.Fatal("no files", err)
+		t.Fatal("no experiments in testdata", err)
 	}
 	for _, name := range names {
 		t.Run(filepath.Base(name), func(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestExample reads the experiment that is shipped.
+// TestExample reads a shipped experiment with a shipped site.
 func TestExample(t *testing.T) {
 	s, err := setup.Load("../../../examples/delta-north/site.ini", "../../../examples/experiments/mixed.ini")
 	if err != nil {
--- a/internal/experiment/setup/world.go
+++ b/internal/experiment/setup/world.go
@@ -12,8 +12,9 @@
 	"curlewsill.org/curlewsill/internal/inifile"
 )
 
-// Defaults of the owner's work in processor time. A task costs two orders, two answers and its part of the passes; a pass costs by workers and
-// waiting tasks (BenchmarkPass of core/dispatch).
+// Defaults of the processor time that the owner's work takes. A task costs two
+// orders, two answers and its share of the passes. The cost of a pass of
+// core/dispatch depends on the numbers of workers and waiting tasks.
 const (
 	orderCost  = 500 * time.Microsecond
 	eventCost  = 100 * time.Microsecond
@@ -22,33 +23,35 @@
 	taskCost   = 30 * time.Nanosecond
 )
 
-// Defaults of times: those of the product, and of the users' sites.
+// Defaults of times and of factors on times, which world.Times and world.Setup
+// describe. They are those of the product and of the users' sites.
 const (
-	trip      = 4 * time.Millisecond
-	appending = 8 * time.Millisecond
-	appendGap = 2 * time.Millisecond
-	reading   = 10 * time.Millisecond
-	polling   = 700 * time.Millisecond
-	timeout   = 800 * time.Millisecond
-	listing   = 800 * time.Millisecond
-	whole     = 3 * time.Second
-	passEvery = 5 * time.Millisecond
-	idleEvery = 200 * time.Millisecond
-	passShare = 3
-	look      = 500 * time.Millisecond
-	memberTTL = time.Second
-	restore   = 250 * time.Millisecond
-	drift     = 0.02
-	restart   = 3 * time.Second
-	far       = 3
-	// evacuation is how long after an operator has evacuated a failure domain a task may still start there.
-	evacuation = 5 * time.Second
-	// crashAfter is how long after its start a task crashes its worker.
-	crashAfter = 10 * time.Millisecond
+	roundTrip      = 4 * time.Millisecond
+	appendTime     = 8 * time.Millisecond
+	appendGap      = 2 * time.Millisecond
+	readDelay      = 10 * time.Millisecond
+	pollInterval   = 700 * time.Millisecond
+	callTimeout    = 800 * time.Millisecond
+	listingDelay   = 800 * time.Millisecond
+	gangWait       = 3 * time.Second
+	passEvery      = 5 * time.Millisecond
+	idleEvery      = 200 * time.Millisecond
+	passShare      = 3
+	lookInterval   = 500 * time.Millisecond
+	memberTTL      = time.Second
+	restoreTime    = 250 * time.Millisecond
+	clockDrift     = 0.02
+	restartTime    = 3 * time.Second
+	remoteSlowdown = 3
+	// evacuationDelay is how long a task may still start in a failure domain after
+	// an operator has evacuated it.
+	evacuationDelay = 5 * time.Second
+	// crashDelay is the time from the start of a task to the crash of its worker.
+	crashDelay = 10 * time.Millisecond
 )
 
-// readWorld reads the sections of what the model consists of, and takes workers and guarantees from
-// the site.
+// readWorld reads the sections that describe the simulated site, and takes workers
+// and guarantees from the site's configuration.
 func readWorld(f *inifile.File, c config.Config) world.Setup {
 	hosts, owner, store := f.Section("hosts"), f.Section("owner"), f.Section("store")
 	network, workers := f.Section("network"), f.Section("workers")
@@ -65,42 +68,43 @@
 			IdleEvery: owner.Duration("idle_every", idleEvery, time.Millisecond, time.Minute),
 			PassShare: owner.Number("pass_share", passShare, 0, maxFactor),
 			Gap:       owner.Duration("gap", 0, 0, time.Minute),
-			Append:    store.Duration("append", appending, 0, time.Minute),
+			Append:    store.Duration("append", appendTime, 0, time.Minute),
 			AppendGap: store.Duration("append_gap", appendGap, 0, time.Minute),
-			Read:      store.Duration("read", reading, 0, time.Minute),
-			Poll:      store.Duration("poll", polling, time.Millisecond, time.Minute),
+			Read:      store.Duration("read", readDelay, 0, time.Minute),
+			Poll:      store.Duration("poll", pollInterval, time.Millisecond, time.Minute),
 			MemberTTL: store.Duration("member_ttl", memberTTL, 0, time.Hour),
-			Trip:      network.Duration("trip", trip, 0, time.Minute),
-			Timeout:   network.Duration("timeout", timeout, time.Millisecond, time.Minute),
-			Listing:   network.Duration("listing", listing, 0, time.Hour),
-			Look:      hosts.Duration("look", look, time.Millisecond, time.Hour),
-			Whole:     workers.Duration("gang_wait", whole, time.Millisecond, time.Hour),
-			Restore:   workers.Duration("restore", restore, 0, time.Minute),
-			Restart:   workers.Duration("restart", restart, time.Millisecond, time.Hour),
-			Drift:     workers.Number("drift", drift, 0, drift),
+			Trip:      network.Duration("trip", roundTrip, 0, time.Minute),
+			Timeout:   network.Duration("timeout", callTimeout, time.Millisecond, time.Minute),
+			Listing:   network.Duration("listing", listingDelay, 0, time.Hour),
+			Look:      hosts.Duration("look", lookInterval, time.Millisecond, time.Hour),
+			Whole:     workers.Duration("gang_wait", gangWait, time.Millisecond, time.Hour),
+			Restore:   workers.Duration("restore", restoreTime, 0, time.Minute),
+			Restart:   workers.Duration("restart", restartTime, time.Millisecond, time.Hour),
+			Drift:     workers.Number("drift", clockDrift, 0, clockDrift),
 		},
-		Far: workers.Number("far", far, 1, maxFactor),
+		Far: workers.Number("far", remoteSlowdown, 1, maxFactor),
 	}
 	readHosts(hosts, &s)
-	takeSite(c, &s, numbers(workers, "speeds", []float64{1}))
+	addSite(c, &s, readNumbers(workers, "speeds", []float64{1}))
 	return s
 }
 
-// readHosts reads how many hosts there are, and how able; their cores are dealt in turn.
+// readHosts reads the number of hosts and their cores. The listed numbers of cores
+// are assigned to the hosts in turn.
 func readHosts(hosts *inifile.Section, s *world.Setup) {
-	cores := numbers(hosts, "cores", []float64{1})
+	cores := readNumbers(hosts, "cores", []float64{1})
 	for i := range hosts.Int("count", 3, 1, maxHosts) {
 		s.Hosts = append(s.Hosts, world.Host{ID: id.Host(fmt.Sprintf("host-%03d", i)), Cores: cores[i%len(cores)]})
 	}
 }
 
-// numbers returns the numbers above 0 of a list.
-func numbers(s *inifile.Section, key string, def []float64) []float64 {
+// readNumbers reads a list of numbers from minCores to maxCores.
+func readNumbers(s *inifile.Section, key string, def []float64) []float64 {
 	var out []float64
 	for _, v := range s.List(key) {
 		x, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(x >= leastCores && x <= maxCores) {
-			s.Fault(key, fmt.Sprintf("numbers from %g to %d", leastCores, maxCores))
+		if err != nil || !(x >= minCores && x <= maxCores) {
+			s.Fault(key, fmt.Sprintf("numbers from %g to %d", minCores, maxCores))
 			return def
 		}
 		out = append(out, x)
@@ -111,8 +115,9 @@
 	return out
 }
 
-// takeSite takes workers and guarantees from a site. Speeds are dealt in turn.
-func takeSite(c config.Config, s *world.Setup, speeds []float64) {
+// addSite adds the workers and guarantees of a site, without drained workers. Speeds
+// are assigned to the workers in turn.
+func addSite(c config.Config, s *world.Setup, speeds []float64) {
 	for _, name := range config.Sorted(c.Racks) {
 		r := c.Racks[name]
 		for _, w := range r.Workers {
@@ -125,14 +130,14 @@
 			})
 		}
 	}
-	held := map[id.Customer]int{}
+	guaranteed := map[id.Customer]int{}
 	for _, name := range config.Sorted(c.Guarantees) {
 		g := c.Guarantees[name]
-		held[g.Customer] += g.Size * g.Count
+		guaranteed[g.Customer] += g.Size * g.Count
 	}
 	for _, name := range config.Sorted(c.Customers) {
-		if held[name] > 0 {
-			s.Guarantees = append(s.Guarantees, world.Guarantee{Customer: name, Accelerators: held[name]})
+		if guaranteed[name] > 0 {
+			s.Guarantees = append(s.Guarantees, world.Guarantee{Customer: name, Accelerators: guaranteed[name]})
 		}
 	}
 }
