--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,5 @@
-// Package examples holds the shipped settings and sites, for the demo and the tests.
+// Package examples contains the shipped settings and sites, for the demo and
+// the tests.
 package examples
 
 import (
@@ -10,13 +11,14 @@
 //go:embed */*.ini
 var files embed.FS
 
-// ErrNone reports a site that isn't shipped.
+// ErrNone reports a site that isn't shipped, or a file that a site doesn't
+// have.
 var ErrNone = errors.New("examples: no such site")
 
-// Sites lists the shipped sites.
+// Sites returns the names of the shipped sites.
 func Sites() []string { return []string{"delta-north", "be-oost"} }
 
-// Read returns a file of a site: host.ini or site.ini.
+// Read returns the content of a site's file: host.ini or site.ini.
 func Read(site, file string) ([]byte, error) {
 	b, err := files.ReadFile(site + "/" + file)
 	if err != nil {
--- a/internal/dayreport/cause.go
+++ b/internal/dayreport/cause.go
@@ -7,8 +7,8 @@
 
 // The causes.
 const (
-	// waitedForRoom: there was no room for the job's first run, or none that was
-	// good enough.
+	// waitedForRoom: there was no room for the job's first run, or none that
+	// was good enough.
 	waitedForRoom cause = "waiting for room"
 	// preempted: the run was stopped to make room for more urgent work.
 	preempted cause = "stopped for urgent work"
@@ -20,20 +20,20 @@
 	workerLost cause = "worker lost"
 	// runFailed: the run failed, or that of another member of its gang.
 	runFailed cause = "a run failed"
-	// memberEnded: the run ended because another member of its gang had ended. The
-	// real reason is in that member's lines.
+	// memberEnded: the run ended because another member of its gang had ended.
+	// The real reason is in that member's lines.
 	memberEnded cause = "gang member ended"
-	// slow: no run of the job was stopped or lost. Its workers were slow, it has
-	// several steps, or its tasks were placed far from their data or from each
-	// other.
+	// slow: no run of the job was stopped or lost. Its workers were slow, it
+	// has several steps, or its tasks were placed far from their data or from
+	// each other.
 	slow cause = "slow runs, later steps"
 	// other: the reason is none of those above.
 	other cause = "another reason"
 )
 
 // causeWords maps words in the reason of a log line to a cause. The first match
-// counts. "running" and "stopping" occur in task-vanished lines, about runs that
-// their worker no longer lists: they are the last known state of the run.
+// counts. "running" and "stopping" occur in task-vanished lines, about runs
+// that their worker no longer lists: they are the last known state of the run.
 var causeWords = []struct {
 	word  string
 	cause cause
@@ -63,8 +63,8 @@
 	return other
 }
 
-// decision returns "yes" if the time was lost by a decision of the owner, so that
-// another decision could have saved it, else "no".
+// decision returns "yes" if the time was lost by a decision of the owner, so
+// that another decision could have saved it, else "no".
 func (c cause) decision() string {
 	switch c {
 	case waitedForRoom, preempted, stalled, slow:
--- a/internal/dayreport/dayreport.go
+++ b/internal/dayreport/dayreport.go
@@ -1,7 +1,7 @@
-// Package dayreport analyses the logs of a site's entry hosts and reports where jobs
-// lost time: how long they waited for room, how much time restarts cost and for which
-// reason, and which submissions were rejected. For each cause it shows whether another
-// decision of the owner could have saved the time.
+// Package dayreport analyses the logs of a site's entry hosts and reports where
+// jobs lost time: how long they waited for room, how much time restarts cost
+// and for which reason, and which submissions were rejected. For each cause it
+// shows whether another decision of the owner could have saved the time.
 package dayreport
 
 import (
@@ -47,7 +47,8 @@
 	rejections []rejection
 }
 
-// rejection counts the submissions to one queue that were rejected for one reason.
+// rejection counts the submissions to one queue that were rejected for one
+// reason.
 type rejection struct {
 	queue id.Queue
 	why   string
@@ -57,8 +58,8 @@
 // New returns a report without jobs.
 func New() *Report { return &Report{jobs: map[id.Job]*jobHistory{}} }
 
-// Read reads one log. Lines may have a prefix before their JSON. Lines that aren't
-// about a job, such as those of other programs, are skipped.
+// Read reads one log. Lines may have a prefix before their JSON. Lines that
+// aren't about a job, such as those of other programs, are skipped.
 func (r *Report) Read(log io.Reader) error {
 	sc := bufio.NewScanner(log)
 	sc.Buffer(nil, maxLine)
@@ -75,8 +76,8 @@
 	return sc.Err()
 }
 
-// process adds the lines that were read to the jobs' histories, the oldest first
-// across all hosts.
+// process adds the lines that were read to the jobs' histories, the oldest
+// first across all hosts.
 func (r *Report) process() {
 	slices.SortStableFunc(r.lines, func(a, b line) int { return a.When.Compare(b.When) })
 	for _, l := range r.lines {
@@ -112,16 +113,16 @@
 // jobHistory is the history of one job as the logs show it.
 type jobHistory struct {
 	queue id.Queue
-	// accepted, placed and ended are the times at which the job was accepted, first
-	// placed and ended. Each is zero if the logs don't show it.
+	// accepted, placed and ended are the times at which the job was accepted,
+	// first placed and ended. Each is zero if the logs don't show it.
 	accepted, placed, ended time.Time
 	// cancelled is set if the customer cancelled the job.
 	cancelled bool
 	// starts holds the time at which the newest run of each task was placed.
 	starts map[string]time.Time
 	// longestDone is the run time of the longest run that ended with success.
-	// longestLost is how long the longest other run lasted, and lossCause why that
-	// one ended.
+	// longestLost is how long the longest other run lasted, and lossCause why
+	// that one ended.
 	longestDone, longestLost time.Duration
 	lossCause                cause
 }
@@ -156,8 +157,8 @@
 	h.addLoss(l, causeOf(l.Why))
 }
 
-// addLoss processes the end of a run without success. The cause of the longest such
-// run counts, but memberEnded doesn't replace another cause.
+// addLoss processes the end of a run without success. The cause of the longest
+// such run counts, but memberEnded doesn't replace another cause.
 func (h *jobHistory) addLoss(l line, c cause) {
 	began, known := h.starts[l.Task]
 	if lasted := l.When.Sub(began); known && lasted > h.longestLost {
@@ -168,15 +169,15 @@
 	}
 }
 
-// lost returns how much time the job lost: until its first placement, and from then
-// to its end beyond the time of its longest successful run.
+// lost returns how much time the job lost: until its first placement, and from
+// then to its end beyond the time of its longest successful run.
 func (h *jobHistory) lost() (waiting, later time.Duration) {
 	waiting = h.placed.Sub(h.accepted)
 	return max(0, waiting), max(0, h.ended.Sub(h.placed)-h.longestDone)
 }
 
-// complete reports whether the logs show the job's acceptance, first placement and
-// end, and the job wasn't cancelled.
+// complete reports whether the logs show the job's acceptance, first placement
+// and end, and the job wasn't cancelled.
 func (h *jobHistory) complete() bool {
 	return !h.accepted.IsZero() && !h.placed.IsZero() && !h.ended.IsZero() && !h.cancelled
 }
@@ -184,19 +185,20 @@
 // row is one line of the report.
 type row struct {
 	queue id.Queue
-	// period is the number of the period in which the jobs were accepted, from 0.
+	// period is the number of the period in which the jobs were accepted, from
+	// 0.
 	period int
 	cause  cause
 	jobs   int
 	lost   time.Duration
 }
 
-// periodLength is the length of the periods of acceptance by which the report groups
-// jobs.
+// periodLength is the length of the periods of acceptance by which the report
+// groups jobs.
 const periodLength = 2 * time.Second
 
-// minLost is the smallest loss that counts. A call, a record and an order take about
-// this long in any case.
+// minLost is the smallest loss that counts. A call, a record and an order take
+// about this long in any case.
 const minLost = 500 * time.Millisecond
 
 // rows has the losses by queue, period and cause.
@@ -216,8 +218,8 @@
 	(*r)[i].lost += lost
 }
 
-// losses returns the losses by queue and cause, the largest first, and by period of
-// acceptance and cause.
+// losses returns the losses by queue and cause, the largest first, and by
+// period of acceptance and cause.
 func (r *Report) losses() (byQueue, byPeriod rows) {
 	begin := r.begin()
 	for _, h := range r.jobs {
@@ -284,8 +286,8 @@
 	return out.err
 }
 
-// printer writes formatted text. It keeps the first error and writes nothing after
-// it.
+// printer writes formatted text. It keeps the first error and writes nothing
+// after it.
 type printer struct {
 	w   io.Writer
 	err error
--- a/internal/experiment/arrive/arrive.go
+++ b/internal/experiment/arrive/arrive.go
@@ -1,6 +1,6 @@
-// Package arrive generates the events of an experiment: when which jobs are submitted
-// and which faults occur. The events depend on the setup and the seed, not on the
-// policy, so that all policies get the same jobs.
+// Package arrive generates the events of an experiment: when which jobs are
+// submitted and which faults occur. The events depend on the setup and the
+// seed, not on the policy, so that all policies get the same jobs.
 package arrive
 
 import (
@@ -21,8 +21,8 @@
 // maxSteps bounds the number of steps of a job.
 const maxSteps = 8
 
-// Event is an external event at a given time. Exactly one of the fields other than
-// At is set.
+// Event is an external event at a given time. Exactly one of the fields other
+// than At is set.
 type Event struct {
 	// At is the time since the start of the experiment.
 	At time.Duration
@@ -35,8 +35,8 @@
 	Fault    *world.Fault
 }
 
-// Draw generates the jobs of all kinds and the faults of an experiment for a seed.
-// It returns the events in order of time.
+// Draw generates the jobs of all kinds and the faults of an experiment for a
+// seed. It returns the events in order of time.
 func Draw(s *setup.Setup, seed uint64) []Event {
 	var out []Event
 	racks := racksOf(s)
@@ -71,8 +71,8 @@
 	return out
 }
 
-// hash returns the FNV-1a hash of a name, which seeds a random source of its own for
-// each kind.
+// hash returns the FNV-1a hash of a name, which seeds a random source of its
+// own for each kind.
 func hash(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
@@ -83,15 +83,15 @@
 type generator struct {
 	kind   *setup.Kind
 	random *rand.Rand
-	// crashRandom decides which jobs crash workers. It is separate from random so
-	// that a change of the share of such jobs changes nothing else.
+	// crashRandom decides which jobs crash workers. It is separate from random
+	// so that a change of the share of such jobs changes nothing else.
 	crashRandom *rand.Rand
 	racks       []string
 }
 
-// jobs generates the jobs of the whole length as a Poisson process with a varying
-// rate, by thinning: it draws arrivals at the peak rate and keeps each with the
-// probability of the rate at its time divided by the peak rate.
+// jobs generates the jobs of the whole length as a Poisson process with a
+// varying rate, by thinning: it draws arrivals at the peak rate and keeps each
+// with the probability of the rate at its time divided by the peak rate.
 func (g *generator) jobs(s *setup.Setup) []Event {
 	peak := g.kind.PerSecond
 	for _, b := range s.Bursts {
@@ -130,7 +130,8 @@
 // chance reports true with a probability of share.
 func (g *generator) chance(share float64) bool { return g.random.Float64() < share }
 
-// draw returns a random number with a log-normal distribution, capped at its Most.
+// draw returns a random number with a log-normal distribution, capped at its
+// Most.
 func (g *generator) draw(x setup.Draw) float64 {
 	sigma := math.Sqrt(math.Log(1 + x.Spread*x.Spread))
 	v := x.Mean * math.Exp(sigma*g.random.NormFloat64()-sigma*sigma/2)
--- a/internal/experiment/arrive/arrive_test.go
+++ b/internal/experiment/arrive/arrive_test.go
@@ -20,9 +20,9 @@
 	return s
 }
 
-// TestDraw checks the generated events against the experiment in testdata: 2 jobs a
-// second for 1,000 s, three times as many during a burst of 100 s, with the means,
-// bounds and shares of their kind.
+// TestDraw checks the generated events against the experiment in testdata: 2
+// jobs a second for 1,000 s, three times as many during a burst of 100 s, with
+// the means, bounds and shares of their kind.
 func TestDraw(t *testing.T) {
 	s := load(t)
 	events := arrive.Draw(s, 5)
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestDeterministic checks that a seed gives the same events each time, and that another seed
-// gives different ones.
+// TestDeterministic checks that a seed gives the same events each time, and
+// that another seed gives different ones.
 func TestDeterministic(t *testing.T) {
 	s := load(t)
 	a, b, c := arrive.Draw(s, 5), arrive.Draw(s, 5), arrive.Draw(s, 6)
@@ -81,8 +81,9 @@
 	}
 }
 
-// TestTrace converts lines of a trace to events: a job that needs more accelerators
-// than one worker has becomes a gang of tasks that each take a whole worker.
+// TestTrace converts lines of a trace to events: a job that needs more
+// accelerators than one worker has becomes a gang of tasks that each take a
+// whole worker.
 func TestTrace(t *testing.T) {
 	s := load(t)
 	events := arrive.FromTrace(s, []replay.Event{
--- a/internal/experiment/arrive/trace.go
+++ b/internal/experiment/arrive/trace.go
@@ -10,9 +10,9 @@
 	"curlewsill.org/curlewsill/internal/replay"
 )
 
-// FromTrace converts a trace to events, in the same order. A job that needs more
-// accelerators than the largest worker has becomes a gang in which each task takes
-// all accelerators of such a worker.
+// FromTrace converts a trace to events, in the same order. A job that needs
+// more accelerators than the largest worker has becomes a gang in which each
+// task takes all accelerators of such a worker.
 func FromTrace(s *setup.Setup, trace []replay.Event) []Event {
 	largest := 1
 	for _, w := range s.World.Workers {
@@ -36,7 +36,8 @@
 	return out
 }
 
-// traceJob converts a job of a trace. A task takes at most perTask accelerators.
+// traceJob converts a job of a trace. A task takes at most perTask
+// accelerators.
 func traceJob(s *setup.Setup, e replay.Event, perTask int) *world.Job {
 	k := s.Kind(s.TraceKind)
 	if e.Urgent {
--- a/internal/experiment/batch/batch.go
+++ b/internal/experiment/batch/batch.go
@@ -18,19 +18,23 @@
 	"curlewsill.org/curlewsill/internal/replay"
 )
 
-// Batch plays an experiment. The zero value is not ready; call New.
+// Batch plays an experiment: each policy with each seed. The zero value isn't
+// usable; call New.
 type Batch struct {
 	setup *setup.Setup
 	trace []arrive.Event
-	// progress is told of each play that ends; mu keeps its lines whole.
+	// progress gets a line for each run that completes. mu protects it and the
+	// fields after it.
 	progress io.Writer
 	mu       sync.Mutex
 	ended    int
-	// runs has a place for each policy and seed; nil while it isn't played.
+	// runs has an entry for each policy and seed, which is nil until that run
+	// has completed.
 	runs []*result.Run
 }
 
-// New returns the batch of an experiment. It reads the trace, if there is one.
+// New returns the batch of an experiment. It reads the trace file if the setup
+// names one.
 func New(s *setup.Setup, progress io.Writer) (*Batch, error) {
 	b := &Batch{setup: s, progress: progress, runs: make([]*result.Run, len(s.Policies)*len(s.Seeds))}
 	if s.Trace == "" {
@@ -49,27 +53,29 @@
 	return b, nil
 }
 
-// Run plays on at most so many processors, the policies of one seed after the other so that pairs
-// are whole early. Once ctx is done it returns what was played to its end.
+// Run plays the experiment with at most the given number of runs in parallel.
+// It plays all policies of one seed before the next seed, so that policies can
+// be compared early. Once ctx is done, it returns a report of the completed
+// runs.
 func (b *Batch) Run(ctx context.Context, processors int) (*result.Report, error) {
 	var g errgroup.Group
 	g.SetLimit(max(1, processors))
-	for i, seed := range b.setup.Seeds {
+	for seedIndex, seed := range b.setup.Seeds {
 		events := arrive.Draw(b.setup, seed)
 		events = append(events, b.trace...)
 		arrive.Sort(events)
-		for j := range b.setup.Policies {
+		for policyIndex := range b.setup.Policies {
 			if ctx.Err() != nil {
 				break
 			}
-			g.Go(func() error { return b.play(ctx, j, i, events) })
+			g.Go(func() error { return b.play(ctx, policyIndex, seedIndex, events) })
 		}
 	}
 	err := g.Wait()
 	return b.report(), err
 }
 
-// play plays one policy with one seed.
+// play plays one policy with one seed, given by their indexes.
 func (b *Batch) play(ctx context.Context, policy, seed int, events []arrive.Event) error {
 	s := b.setup
 	run, err := play.Play(ctx, s, &s.Policies[policy], s.Seeds[seed], events)
@@ -87,7 +93,7 @@
 	return nil
 }
 
-// report puts what was played together.
+// report returns the report of the runs that have completed.
 func (b *Batch) report() *result.Report {
 	r := &result.Report{LengthS: b.setup.Length.Seconds(), Seeds: b.setup.Seeds, Runs: []result.Run{}}
 	for i := range b.setup.Policies {
--- a/internal/experiment/batch/batch_test.go
+++ b/internal/experiment/batch/batch_test.go
@@ -12,7 +12,7 @@
 	"curlewsill.org/curlewsill/internal/experiment/setup"
 )
 
-// run plays the small experiment of testdata.
+// run plays the small experiment in testdata.
 func run(ctx context.Context, t *testing.T, processors int, progress io.Writer) *result.Report {
 	t.Helper()
 	s, err := setup.Load("testdata/site.ini", "testdata/small.ini")
@@ -30,8 +30,8 @@
 	return r
 }
 
-// TestDeterministic plays an experiment twice, on one processor and on three: the results are the same to
-// the byte, and nothing broke.
+// TestDeterministic plays an experiment twice, on one processor and on three.
+// The results must be the same to the byte, and no invariant may be violated.
 func TestDeterministic(t *testing.T) {
 	var texts [][]byte
 	for _, processors := range []int{1, 3} {
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestResult checks what the small experiment must show: the giants are refused and counted, the
-// same jobs come under each policy, urgent work is worse off without preemption, and an owner with
-// a fiftieth of a core is behind.
+// TestResult checks results of the small experiment. Giant jobs are refused and
+// counted, each policy gets the same jobs, urgent work earns less without
+// preemption, and an owner with a fiftieth of a core is much busier.
 func TestResult(t *testing.T) {
 	r := run(t.Context(), t, 2, io.Discard)
 	if len(r.Runs) != 6 || r.Partial {
@@ -63,34 +63,36 @@
 	for _, x := range r.Runs {
 		giants, first := x.Kinds[2], r.Runs[0]
 		if giants.Arrived == 0 || giants.Refused != giants.Arrived {
-			t.Errorf("%d of %d giants were refused", giants.Refused, giants.Arrived)
+			t.Errorf("%d of %d giant jobs were refused", giants.Refused, giants.Arrived)
 		}
 		if x.Seed == first.Seed && x.Kinds[0].Arrived != first.Kinds[0].Arrived {
-			t.Errorf("policy %s met %d urgent jobs, %s %d", x.Policy, x.Kinds[0].Arrived, first.Policy, first.Kinds[0].Arrived)
+			t.Errorf("policy %s got %d urgent jobs, policy %s %d", x.Policy, x.Kinds[0].Arrived, first.Policy, first.Kinds[0].Arrived)
 		}
 	}
 	if d := result.Of(r.Differences, "no-preemption", "urgent worth"); d.Seeds != 2 || d.Mean >= 0 {
-		t.Errorf("urgent work without preemption: %+v", d)
+		t.Errorf("urgent work doesn't earn less without preemption: %+v", d)
 	}
-	slow, usual := result.Of(r.Means, "slow-owner", "owner_busy"), result.Of(r.Means, "all", "owner_busy")
-	if slow.Mean < 5*usual.Mean {
-		t.Errorf("the slow owner is busy for %.3f of the time, the usual one for %.3f", slow.Mean, usual.Mean)
+	slow, normal := result.Of(r.Means, "slow-owner", "owner_busy"), result.Of(r.Means, "all", "owner_busy")
+	if slow.Mean < 5*normal.Mean {
+		t.Errorf("the slow owner is busy for %.3f of the time, the normal one for %.3f", slow.Mean, normal.Mean)
 	}
 }
 
-// ender ends a run when the first play has ended.
-type ender struct{ cancel context.CancelFunc }
+// cancelWriter cancels an experiment on the first write, which is the progress
+// line of the first completed run.
+type cancelWriter struct{ cancel context.CancelFunc }
 
-func (e ender) Write(p []byte) (int, error) {
-	e.cancel()
+func (w cancelWriter) Write(p []byte) (int, error) {
+	w.cancel()
 	return len(p), nil
 }
 
-// TestEnds ends an experiment early: what was whole by then is reported, and said to be partial.
-func TestEnds(t *testing.T) {
+// TestCancel cancels an experiment early. The report must contain the runs that
+// had completed by then, and be marked as partial.
+func TestCancel(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	r := run(ctx, t, 1, ender{cancel: cancel})
+	r := run(ctx, t, 1, cancelWriter{cancel: cancel})
 	if len(r.Runs) != 1 || !r.Partial {
 		t.Errorf("%d runs, partial %t", len(r.Runs), r.Partial)
 	}
--- a/internal/experiment/batch/bench_test.go
+++ b/internal/experiment/batch/bench_test.go
@@ -12,17 +12,19 @@
 	"curlewsill.org/curlewsill/internal/experiment/setup"
 )
 
-// jobsOfWorker is how many jobs come for each worker, of the kinds of the shipped experiment in 400 s.
-const jobsOfWorker = 20
+// jobsPerWorker is the mean number of jobs per worker in the 400 s of the
+// benchmark.
+const jobsPerWorker = 20
 
-// BenchmarkPlay plays one policy with one seed of the shipped experiment for 400 s, with the arrivals in
-// proportion to the workers. One play each, on a busy machine: 935 jobs on 50 workers 1.2 s, 6,992 on
-// 350 workers 29 s, 19,703 on 990 workers 447 s. With 350 workers 0.60 of the processor time are passes
-// of core/dispatch.
+// BenchmarkPlay plays one policy with one seed of the shipped experiment for
+// 400 s of virtual time. The arrival rate is proportional to the number of
+// workers. On a busy machine, one run took 1.2 s for 935 jobs on 50 workers, 29
+// s for 6,992 jobs on 350 workers, and 447 s for 19,703 jobs on 990 workers.
+// With 350 workers, passes of core/dispatch take 0.60 of the processor time.
 func BenchmarkPlay(b *testing.B) {
 	for _, workers := range []int{50, 350, 990} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			s := sized(b, workers)
+			s := setupFor(b, workers)
 			jobs := 0
 			for b.Loop() {
 				x, err := batch.New(s, io.Discard)
@@ -43,14 +45,15 @@
 	}
 }
 
-// sized returns the shipped experiment for a site of so many workers.
-func sized(b *testing.B, workers int) *setup.Setup {
+// setupFor returns the shipped experiment for a site with the given number of
+// workers.
+func setupFor(b *testing.B, workers int) *setup.Setup {
 	var site strings.Builder
 	site.WriteString("[customer a]\n")
 	for left, n := workers, 0; left > 0; n++ {
-		some := min(8, left)
-		left -= some
-		fmt.Fprintf(&site, "[rack r%03d]\ndomain = d%d\nworkers = %d\naccelerators = 8\ncores = 60\nmemory = 250GiB\n", n, n%3, some)
+		inRack := min(8, left)
+		left -= inRack
+		fmt.Fprintf(&site, "[rack r%03d]\ndomain = d%d\nworkers = %d\naccelerators = 8\ncores = 60\nmemory = 250GiB\n", n, n%3, inRack)
 	}
 	data, err := os.ReadFile("../../../examples/experiments/mixed.ini")
 	if err != nil {
@@ -66,7 +69,7 @@
 	}
 	s.Length = 400 * time.Second
 	for i := range s.Kinds {
-		s.Kinds[i].PerSecond *= jobsOfWorker * float64(workers) / s.Length.Seconds() / perSecond
+		s.Kinds[i].PerSecond *= jobsPerWorker * float64(workers) / s.Length.Seconds() / perSecond
 	}
 	s.Seeds, s.Policies = s.Seeds[:1], s.Policies[:1]
 	return s
--- a/internal/experiment/chart/chart.go
+++ b/internal/experiment/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws the result of an experiment.
+// Package chart draws charts of the results of an experiment.
 package chart
 
 import (
@@ -14,31 +14,32 @@
 	"curlewsill.org/curlewsill/internal/experiment/result"
 )
 
-// The size of a chart, and of its bars.
+// The size of a chart, and the width of its bars.
 const (
-	width  = 25 * vg.Centimeter
-	height = 12 * vg.Centimeter
-	bar    = 1.2 * vg.Centimeter
+	width    = 25 * vg.Centimeter
+	height   = 12 * vg.Centimeter
+	barWidth = 1.2 * vg.Centimeter
 )
 
-// Format is the file format of a chart, and the ending of its file's name.
+// Format is the file format of a chart, and the extension of its file name.
 type Format string
 
-// The formats.
+// The supported formats.
 const (
 	SVG Format = "svg"
 	PNG Format = "png"
 )
 
-// Draw draws the charts into a folder that is there: completion times of each kind, use and
-// fragmentation over time, and worth by policy. A report without runs has none.
-func Draw(dir string, as Format, r *result.Report) error {
+// Draw writes the charts of a report to an existing directory: completion times
+// of each kind, use, fragmentation and waiting tasks over time, and worth by
+// policy. For a report without runs it writes nothing.
+func Draw(dir string, format Format, r *result.Report) error {
 	if len(r.Runs) == 0 {
 		return nil
 	}
-	file := func(name string) string { return filepath.Join(dir, name+"."+string(as)) }
+	file := func(name string) string { return filepath.Join(dir, name+"."+string(format)) }
 	for i, k := range r.Runs[0].Kinds {
-		if err := completion(file("completion-"+k.Kind), r, i); err != nil {
+		if err := drawCompletion(file("completion-"+k.Kind), r, i); err != nil {
 			return fmt.Errorf("chart: %w", err)
 		}
 	}
@@ -50,34 +51,35 @@
 		{"fragmentation", "share of free accelerators", func(s world.Sample) float64 { return s.Fragmentation }},
 		{"waiting", "tasks", func(s world.Sample) float64 { return float64(s.Waiting) }},
 	} {
-		if err := overTime(file(c.name), c.name, c.label, r, c.value); err != nil {
+		if err := drawOverTime(file(c.name), c.name, c.label, r, c.value); err != nil {
 			return fmt.Errorf("chart: %w", err)
 		}
 	}
-	if err := worth(file("worth"), r); err != nil {
+	if err := drawWorth(file("worth"), r); err != nil {
 		return fmt.Errorf("chart: %w", err)
 	}
 	return nil
 }
 
-// completion draws how much of a kind's jobs was completed after which time.
-func completion(file string, r *result.Report, kind int) error {
+// drawCompletion draws the share of a kind's jobs that had completed, over the
+// time since submission. Refused and cancelled jobs don't count.
+func drawCompletion(file string, r *result.Report, kind int) error {
 	p := plot.New()
 	p.Title.Text = "completion of " + r.Runs[0].Kinds[kind].Kind
 	p.X.Label.Text, p.Y.Label.Text = "seconds from handing in", "share of the jobs that are owed"
 	var lines []any
 	for _, name := range r.Policies {
 		var took []float64
-		owed := 0
+		expected := 0
 		for _, run := range r.Runs {
 			if run.Policy == name {
 				k := run.Kinds[kind]
 				took = append(took, k.Took...)
-				owed += k.Arrived - k.Refused - k.Cancelled
+				expected += k.Arrived - k.Refused - k.Cancelled
 			}
 		}
 		if len(took) > 0 {
-			lines = append(lines, name, shares(took, owed))
+			lines = append(lines, name, completionCurve(took, expected))
 		}
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
@@ -86,14 +88,15 @@
 	return p.Save(width, height, file)
 }
 
-// overTime draws the mean of a sampled value over the seeds.
-func overTime(file, title, label string, r *result.Report, value func(world.Sample) float64) error {
+// drawOverTime draws a sampled value over time for each policy, as the mean
+// over the seeds.
+func drawOverTime(file, title, label string, r *result.Report, value func(world.Sample) float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", label
 	var lines []any
 	for _, name := range r.Policies {
-		if xy := meanOverTime(r, name, value); len(xy) > 0 {
-			lines = append(lines, name, xy)
+		if points := meanOverTime(r, name, value); len(points) > 0 {
+			lines = append(lines, name, points)
 		}
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
@@ -102,8 +105,8 @@
 	return p.Save(width, height, file)
 }
 
-// worth draws the worth of each policy with its standard error.
-func worth(file string, r *result.Report) error {
+// drawWorth draws the mean worth of each policy with its standard error.
+func drawWorth(file string, r *result.Report) error {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "worth, with its standard error", "share of what could be earned"
 	var points errorPoints
@@ -114,7 +117,7 @@
 		points.XYs = append(points.XYs, plotter.XY{X: float64(i), Y: m.Mean})
 		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{m.StdErr, m.StdErr})
 	}
-	bars, err := plotter.NewBarChart(values, bar)
+	bars, err := plotter.NewBarChart(values, barWidth)
 	if err != nil {
 		return err
 	}
@@ -128,13 +131,14 @@
 	return p.Save(width, height, file)
 }
 
-// errorPoints are points with a standard error each.
+// errorPoints are points that each have a standard error.
 type errorPoints struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// meanOverTime returns the mean of a sampled value over a policy's runs.
+// meanOverTime returns, for each sampling time, the mean of a value over a
+// policy's runs.
 func meanOverTime(r *result.Report, policy string, value func(world.Sample) float64) plotter.XYs {
 	var out plotter.XYs
 	n := 0
--- a/internal/experiment/chart/chart_test.go
+++ b/internal/experiment/chart/chart_test.go
@@ -12,17 +12,18 @@
 	"curlewsill.org/curlewsill/internal/experiment/result"
 )
 
-// TestDraw draws a report twice in each format: all charts are there, and the same to the byte.
+// TestDraw draws a report twice in each format. All charts must exist, and both
+// drawings must be the same to the byte.
 func TestDraw(t *testing.T) {
 	for _, x := range []struct {
-		as    chart.Format
-		magic string
+		format chart.Format
+		magic  string
 	}{{chart.SVG, "<svg"}, {chart.PNG, "\x89PNG"}} {
-		t.Run(string(x.as), func(t *testing.T) { drawTwice(t, x.as, x.magic) })
+		t.Run(string(x.format), func(t *testing.T) { drawTwice(t, x.format, x.magic) })
 	}
 }
 
-func drawTwice(t *testing.T, as chart.Format, magic string) {
+func drawTwice(t *testing.T, format chart.Format, magic string) {
 	t.Helper()
 	r := &result.Report{
 		Policies: []string{"a", "b", "none"},
@@ -34,12 +35,12 @@
 	r.Sum()
 	dirs := []string{t.TempDir(), t.TempDir()}
 	for _, d := range dirs {
-		if err := chart.Draw(d, as, r); err != nil {
+		if err := chart.Draw(d, format, r); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, name := range []string{"completion-k", "use", "fragmentation", "waiting", "worth"} {
-		name += "." + string(as)
+		name += "." + string(format)
 		a, err := os.ReadFile(filepath.Join(dirs[0], name))
 		if err != nil {
 			t.Fatal(err)
@@ -51,14 +52,14 @@
 	}
 }
 
-// TestNothing draws nothing of a report without runs.
-func TestNothing(t *testing.T) {
+// TestNoRuns checks that a report without runs gives no charts.
+func TestNoRuns(t *testing.T) {
 	d := t.TempDir()
 	if err := chart.Draw(d, chart.SVG, &result.Report{Policies: []string{"a"}}); err != nil {
 		t.Fatal(err)
 	}
 	if files, _ := os.ReadDir(d); len(files) != 0 {
-		t.Errorf("%d files", len(files))
+		t.Errorf("a report without runs gave %d files", len(files))
 	}
 }
 
--- a/internal/experiment/chart/shares.go
+++ b/internal/experiment/chart/shares.go
@@ -6,17 +6,20 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// mostPoints bounds the points of a line, so that a chart of many jobs stays small.
-const mostPoints = 500
+// maxPoints limits the number of points of a curve to about 500, so that the
+// chart of many jobs stays small.
+const maxPoints = 500
 
-// shares returns which part of a number of jobs was done after which time.
-func shares(took []float64, of int) plotter.XYs {
+// completionCurve returns the share of jobs that had completed over time. took
+// has the times to completion, which completionCurve sorts; total is the number
+// of jobs.
+func completionCurve(took []float64, total int) plotter.XYs {
 	slices.Sort(took)
-	every := max(1, len(took)/mostPoints)
+	every := max(1, len(took)/maxPoints)
 	out := plotter.XYs{{X: 0, Y: 0}}
 	for i := range took {
 		if i%every == 0 || i == len(took)-1 {
-			out = append(out, plotter.XY{X: took[i], Y: float64(i+1) / float64(of)})
+			out = append(out, plotter.XY{X: took[i], Y: float64(i+1) / float64(total)})
 		}
 	}
 	return out
--- a/internal/experiment/play/play.go
+++ b/internal/experiment/play/play.go
@@ -17,9 +17,10 @@
 	"curlewsill.org/curlewsill/internal/experiment/setup"
 )
 
-// Play simulates the site with a policy and the given events. The simulation ends
-// when the settle time has passed after the experiment's length or the last event,
-// whichever is later. If ctx is done earlier, Play returns ctx's error.
+// Play simulates the site with a policy and the given events. The simulation
+// ends when the settle time has passed after the experiment's length or the
+// last event, whichever is later. If ctx is done earlier, Play returns ctx's
+// error.
 func Play(ctx context.Context, s *setup.Setup, p *setup.Policy, seed uint64, events []arrive.Event) (result.Run, error) {
 	w, err := world.New(worldSetup(s, p, seed))
 	if err != nil {
@@ -69,8 +70,8 @@
 	return out
 }
 
-// apply applies one event to the simulated site. Events of an unknown worker have
-// no effect.
+// apply applies one event to the simulated site. Events of an unknown worker
+// have no effect.
 func apply(w *world.World, e arrive.Event) error {
 	switch {
 	case e.Job != nil:
@@ -89,7 +90,8 @@
 	return nil
 }
 
-// errEmptyEvent reports an event that has no job, cancellation, worker or fault.
+// errEmptyEvent reports an event that has no job, cancellation, worker or
+// fault.
 var errEmptyEvent = errors.New("event has no job, cancellation, worker or fault")
 
 // summarize fills in the figures of a run. Use and Fragmentation are means over
--- a/internal/experiment/result/result.go
+++ b/internal/experiment/result/result.go
@@ -13,9 +13,9 @@
 type Run struct {
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
-	// Worth is the worth that the jobs earned, divided by the worth that they earn
-	// if all of them complete in time. Net is the same after the prices of starts
-	// and wasted work are subtracted.
+	// Worth is the worth that the jobs earned, divided by the worth that they
+	// earn if all of them complete in time. Net is the same after the prices of
+	// starts and wasted work are subtracted.
 	Worth float64 `json:"worth"`
 	Net   float64 `json:"net"`
 	// Use is the mean share of the accelerators in use while jobs arrived.
@@ -34,15 +34,16 @@
 	Lapsed  int `json:"lapsed"`
 	// Crashes counts the worker incarnations that tasks have crashed.
 	Crashes int `json:"crashes"`
-	// OwnerBusy is the share of the time in which the owner's processor was busy.
-	// OwnerWait is the longest time for which anything waited for it.
+	// OwnerBusy is the share of the time in which the owner's processor was
+	// busy. OwnerWait is the longest time for which anything waited for it.
 	OwnerBusy float64 `json:"owner_busy"`
 	OwnerWait float64 `json:"owner_wait_s"`
-	// Passes counts the owners' scheduling passes, Claims the claims of ownership.
+	// Passes counts the owners' scheduling passes, Claims the claims of
+	// ownership.
 	Passes int `json:"passes"`
 	Claims int `json:"claims"`
-	// Violations lists the first invariants that didn't hold. It is expected to be
-	// empty.
+	// Violations lists the first invariants that didn't hold. It is expected to
+	// be empty.
 	Violations []string `json:"violations"`
 	Kinds      []Kind   `json:"kinds"`
 
@@ -54,24 +55,24 @@
 type Kind struct {
 	Kind string `json:"kind"`
 	// Arrived counts all jobs of the kind; the counters after it divide them by
-	// outcome. Refused jobs can never run on the site. Open jobs had no outcome at
-	// the end of the simulation.
+	// outcome. Refused jobs can never run on the site. Open jobs had no outcome
+	// at the end of the simulation.
 	Arrived   int `json:"arrived"`
 	Refused   int `json:"refused"`
 	Completed int `json:"completed"`
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
 	Open      int `json:"open"`
-	// InTime counts the jobs that earned their whole worth, Late those that earned
-	// the worth of late jobs.
+	// InTime counts the jobs that earned their whole worth, Late those that
+	// earned the worth of late jobs.
 	InTime int `json:"in_time"`
 	Late   int `json:"late"`
-	// Worth is the worth that the jobs earned, divided by the worth that they earn
-	// if all of them complete in time.
+	// Worth is the worth that the jobs earned, divided by the worth that they
+	// earn if all of them complete in time.
 	Worth float64 `json:"worth"`
 	// P50, P90 and P99 are quantiles of the time from submission to completion,
-	// and StartP90 is one of the time from submission to the first start, all in
-	// seconds.
+	// and StartP90 is one of the time from submission to the first start, all
+	// in seconds.
 	P50      float64 `json:"p50_s"`
 	P90      float64 `json:"p90_s"`
 	P99      float64 `json:"p99_s"`
@@ -82,7 +83,8 @@
 	Took []float64 `json:"-"`
 }
 
-// Add adds the counts of another run of the same kind; quantiles and worth are not added.
+// Add adds the counts of another run of the same kind; quantiles and worth are
+// not added.
 func (k *Kind) Add(o Kind) {
 	k.Arrived += o.Arrived
 	k.Refused += o.Refused
@@ -100,14 +102,15 @@
 	Seeds   []uint64 `json:"seeds"`
 	// Policies holds the policies' names in the order of the experiment.
 	Policies []string `json:"policies"`
-	// Partial is set if the experiment ended before all policies were played with
-	// all seeds.
+	// Partial is set if the experiment ended before all policies were played
+	// with all seeds.
 	Partial bool `json:"partial"`
-	// Runs are ordered by policy and seed. Runs that didn't complete are missing.
+	// Runs are ordered by policy and seed. Runs that didn't complete are
+	// missing.
 	Runs []Run `json:"runs"`
 	// Means has one entry for each policy and measure. Differences has one for
-	// each policy but the first and each measure, over the seeds that were played
-	// with both that policy and the first.
+	// each policy but the first and each measure, over the seeds that were
+	// played with both that policy and the first.
 	Means       []Mean `json:"means"`
 	Differences []Mean `json:"differences"`
 }
@@ -129,8 +132,8 @@
 	value func(*Run) float64
 }
 
-// measures returns the measures that are compared: those of whole runs, and three
-// for each kind of job.
+// measures returns the measures that are compared: those of whole runs, and
+// three for each kind of job.
 func measures(runs []Run) []measure {
 	out := []measure{
 		{"worth", func(r *Run) float64 { return r.Worth }},
@@ -182,8 +185,8 @@
 	return out
 }
 
-// paired returns the differences of a measure between a policy's runs and the first
-// policy's runs with the same seeds.
+// paired returns the differences of a measure between a policy's runs and the
+// first policy's runs with the same seeds.
 func (r *Report) paired(p string, m measure) []float64 {
 	var out []float64
 	for i := range r.Runs {
@@ -220,8 +223,8 @@
 	return out
 }
 
-// Of returns the entry for a policy and measure from a list of means, or an empty
-// one if there is none.
+// Of returns the entry for a policy and measure from a list of means, or an
+// empty one if there is none.
 func Of(means []Mean, policy, name string) Mean {
 	for _, m := range means {
 		if m.Policy == policy && m.Measure == name {
@@ -231,8 +234,8 @@
 	return Mean{Policy: policy, Measure: name}
 }
 
-// Quantile returns the q-quantile of sorted values by the nearest-rank method, or 0
-// if there are no values.
+// Quantile returns the q-quantile of sorted values by the nearest-rank method,
+// or 0 if there are no values.
 func Quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/experiment/result/result_test.go
+++ b/internal/experiment/result/result_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestDifferences compares two policies of which one lacks a seed: differences
-// cover only the seeds that both have. The differences 0.1 and 0.3 have the mean
-// 0.2, the standard deviation 0.1414 and the standard error 0.1.
+// cover only the seeds that both have. The differences 0.1 and 0.3 have the
+// mean 0.2, the standard deviation 0.1414 and the standard error 0.1.
 func TestDifferences(t *testing.T) {
 	r := result.Report{
 		Policies: []string{"a", "b"},
--- a/internal/experiment/setup/kind.go
+++ b/internal/experiment/setup/kind.go
@@ -48,16 +48,16 @@
 // readShare reads a number from 0 to 1, 0 by default.
 func readShare(s *inifile.Section, key string) float64 { return s.Number(key, 0, 0, 1) }
 
-// readDistribution reads the three keys of a distribution: KEY for the mean, KEY_spread
-// and KEY_most.
+// readDistribution reads the three keys of a distribution: KEY for the mean,
+// KEY_spread and KEY_most.
 func readDistribution(s *inifile.Section, key string, def, limit float64) Draw {
 	d := Draw{Mean: s.Number(key, def, 0, limit), Spread: s.Number(key+"_spread", 0, 0, maxFactor)}
 	d.Most = s.Number(key+"_most", limit, 0, limit)
 	return d
 }
 
-// readAccelerators reads the numbers of accelerators from which a task's need is
-// drawn; 1 by default.
+// readAccelerators reads the numbers of accelerators from which a task's need
+// is drawn; 1 by default.
 func readAccelerators(s *inifile.Section) []int {
 	var out []int
 	for _, v := range s.List("accelerators") {
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -1,6 +1,6 @@
-// Package setup reads the definition of an experiment from two INI files: a site
-// file, in the format of `curlewsill plan`, and an experiment file. Both are checked
-// strictly; an error names file, section and key.
+// Package setup reads the definition of an experiment from two INI files: a
+// site file, in the format of `curlewsill plan`, and an experiment file. Both
+// are checked strictly; an error names file, section and key.
 package setup
 
 import (
@@ -32,8 +32,8 @@
 	// Seeds is never empty.
 	Seeds []uint64
 	// Trace names a trace file of jobs that are submitted in addition to the
-	// generated ones; empty for none. Properties that the trace doesn't give are
-	// those of the kind TraceKind, or UrgentKind for urgent jobs.
+	// generated ones; empty for none. Properties that the trace doesn't give
+	// are those of the kind TraceKind, or UrgentKind for urgent jobs.
 	Trace                 string
 	TraceKind, UrgentKind string
 	// World is the setup of the simulated site, without seed and dispatcher.
@@ -73,12 +73,12 @@
 	// PerSecond is the mean number of jobs per second, without bursts.
 	PerSecond float64
 	// Tasks is the number of tasks of a step. Run is the run time of a task in
-	// seconds on a worker of speed 1. Uneven is the largest deviation of a task's
-	// run time from that of its step, as a fraction.
+	// seconds on a worker of speed 1. Uneven is the largest deviation of a
+	// task's run time from that of its step, as a fraction.
 	Tasks, Run Draw
 	Uneven     float64
-	// EstimateSpread is the relative spread of the customers' run time estimates,
-	// EstimateFactor their mean divided by the real run time.
+	// EstimateSpread is the relative spread of the customers' run time
+	// estimates, EstimateFactor their mean divided by the real run time.
 	EstimateSpread, EstimateFactor float64
 	// Accelerators lists the possible numbers of accelerators of a task, all
 	// equally likely.
@@ -89,26 +89,26 @@
 	// Steps is the mean number of steps of a job. Each step depends on the one
 	// before it.
 	Steps float64
-	// Gang is the share of jobs that are gangs, SameRack the share of gangs that ask
-	// for one rack. Saves is the share of jobs that write checkpoints, Near of those
-	// with data in one rack, Cancelled of those that are cancelled, and Hopeless of
-	// those whose runs always fail.
+	// Gang is the share of jobs that are gangs, SameRack the share of gangs
+	// that ask for one rack. Saves is the share of jobs that write checkpoints,
+	// Near of those with data in one rack, Cancelled of those that are
+	// cancelled, and Hopeless of those whose runs always fail.
 	Gang, SameRack, Saves, Near, Cancelled, Hopeless float64
-	// Crashes is the share of jobs whose first task crashes each worker that starts
-	// it, CrashAfter the time from the start to the crash.
+	// Crashes is the share of jobs whose first task crashes each worker that
+	// starts it, CrashAfter the time from the start to the crash.
 	Crashes    float64
 	CrashAfter time.Duration
 	// Fails is the probability that a run fails.
 	Fails float64
 	// Attempts is how often a task may be attempted.
 	Attempts int
-	// Stretch times a job's longest chain of work, plus Target, is the time that a
-	// job may take.
+	// Stretch times a job's longest chain of work, plus Target, is the time
+	// that a job may take.
 	Stretch float64
 	Target  time.Duration
 	// Worth is what a job earns that completes in that time, LateWorth what one
-	// earns that takes up to three times as long. Both are multiplied by a weight
-	// that grows with the job's work relative to the mean of its kind.
+	// earns that takes up to three times as long. Both are multiplied by a
+	// weight that grows with the job's work relative to the mean of its kind.
 	Worth, LateWorth float64
 }
 
@@ -119,8 +119,8 @@
 	Mean, Spread, Most float64
 }
 
-// Burst multiplies the arrival rate of a kind by Factor from At on, for as long as
-// Lasts.
+// Burst multiplies the arrival rate of a kind by Factor from At on, for as long
+// as Lasts.
 type Burst struct {
 	Kind      string
 	At, Lasts time.Duration
@@ -159,7 +159,8 @@
 	return read(changes, f)
 }
 
-// Parse is like Load, but takes the content of the files. The names are for errors.
+// Parse is like Load, but takes the content of the files. The names are for
+// errors.
 func Parse(siteName string, site []byte, name string, experiment []byte) (*Setup, error) {
 	changes, err := intent.Parse(siteName, site)
 	if err != nil {
@@ -228,8 +229,8 @@
 	return s, nil
 }
 
-// readKindName reads the name of a kind for the trace's jobs. It must be a kind of
-// the experiment; the first one is the default.
+// readKindName reads the name of a kind for the trace's jobs. It must be a kind
+// of the experiment; the first one is the default.
 func (s *Setup) readKindName(e *inifile.Section, key string) string {
 	var names []string
 	for i := range s.Kinds {
@@ -293,8 +294,8 @@
 	}
 }
 
-// readPolicies reads the policies. Without a policy section, the only policy has all
-// mechanisms on.
+// readPolicies reads the policies. Without a policy section, the only policy
+// has all mechanisms on.
 func readPolicies(f *inifile.File) []Policy {
 	var out []Policy
 	for _, s := range f.Sections("policy") {
--- a/internal/experiment/setup/setup_test.go
+++ b/internal/experiment/setup/setup_test.go
@@ -12,9 +12,10 @@
 	"curlewsill.org/curlewsill/internal/experiment/setup"
 )
 
-// TestFiles reads the experiments in testdata. The file "want" of each has one line
-// for each error that must be reported, in the same order; it is empty for a valid
-// experiment. SWITCHES stands for the names of all switches of a policy.
+// TestFiles reads the experiments in testdata. The file "want" of each has one
+// line for each error that must be reported, in the same order; it is empty for
+// a valid experiment. SWITCHES stands for the names of all switches of a
+// policy.
 func TestFiles(t *testing.T) {
 	names, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(names) == 0 {
--- a/internal/experiment/setup/world.go
+++ b/internal/experiment/setup/world.go
@@ -43,15 +43,16 @@
 	clockDrift     = 0.02
 	restartTime    = 3 * time.Second
 	remoteSlowdown = 3
-	// evacuationDelay is how long a task may still start in a failure domain after
-	// an operator has evacuated it.
+	// evacuationDelay is how long a task may still start in a failure domain
+	// after an operator has evacuated it.
 	evacuationDelay = 5 * time.Second
-	// crashDelay is the time from the start of a task to the crash of its worker.
+	// crashDelay is the time from the start of a task to the crash of its
+	// worker.
 	crashDelay = 10 * time.Millisecond
 )
 
-// readWorld reads the sections that describe the simulated site, and takes workers
-// and guarantees from the site's configuration.
+// readWorld reads the sections that describe the simulated site, and takes
+// workers and guarantees from the site's configuration.
 func readWorld(f *inifile.File, c config.Config) world.Setup {
 	hosts, owner, store := f.Section("hosts"), f.Section("owner"), f.Section("store")
 	network, workers := f.Section("network"), f.Section("workers")
@@ -89,8 +90,8 @@
 	return s
 }
 
-// readHosts reads the number of hosts and their cores. The listed numbers of cores
-// are assigned to the hosts in turn.
+// readHosts reads the number of hosts and their cores. The listed numbers of
+// cores are assigned to the hosts in turn.
 func readHosts(hosts *inifile.Section, s *world.Setup) {
 	cores := readNumbers(hosts, "cores", []float64{1})
 	for i := range hosts.Int("count", 3, 1, maxHosts) {
@@ -115,8 +116,8 @@
 	return out
 }
 
-// addSite adds the workers and guarantees of a site, without drained workers. Speeds
-// are assigned to the workers in turn.
+// addSite adds the workers and guarantees of a site, without drained workers.
+// Speeds are assigned to the workers in turn.
 func addSite(c config.Config, s *world.Setup, speeds []float64) {
 	for _, name := range config.Sorted(c.Racks) {
 		r := c.Racks[name]
