--- a/internal/dayreport/dayreport.go
+++ b/internal/dayreport/dayreport.go
@@ -1,4 +1,4 @@
-// Package dayreport analyses the logs of a site's entry hosts and reports where
+// Package dayreport analyzes the logs of a site's entry hosts and reports where
 // jobs lost time: how long they waited for room, how much time restarts cost
 // and for which reason, and which submissions were rejected. For each cause it
 // shows whether another decision of the owner could have saved the time.
--- a/internal/experiment/arrive/arrive.go
+++ b/internal/experiment/arrive/arrive.go
@@ -26,9 +26,9 @@
 type Event struct {
 	// At is the time since the start of the experiment.
 	At time.Duration
-	// Job is submitted.
+	// Job is a job that a customer submits.
 	Job *world.Job
-	// Cancel is the job that its customer cancels.
+	// Cancel is a job that its customer cancels.
 	Cancel id.Job
 	// Down is a worker that goes down, Up one that comes back.
 	Down, Up id.Worker
--- a/internal/experiment/batch/bench_test.go
+++ b/internal/experiment/batch/bench_test.go
@@ -18,8 +18,8 @@
 
 // BenchmarkPlay plays one policy with one seed of the shipped experiment for
 // 400 s of virtual time. The arrival rate is proportional to the number of
-// workers. On a busy machine, one run took 1.2 s for 935 jobs on 50 workers, 29
-// s for 6,992 jobs on 350 workers, and 447 s for 19,703 jobs on 990 workers.
+// workers. On a busy machine, one run took 1.2 s for 935 jobs on 50 workers,
+// 29 s for 6,992 jobs on 350 workers, and 447 s for 19,703 jobs on 990 workers.
 // With 350 workers, passes of core/dispatch take 0.60 of the processor time.
 func BenchmarkPlay(b *testing.B) {
 	for _, workers := range []int{50, 350, 990} {
--- a/internal/experiment/chart/shares.go
+++ b/internal/experiment/chart/shares.go
@@ -6,8 +6,8 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// maxPoints limits the number of points of a curve to about 500, so that the
-// chart of many jobs stays small.
+// maxPoints limits the points of a curve, so that the chart of many jobs stays
+// small. A curve has at most about twice as many.
 const maxPoints = 500
 
 // completionCurve returns the share of jobs that had completed over time. took
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -50,7 +50,8 @@
 
 // Prices are subtracted from the worth that jobs earn.
 type Prices struct {
-	// Waste is the price of a core-second of lost work, Start that of a start.
+	// Waste is the price of a core-second of lost work, Start that of starting
+	// a run.
 	Waste, Start float64
 }
 
