--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -180,7 +180,7 @@
 		c.client.HTTP.CloseIdleConnections()
 	}
 	v := c.pool.site.newestVersion()
-	key := configKey(v - 1) // the key that hosts with the previous and with the newest version know
+	key := configKey(v - 1) // hosts with the previous and with the newest version know it
 	known := c.pool.recentJob(c.random)
 	switch n := c.random.IntN(100); {
 	case n < 50 || known == "":
--- a/soak/entries_test.go
+++ b/soak/entries_test.go
@@ -167,11 +167,11 @@
 
 // change changes an entry. The next update writes it, unless the worker can't
 // reach the store.
-func (l *entryList) change(incarnation *standin.Worker, how func(*entry)) {
+func (l *entryList) change(incarnation *standin.Worker, edit func(*entry)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.byIncarnation[incarnation]; e != nil {
-		how(e)
+		edit(e)
 		e.nextHeartbeat = time.Time{}
 	}
 }
--- a/soak/judge_call_test.go
+++ b/soak/judge_call_test.go
@@ -153,7 +153,9 @@
 		h = &hostRecord{}
 		j.hosts[e.Host] = h
 	}
-	oldest, newest, lastMatch := 0, 0, 0 // of the versions that give such an answer: first and last from minVersion on, last of all
+	// Of the versions that give such an answer, oldest and newest are the first
+	// and last from minVersion on, and lastMatch is the last of all.
+	oldest, newest, lastMatch := 0, 0, 0
 	for _, c := range j.configs {
 		if slices.Contains(c.Keys, e.Key) != known {
 			continue
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -98,6 +98,8 @@
 	minVersionAt time.Duration
 }
 
+// fenceRefusals is the time of the first order of a fence that a worker refused,
+// and the number of orders refused too long after it.
 type fenceRefusals struct {
 	first      time.Duration
 	lateOrders int
--- a/soak/wide_test.go
+++ b/soak/wide_test.go
@@ -67,7 +67,7 @@
 	// All hosts end one after the other.
 	{"turns", []string{"kill", "term"}, 1, 0, 2 * time.Second},
 	// A worker that keeps running can't reach the store and can't be reached by
-	// hosts, for longer than its entry stands and shorter than a lease.
+	// hosts, for longer than its entry stays listed and shorter than a lease.
 	{"apart", []string{"refuse", "mute", "both"}, 3, 5 * time.Second, 9 * time.Second},
 	// The store is away, and all entries have expired when it returns.
 	{"lapse", []string{"busy", "hang"}, 1, 1500 * time.Millisecond, 4 * time.Second},
