--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -18,76 +18,80 @@
 const (
 	// callTime is how long a caller waits for an answer.
 	callTime = 3 * time.Second
-	// leastGap and mostGap bound the pause between two calls of a caller.
-	leastGap, mostGap = 20 * time.Millisecond, 160 * time.Millisecond
-	// renewOneIn is how many calls a caller makes on a connection that stays open, on average.
-	renewOneIn = 15
-	// tries is how often a caller hands a job in that was refused or got no answer.
-	tries = 8
-	// dialTime bounds the opening of a connection.
+	// minGap and maxGap bound the pause between two calls of a caller.
+	minGap, maxGap = 20 * time.Millisecond, 160 * time.Millisecond
+	// callsPerConnection is the mean number of calls after which a caller
+	// closes its idle connections.
+	callsPerConnection = 15
+	// maxTries is how often a caller submits a job that is refused or gets no
+	// answer.
+	maxTries = 8
+	// dialTime is the timeout for opening a connection.
 	dialTime = time.Second
 )
 
-// errNobody reports that no host takes connections.
-var errNobody = errors.New("soak: no host takes connections")
+// errNoHost reports that no host has begun to listen yet.
+var errNoHost = errors.New("soak: no host accepts connections")
 
-// callers is all callers of a site.
-type callers struct {
-	site *site
-	call atomic.Int64
+// callerPool is the state that all callers of a site share.
+type callerPool struct {
+	site     *site
+	lastCall atomic.Int64
 
 	mu sync.Mutex
-	// jobs are those that were handed in, accepted those that were taken.
+	// jobs are all submitted jobs, accepted those that were accepted.
 	jobs, accepted []string
-	// queues leads from a job to its queue.
+	// queues maps each job to its queue.
 	queues map[string]standin.Queue
 }
 
-// queueOf returns the queue of a job.
-func (a *callers) queueOf(job string) standin.Queue {
+func (a *callerPool) queueOf(job string) standin.Queue {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queues[job]
 }
 
-// caller is one caller with connections of its own, which it uses until they end.
+// caller submits jobs and asks for them. Its connections are its own, and it
+// keeps them until they end.
 type caller struct {
-	all    *callers
+	pool   *callerPool
 	random *rand.Rand
-	calls  standin.Caller
+	client standin.Caller
 }
 
-// lifeConn is a connection that knows which life of a host it leads to.
-type lifeConn struct {
+// hostConn is a connection to a host that records the host's incarnation.
+type hostConn struct {
 	net.Conn
-	life string
-	// given is set if the host was ready as far as the balancer knew.
-	given bool
+	incarnation string
+	// believedReady is set if the host was ready according to the load
+	// balancer's last probes.
+	believedReady bool
 }
 
-// dialError is a connection that a life of a host didn't take.
+// dialError reports a failed connection attempt to one incarnation of a host.
 type dialError struct {
-	life  string
-	given bool
-	err   error
+	incarnation   string
+	believedReady bool
+	err           error
 }
 
-func (e *dialError) Error() string { return e.life + ": " + e.err.Error() }
+func (e *dialError) Error() string { return e.incarnation + ": " + e.err.Error() }
 
-// newCaller returns a caller that draws from a seed.
-func (a *callers) newCaller(seed uint64, n int) *caller {
-	c := &caller{all: a, random: rand.New(rand.NewPCG(seed, uint64(10+n)))}
-	c.calls = standin.Caller{Deadline: callTime, HTTP: &http.Client{Transport: &http.Transport{DialContext: a.dial}}}
+// newCaller returns caller number n, whose random source is seeded with seed
+// and n.
+func (a *callerPool) newCaller(seed uint64, n int) *caller {
+	c := &caller{pool: a, random: rand.New(rand.NewPCG(seed, uint64(10+n)))}
+	c.client = standin.Caller{Deadline: callTime, HTTP: &http.Client{Transport: &http.Transport{DialContext: a.dial}}}
 	return c
 }
 
-// dial connects to a host that is ready, as the platform's balancer does: to any one when fewer than
-// half are.
-func (a *callers) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+// dial connects to a random ready host, as the platform's load balancer does.
+// If fewer than half of the hosts are ready it chooses among all of them.
+func (a *callerPool) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	var ready, all []*process
 	for _, h := range a.site.hosts {
-		p := h.newest()
-		if p == nil || p.callers == nil {
+		p := h.latest()
+		if p == nil || p.callersProxy == nil {
 			continue
 		}
 		all = append(all, p)
@@ -95,31 +99,33 @@
 			ready = append(ready, p)
 		}
 	}
-	given := 2*len(ready) >= len(a.site.hosts)
-	if !given {
+	enoughReady := 2*len(ready) >= len(a.site.hosts)
+	if !enoughReady {
 		ready = all
 	}
 	if len(ready) == 0 {
-		return nil, errNobody
+		return nil, errNoHost
 	}
-	p := ready[a.site.chance(len(ready))]
+	p := ready[a.site.intN(len(ready))]
 	d := net.Dialer{Timeout: dialTime}
-	c, err := d.DialContext(ctx, "tcp", p.callers.Addr())
+	c, err := d.DialContext(ctx, "tcp", p.callersProxy.Addr())
 	if err != nil {
-		return nil, &dialError{p.life, given, err}
+		return nil, &dialError{p.incarnation, enoughReady, err}
 	}
-	return &lifeConn{c, p.life, given}, nil
+	return &hostConn{c, p.incarnation, enoughReady}, nil
 }
 
-// do makes a call, tells of it and returns its answer. A connection that ends under a call isn't
-// replaced by another one in silence.
+// do makes a call, records it and its answer, and returns the answer. It
+// cancels a call for which the HTTP client would silently open a second
+// connection after the first one ended, so that each answer belongs to one
+// host.
 func (c *caller) do(method, job, key, text string, steps []standin.Step) (int, string) {
-	n := int(c.all.call.Add(1))
-	c.all.site.tell(event{Kind: sent, Call: n, Method: method, Job: job, Key: key, Text: text, Steps: steps})
+	n := int(c.pool.lastCall.Add(1))
+	c.pool.site.record(event{Kind: eventSent, Call: n, Method: method, Job: job, Key: key, Text: text, Steps: steps})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var mu sync.Mutex
-	life, left, conns, fresh := "", time.Now(), 0, false
+	incarnation, sentAt, conns, fresh := "", time.Now(), 0, false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -127,25 +133,27 @@
 			cancel()
 			return
 		}
-		left = time.Now()
-		if l, ok := i.Conn.(*lifeConn); ok {
-			life, fresh = l.life, l.given && !i.Reused
+		sentAt = time.Now()
+		if l, ok := i.Conn.(*hostConn); ok {
+			incarnation, fresh = l.incarnation, l.believedReady && !i.Reused
 		}
 	}})
 	var body []byte
 	if method == http.MethodPost {
 		body = standin.Body(text, steps)
 	}
-	status, state, err := c.calls.Call(ctx, "front", method, c.all.queueOf(job), job, key, body)
+	status, state, err := c.client.Call(ctx, "front", method, c.pool.queueOf(job), job, key, body)
 	mu.Lock()
-	e := event{Kind: answered, Call: n, Host: life, Status: status, State: state, Fresh: fresh}
+	e := event{Kind: eventAnswered, Call: n, Host: incarnation, Status: status, State: state, Fresh: fresh}
 	var refused *dialError
 	switch {
 	case conns > 0:
-		// A connection that ended under the call: the client connects again by itself, and where that fails says nothing of the first host.
-		e.Took = time.Since(left)
+		// The connection ended during the call. The client then connects again
+		// by itself, and a failure of that second connect says nothing about
+		// the first host.
+		e.Took = time.Since(sentAt)
 	case errors.As(err, &refused):
-		e.Host, e.Fresh = refused.life, refused.given
+		e.Host, e.Fresh = refused.incarnation, refused.believedReady
 	}
 	mu.Unlock()
 	switch {
@@ -154,26 +162,26 @@
 	case err != nil:
 		e.How = err.Error()
 	}
-	c.all.site.tell(e)
+	c.pool.site.record(e)
 	return status, state
 }
 
-// run makes calls until the end.
-func (c *caller) run(end time.Time, name string) {
-	for n := 0; time.Now().Before(end); n++ {
-		c.step(fmt.Sprintf("%s%04x", name, n))
-		time.Sleep(leastGap + time.Duration(c.random.Int64N(int64(mostGap-leastGap))))
+// run makes calls until the deadline.
+func (c *caller) run(deadline time.Time, name string) {
+	for n := 0; time.Now().Before(deadline); n++ {
+		c.makeCall(fmt.Sprintf("%s%04x", name, n))
+		time.Sleep(minGap + time.Duration(c.random.Int64N(int64(maxGap-minGap))))
 	}
 }
 
-// step makes one call of some kind.
-func (c *caller) step(job string) {
-	if c.random.IntN(renewOneIn) == 0 {
-		c.calls.HTTP.CloseIdleConnections()
+// makeCall makes one randomly chosen call.
+func (c *caller) makeCall(job string) {
+	if c.random.IntN(callsPerConnection) == 0 {
+		c.client.HTTP.CloseIdleConnections()
 	}
-	v := c.all.site.newest()
-	key := keyOf(v - 1) // the one that old and new hosts know
-	known := c.all.some(c.random)
+	v := c.pool.site.newestVersion()
+	key := configKey(v - 1) // hosts with the previous and with the newest version know it
+	known := c.pool.recentJob(c.random)
 	switch n := c.random.IntN(100); {
 	case n < 50 || known == "":
 		c.submit(job)
@@ -182,14 +190,15 @@
 	case n < 86:
 		c.do(http.MethodDelete, known, key, "", nil)
 	case n < 93:
-		c.do(http.MethodGet, known, keyOf(v), "", nil)
+		c.do(http.MethodGet, known, configKey(v), "", nil)
 	default:
-		c.do(http.MethodGet, known, keyOf(max(0, v-2)), "", nil)
+		c.do(http.MethodGet, known, configKey(max(0, v-2)), "", nil)
 	}
 }
 
-// some returns one of the jobs that were handed in, or nothing.
-func (a *callers) some(r *rand.Rand) string {
+// recentJob returns one of the last 60 submitted jobs, or "" before the first
+// one.
+func (a *callerPool) recentJob(r *rand.Rand) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.jobs) == 0 {
@@ -199,35 +208,36 @@
 	return pick(r, recent)
 }
 
-// submit hands a job in until it is taken; a third of the callers leave after a refusal.
+// submit submits a job until it is accepted or maxTries is reached. In a third
+// of the cases the caller gives up after the first refusal.
 func (c *caller) submit(job string) {
-	text, steps := c.draw()
-	if c.all.site.poison() {
-		text, steps = crashes, []standin.Step{{Count: 1}}
+	text, steps := c.drawJob()
+	if c.pool.site.takePoison() {
+		text, steps = crashingText, []standin.Step{{Count: 1}}
 	}
-	q := c.all.site.queue()
-	c.all.mu.Lock()
-	c.all.queues[job] = q
-	c.all.jobs = append(c.all.jobs, job)
-	c.all.mu.Unlock()
-	leaves := c.random.IntN(3) == 0
-	for range tries {
-		status, _ := c.do(http.MethodPost, job, keyOf(c.all.site.newest()-1), text, steps)
+	q := c.pool.site.pickQueue()
+	c.pool.mu.Lock()
+	c.pool.queues[job] = q
+	c.pool.jobs = append(c.pool.jobs, job)
+	c.pool.mu.Unlock()
+	givesUp := c.random.IntN(3) == 0
+	for range maxTries {
+		status, _ := c.do(http.MethodPost, job, configKey(c.pool.site.newestVersion()-1), text, steps)
 		if status >= 200 && status < 300 {
-			c.all.mu.Lock()
-			c.all.accepted = append(c.all.accepted, job)
-			c.all.mu.Unlock()
+			c.pool.mu.Lock()
+			c.pool.accepted = append(c.pool.accepted, job)
+			c.pool.mu.Unlock()
 			return
 		}
-		if status != 0 && leaves {
+		if status != 0 && givesUp {
 			return
 		}
-		time.Sleep(mostGap)
+		time.Sleep(maxGap)
 	}
 }
 
-// draw draws what a job does.
-func (c *caller) draw() (string, []standin.Step) {
+// drawJob returns the payload text and the steps of a random job.
+func (c *caller) drawJob() (string, []standin.Step) {
 	count := 1 + c.random.IntN(3)
 	switch n := c.random.IntN(20); {
 	case n < 3:
@@ -242,29 +252,30 @@
 		return "fails", []standin.Step{{Count: count}}
 	case n < 16:
 		return "middle", []standin.Step{{Count: count}}
-	case n < 18 && c.all.site.entries != nil:
+	case n < 18 && c.pool.site.entries != nil:
 		return "longest", []standin.Step{{Count: count}}
-	case n < 19 && len(c.all.site.queues) > 1:
+	case n < 19 && len(c.pool.site.queues) > 1:
 		return "fails late", []standin.Step{{Count: count}}
 	}
 	return "short", []standin.Step{{Count: count}}
 }
 
-// askAll asks for all jobs until each has ended or isn't known, or the end.
-func (c *caller) askAll(end time.Time) {
-	c.all.mu.Lock()
-	left := append([]string{}, c.all.jobs...)
-	c.all.mu.Unlock()
-	for len(left) > 0 && time.Now().Before(end) {
-		var still []string
-		for _, job := range left {
-			status, state := c.do(http.MethodGet, job, keyOf(c.all.site.newest()), "", nil)
+// awaitJobs asks for all jobs until each has ended or is unknown, or until the
+// deadline.
+func (c *caller) awaitJobs(deadline time.Time) {
+	c.pool.mu.Lock()
+	pending := append([]string{}, c.pool.jobs...)
+	c.pool.mu.Unlock()
+	for len(pending) > 0 && time.Now().Before(deadline) {
+		var unfinished []string
+		for _, job := range pending {
+			status, state := c.do(http.MethodGet, job, configKey(c.pool.site.newestVersion()), "", nil)
 			if status != http.StatusGone && state != "completed" && state != "failed" && state != "cancelled" {
-				still = append(still, job)
+				unfinished = append(unfinished, job)
 			}
 		}
-		if left = still; len(left) > 0 {
-			time.Sleep(mostGap)
+		if pending = unfinished; len(pending) > 0 {
+			time.Sleep(maxGap)
 		}
 	}
 }
