--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -18,8 +18,9 @@
 	protocol "curlewsill.org/curlewsill/core/worker"
 )
 
-// bench is a scheduler with its workers, under a log that accepts everything at once.
-type bench struct {
+// benchSite is a scheduler with fake workers and a log that accepts every entry at
+// once.
+type benchSite struct {
 	st      *state.State
 	s       *sched.Scheduler
 	workers map[id.Worker]*worker.Worker
@@ -31,10 +32,10 @@
 // batchSize is how many entries go into one record.
 const batchSize = 256
 
-// newBench returns a site of the given number of workers, with teams that each hold a
-// guarantee of 8.
-func newBench(b testing.TB, workers, teams int) *bench {
-	x := &bench{st: state.New(), workers: map[id.Worker]*worker.Worker{}, now: unit.Instant(time.Hour)}
+// newBenchSite returns a site with the given numbers of workers and of teams, which
+// are customers with guaranteed blocks of 8 accelerators.
+func newBenchSite(b testing.TB, workers, teams int) *benchSite {
+	x := &benchSite{st: state.New(), workers: map[id.Worker]*worker.Worker{}, now: unit.Instant(time.Hour)}
 	var changes []config.Change
 	for i := range teams {
 		c := id.Customer(fmt.Sprintf("team%02d", i))
@@ -45,7 +46,7 @@
 		for k := range min(8, workers-i) {
 			w := id.Worker(fmt.Sprintf("%sw%d", r.ID, k))
 			r.Workers = append(r.Workers, config.Worker{ID: w, Accelerators: 8, Cores: 60, Memory: 250 * unit.GiB})
-			x.workers[w] = worker.New(w, 8, 1, worker.Hooks{Plan: forever})
+			x.workers[w] = worker.New(w, 8, 1, worker.Hooks{Plan: runForever})
 		}
 		changes = append(changes, config.Change{SetRack: r})
 	}
@@ -62,11 +63,11 @@
 	return x
 }
 
-// forever lets tasks run for as long as a benchmark.
-func forever(protocol.Want) worker.Run { return worker.Run{For: 1000 * time.Hour} }
+// runForever makes tasks run longer than any benchmark.
+func runForever(protocol.Want) worker.Run { return worker.Run{For: 1000 * time.Hour} }
 
-// write puts entries on the log and returns their verdicts.
-func (x *bench) write(b testing.TB, entries ...record.Entry) []error {
+// write appends entries to the log and returns their verdicts.
+func (x *benchSite) write(b testing.TB, entries ...record.Entry) []error {
 	x.seq++
 	raw, err := record.Encode(record.Batch{
 		Version: record.Version, Host: "h", Incarnation: 1, Seq: x.seq, Basis: x.st.Applied, Entries: entries,
@@ -81,7 +82,7 @@
 	return a.Verdicts
 }
 
-func (x *bench) submit(b testing.TB, n, size, teams int) {
+func (x *benchSite) submit(b testing.TB, n, size, teams int) {
 	entries := make([]record.Entry, 0, n)
 	for range n {
 		x.jobs++
@@ -97,8 +98,8 @@
 	x.accept(b, entries)
 }
 
-// accept writes entries and tells the scheduler of them.
-func (x *bench) accept(b testing.TB, entries []record.Entry) {
+// accept writes entries and passes them to the scheduler as accepted.
+func (x *benchSite) accept(b testing.TB, entries []record.Entry) {
 	if len(entries) == 0 {
 		return
 	}
@@ -110,13 +111,13 @@
 	}
 }
 
-// step lets the scheduler decide and carries its decisions out.
-func (x *bench) step(b testing.TB) {
+// step runs one scheduler step and executes its decisions.
+func (x *benchSite) step(b testing.TB) {
 	x.now = x.now.Add(50 * time.Millisecond)
-	x.carryOut(b, x.s.Step(x.now))
+	x.execute(b, x.s.Step(x.now))
 }
 
-func (x *bench) carryOut(b testing.TB, d sched.Decisions) {
+func (x *benchSite) execute(b testing.TB, d sched.Decisions) {
 	for part := range slices.Chunk(d.Entries, batchSize) {
 		for i, err := range x.write(b, part...) {
 			x.s.Settled(x.now, part[i], err)
@@ -127,18 +128,18 @@
 	}
 }
 
-func (x *bench) settle(b testing.TB) {
+func (x *benchSite) settle(b testing.TB) {
 	for range 20 {
 		x.step(b)
 	}
 }
 
-// fullSite returns a site whose accelerators are all in use, with a backlog that
+// fullSite returns a site whose accelerators are all in use, with waiting jobs that
 // can't start.
-func fullSite(b testing.TB, workers, tasks, backlog int) *bench {
+func fullSite(b testing.TB, workers, tasks, backlog int) *benchSite {
 	const teams = 26
-	x := newBench(b, workers, teams)
-	// Jobs of one accelerator give the most tasks; larger ones fill the rest.
+	x := newBenchSite(b, workers, teams)
+	// Jobs of one accelerator each fill the site.
 	x.submit(b, tasks, 1, teams)
 	x.settle(b)
 	x.submit(b, workers*8-tasks, 1, teams)
@@ -150,14 +151,14 @@
 	return x
 }
 
-var passSizes = []struct{ workers, tasks, backlog int }{
+var siteSizes = []struct{ workers, tasks, backlog int }{
 	{50, 280, 1000}, {330, 1866, 1000}, {990, 5600, 1000}, {990, 5600, 5000}, {990, 5600, 10000},
 }
 
-// BenchmarkPass measures one whole walk of the queue on a full site: every group is
-// tried, and nothing can start.
+// BenchmarkPass measures one full pass on a full site: every group is tried, and no
+// job can start.
 func BenchmarkPass(b *testing.B) {
-	for _, z := range passSizes {
+	for _, z := range siteSizes {
 		b.Run(fmt.Sprintf("workers=%d/tasks=%d/backlog=%d", z.workers, z.tasks, z.backlog), func(b *testing.B) {
 			x := fullSite(b, z.workers, z.tasks, z.backlog)
 			b.ReportAllocs()
@@ -169,9 +170,9 @@
 	}
 }
 
-// BenchmarkSubmit measures the walk for one new job on a full site.
+// BenchmarkSubmit measures the pass triggered by one new job on a full site.
 func BenchmarkSubmit(b *testing.B) {
-	for _, z := range passSizes {
+	for _, z := range siteSizes {
 		b.Run(fmt.Sprintf("workers=%d/tasks=%d/backlog=%d", z.workers, z.tasks, z.backlog), func(b *testing.B) {
 			x := fullSite(b, z.workers, z.tasks, z.backlog)
 			b.ReportAllocs()
@@ -183,14 +184,15 @@
 				b.StartTimer()
 				d := x.s.Step(x.now)
 				b.StopTimer()
-				x.carryOut(b, d)
+				x.execute(b, d)
 				b.StartTimer()
 			}
 		})
 	}
 }
 
-// BenchmarkMemory reports the heap that state and scheduler of a full site take.
+// BenchmarkMemory reports the heap size of the state, scheduler and workers of a
+// full site.
 func BenchmarkMemory(b *testing.B) {
 	for _, z := range []struct{ workers, tasks int }{{50, 280}, {330, 1866}, {990, 5600}} {
 		b.Run(fmt.Sprintf("workers=%d/tasks=%d", z.workers, z.tasks), func(b *testing.B) {
@@ -209,11 +211,11 @@
 	}
 }
 
-// BenchmarkStep measures a step in which nothing changed.
+// BenchmarkStep measures a step without any change since the last one.
 func BenchmarkStep(b *testing.B) {
 	for _, workers := range []int{50, 330, 990} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			x := newBench(b, workers, 26)
+			x := newBenchSite(b, workers, 26)
 			x.submit(b, workers*8/2, 1, 26)
 			x.settle(b)
 			b.ReportAllocs()
--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -17,73 +17,74 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// option is one way to give a job a place within a guarantee.
+// option is one possible placement of a job within a cell of a guarantee.
 type option struct {
 	cell  record.Cell
 	home  block.Block
 	block block.Block
-	// cost is the work that borrowers would lose; clear is set if nobody holds any
-	// of the accelerators.
-	cost  int
-	clear bool
-	// opens is set if the cell was not in use before; waste is how much of the
-	// cell the job leaves over.
-	opens bool
-	waste int
+	// cost is the work that borrowers would lose; vacant is set if no gang holds
+	// any of the accelerators and none of them is set aside.
+	cost   int
+	vacant bool
+	// newCell is set if the cell is not in use yet; waste is the number of the
+	// cell's accelerators that the job leaves unused.
+	newCell bool
+	waste   int
 }
 
-// before orders options: those in cells already in use, then those that waste least,
-// then those that take least from borrowers.
+// before orders options: first those in cells already in use, then those with the
+// least waste, then those with the least cost to borrowers.
 func (a option) before(b option) bool {
-	if a.opens != b.opens {
-		return !a.opens
+	if a.newCell != b.newCell {
+		return !a.newCell
 	}
 	return cmp.Or(cmp.Compare(a.waste, b.waste), cmp.Compare(a.cost, b.cost)) < 0
 }
 
-// tryGuaranteed starts the job within a guarantee of its customer. If borrowers are in
-// its way, it stops them and keeps the place.
-func (s *Scheduler) tryGuaranteed(now unit.Instant, j record.Job) outcome {
+// tryGuaranteed starts the job within a guarantee of its customer. If borrowers
+// occupy the chosen block, it preempts them and sets the block aside.
+func (s *Scheduler) tryGuaranteed(now unit.Instant, j record.Job) tryResult {
 	best, ok := s.bestOption(now, j)
 	if !ok {
 		return noRoom
 	}
-	if best.clear {
-		s.start(now, j, best.block, best.cell, best.home)
+	if best.vacant {
+		s.startGang(now, j, best.block, best.cell, best.home)
 		s.inventory.Refresh(s.state.Config, s.state.Spare)
 		return started
 	}
 	s.preempt(now, best.block, "the guarantee of customer "+string(j.Customer)+" is reclaimed")
 	s.inventory.Keep(best.block, best.cell, best.home)
-	return waits
+	return preempting
 }
 
 func (s *Scheduler) bestOption(now unit.Instant, j record.Job) (option, bool) {
 	var best option
 	found := false
-	for _, g := range s.cells[j.Customer] {
+	for _, g := range s.guarantees[j.Customer] {
 		if g.Size < j.Accelerators {
 			continue
 		}
-		fresh := false
+		unusedFound := false
 		for i := range g.Count {
 			cell := record.Cell{Guarantee: g.ID, Index: i}
 			_, used := s.inventory.Home(cell)
-			if !used && fresh {
-				// The cells that are not in use are all alike.
+			if !used && unusedFound {
+				// All unused cells are equivalent: one of them is enough.
 				continue
 			}
-			st, ok := s.optionIn(now, j, cell, g.Size)
-			fresh = fresh || !used && ok
-			if ok && (!found || st.before(best)) {
-				best, found = st, true
+			o, ok := s.optionIn(now, j, cell, g.Size)
+			unusedFound = unusedFound || !used && ok
+			if ok && (!found || o.before(best)) {
+				best, found = o, true
 			}
 		}
 	}
 	return best, found
 }
 
-// optionIn looks for a place for the job in one cell.
+// optionIn returns the cheapest placement of the job in one cell, and whether
+// there is any.
 func (s *Scheduler) optionIn(now unit.Instant, j record.Job, cell record.Cell, size int) (option, bool) {
 	home, used := s.inventory.Home(cell)
 	if !used {
@@ -97,17 +98,17 @@
 	if r == nil {
 		return option{}, false
 	}
-	free := r.Live & home.Mask() &^ r.Pinned & s.fits(r, j)
+	free := r.Live & home.Mask() &^ r.Pinned & s.usableFor(r, j)
 	b, cost, ok := s.cheapestStart(now, free, r, j.Accelerators)
 	return option{
-		cell: cell, home: home, block: b, cost: cost, clear: b.Mask()&r.Taken() == 0,
-		opens: !used, waste: size - j.Accelerators,
+		cell: cell, home: home, block: b, cost: cost, vacant: b.Mask()&r.Taken() == 0,
+		newCell: !used, waste: size - j.Accelerators,
 	}, ok
 }
 
-// cheapestHome returns where a cell that is not in use would take least from
-// borrowers, without moving the place of another cell. Its own place always
-// qualifies.
+// cheapestHome returns the block for a cell that is not in use at which borrowers
+// lose the least work, without moving the block of any other cell. The block
+// currently planned for the cell always qualifies.
 func (s *Scheduler) cheapestHome(now unit.Instant, spare block.Block) block.Block {
 	best, lowest := spare, math.MaxInt
 	for i := range s.inventory.Racks {
@@ -124,18 +125,18 @@
 	return best
 }
 
-// cheapestStart returns the run of size bits within free whose borrowers would lose the
-// least work; of equals, one that starts at a multiple of the size.
+// cheapestStart returns the run of size bits within free at which borrowers lose
+// the least work. Among equals, it prefers a start that is a multiple of size.
 func (s *Scheduler) cheapestStart(now unit.Instant, free uint64, r *inventory.Rack, size int) (block.Block, int, bool) {
 	best, lowest, found := block.Block{}, 0, false
 	starts := block.Starts(free, size)
 	if starts == 0 {
 		return best, 0, false
 	}
-	prices := s.pricesOf(now, r)
+	sums := s.costSumsOf(now, r)
 	for ; starts != 0; starts &= starts - 1 {
 		at := bits.TrailingZeros64(starts)
-		cost := 2 * (prices[at+size] - prices[at])
+		cost := 2 * (sums[at+size] - sums[at])
 		if at%size != 0 {
 			cost++
 		}
@@ -146,51 +147,55 @@
 	return best, lowest, found
 }
 
-// prices has at i the work that would be lost if the gangs on the accelerators before i
-// were stopped, in accelerator-minutes.
-type prices [block.MaxSize + 1]int
+// costSums has at index i the work that would be lost if the gangs on the
+// accelerators before i were stopped, in accelerator-minutes.
+type costSums [block.MaxSize + 1]int
 
-// pricesOf returns the prices of a rack, which are kept for one pass.
-func (s *Scheduler) pricesOf(now unit.Instant, r *inventory.Rack) *prices {
-	if p := s.prices[r.ID]; p != nil && p.staying == r.Staying() {
-		return &p.prices
+// costSumsOf returns the preemption costs of a rack. They are cached for one pass,
+// as long as the rack's occupied accelerators stay the same.
+func (s *Scheduler) costSumsOf(now unit.Instant, r *inventory.Rack) *costSums {
+	if p := s.preemptCosts[r.ID]; p != nil && p.staying == r.Staying() {
+		return &p.costSums
 	}
-	var each [block.MaxSize]int
-	for i := range each {
-		each[i] = int(r.Staying() >> i & 1)
+	var perAccelerator [block.MaxSize]int
+	for i := range perAccelerator {
+		perAccelerator[i] = int(r.Staying() >> i & 1)
 	}
-	for _, g := range s.inRack(r.ID) {
+	for _, g := range s.gangsInRack(r.ID) {
 		for i := range g.Block.Size {
 			at := g.Block.Start + i
-			each[at] *= 1 + int(now.Sub(g.began)/time.Minute)
+			perAccelerator[at] *= 1 + int(now.Sub(g.startedAt)/time.Minute)
 		}
 	}
-	p := &priced{staying: r.Staying()}
-	for i, x := range each {
-		p.prices[i+1] = p.prices[i] + x
+	p := &rackCosts{staying: r.Staying()}
+	for i, x := range perAccelerator {
+		p.costSums[i+1] = p.costSums[i] + x
 	}
-	s.prices[r.ID] = p
-	return &p.prices
+	s.preemptCosts[r.ID] = p
+	return &p.costSums
 }
 
-// priced is the prices of a rack with what they were computed for.
-type priced struct {
-	prices
+// rackCosts is the preemption costs of a rack and the mask of the occupied
+// accelerators for which they were computed.
+type rackCosts struct {
+	costSums
 	staying uint64
 }
 
-// tryBorrow starts the job on capacity that nobody uses now.
+// tryBorrow starts the job on accelerators that no gang holds and that are not set
+// aside. It avoids the reserved block unless the job is expected to end before that
+// block is free.
 func (s *Scheduler) tryBorrow(now unit.Instant, j record.Job) bool {
-	var except uint64
-	if s.reserved.Size > 0 && s.reservedFor != j.ID && s.expected(j.Customer, j.Declared) > s.until {
-		except = s.reserved.Mask()
+	var excluded uint64
+	if s.reserved.Size > 0 && s.reservedFor != j.ID && s.expectedRunTime(j.Customer, j.Declared) > s.reservedFreeIn {
+		excluded = s.reserved.Mask()
 	}
 	rooms := make([]place.Room, 0, len(s.inventory.Racks))
 	for i := range s.inventory.Racks {
 		r := &s.inventory.Racks[i]
-		free := r.Live &^ r.Taken() & s.fits(r, j)
+		free := r.Live &^ r.Taken() & s.usableFor(r, j)
 		if r.ID == s.reserved.Rack {
-			free &^= except
+			free &^= excluded
 		}
 		if free != 0 {
 			rooms = append(rooms, place.Room{Rack: r.ID, Free: free, Avoid: r.Guarded()})
@@ -198,28 +203,29 @@
 	}
 	choose := s.policy.Choose
 	if j.Once {
-		choose = s.chooseFirm
+		choose = s.chooseForNonPreemptible
 	}
 	b, ok := choose(rooms, j.Accelerators, s.demand)
 	if ok {
-		s.start(now, j, b, record.Cell{}, block.Block{})
+		s.startGang(now, j, b, record.Cell{}, block.Block{})
 	}
 	return ok
 }
 
-// chooseFirm chooses a block for a gang that can't be stopped: clear of every
-// guarantee's place, or else where the places in its way can be had elsewhere.
-func (s *Scheduler) chooseFirm(rooms []place.Room, size int, demand []int) (block.Block, bool) {
-	apart := slices.Clone(rooms)
-	for i := range apart {
-		apart[i].Free &^= apart[i].Avoid
+// chooseForNonPreemptible chooses a block for a gang that can't be preempted. It
+// prefers a block that overlaps no place of a guarantee; otherwise it takes one
+// where the overlapped places of unused cells can be moved elsewhere.
+func (s *Scheduler) chooseForNonPreemptible(rooms []place.Room, size int, demand []int) (block.Block, bool) {
+	unguarded := slices.Clone(rooms)
+	for i := range unguarded {
+		unguarded[i].Free &^= unguarded[i].Avoid
 	}
-	if b, ok := s.policy.Choose(apart, size, demand); ok {
+	if b, ok := s.policy.Choose(unguarded, size, demand); ok {
 		return b, true
 	}
 	for i := range rooms {
 		room := rooms[i : i+1]
-		// Homes in use can't be moved.
+		// The blocks of cells in use can't be moved.
 		room[0].Free &^= s.inventory.Rack(room[0].Rack).Firm
 		if b, ok := s.policy.Choose(room, size, demand); ok && s.inventory.Clears(s.state.Config, b) {
 			return b, true
@@ -228,41 +234,43 @@
 	return block.Block{}, false
 }
 
-// preempt stops the borrowers that overlap a block.
+// preempt stops the gangs that overlap a block and can be preempted.
 func (s *Scheduler) preempt(now unit.Instant, b block.Block, reason string) {
-	for _, name := range config.Sorted(s.inRack(b.Rack)) {
-		r := s.gangs[name]
+	for _, jobID := range config.Sorted(s.gangsInRack(b.Rack)) {
+		r := s.gangs[jobID]
 		if r.Cell.Guarantee != "" || r.Job.Once || !r.Block.Overlaps(b) {
 			continue
 		}
 		if r.State == gang.Stopping || r.State == gang.Released {
 			continue
 		}
-		s.end(now, r, gang.Cancel, record.Requeued, reason)
+		s.stopGang(now, r, gang.Cancel, record.Requeued, reason)
 		s.stats.Preempted++
 		s.dirty = true
 	}
 }
 
-// inRack returns the gangs of one rack.
-func (s *Scheduler) inRack(k id.Rack) map[id.Job]*run {
+// gangsInRack returns the gangs that have a member in rack k.
+func (s *Scheduler) gangsInRack(k id.Rack) map[id.Job]*run {
 	out := map[id.Job]*run{}
 	for _, w := range s.state.Config.Racks[k].Workers {
-		for name, r := range s.tasks[w.ID] {
-			out[name] = r
+		for jobID, r := range s.runsOn[w.ID] {
+			out[jobID] = r
 		}
 	}
 	return out
 }
 
-// makeRoom stops borrowers for an urgent job, as few accelerators as it can.
-func (s *Scheduler) makeRoom(now unit.Instant, j record.Job) bool {
+// preemptForUrgent preempts the gangs on the block for an urgent job where the
+// least work is lost, and sets that block aside. It spares the blocks of
+// guarantees in use, gangs that must not be repeated, and urgent gangs.
+func (s *Scheduler) preemptForUrgent(now unit.Instant, j record.Job) bool {
 	var best block.Block
 	var rack *inventory.Rack
 	lowest := math.MaxInt
 	for i := range s.inventory.Racks {
 		r := &s.inventory.Racks[i]
-		free := r.Live &^ r.Firm &^ r.Urgent & s.fits(r, j)
+		free := r.Live &^ r.Firm &^ r.Urgent & s.usableFor(r, j)
 		b, cost, ok := s.cheapestStart(now, free, r, j.Accelerators)
 		if ok && cost < lowest {
 			best, lowest, rack = b, cost, r
@@ -276,40 +284,41 @@
 	return true
 }
 
-// reserve keeps a block for the oldest job that found no room: the one that is
+// reserve reserves a block for the job, if none is reserved yet: the block that is
 // expected to be free first.
 func (s *Scheduler) reserve(now unit.Instant, j record.Job) {
 	if s.reserved.Size > 0 {
 		return
 	}
-	first := time.Duration(-1)
+	shortest := time.Duration(-1)
 	for i := range s.inventory.Racks {
 		r := &s.inventory.Racks[i]
-		room := r.Live & s.fits(r, j)
+		room := r.Live & s.usableFor(r, j)
 		starts := block.Starts(room, j.Accelerators)
 		if starts == 0 {
 			continue
 		}
-		frees := s.frees(now, r.ID)
+		busy := s.busyFor(now, r.ID)
 		for ; starts != 0; starts &= starts - 1 {
 			at := bits.TrailingZeros64(starts)
-			wait := slices.Max(frees[at : at+j.Accelerators])
-			if first < 0 || wait < first {
-				first = wait
+			wait := slices.Max(busy[at : at+j.Accelerators])
+			if shortest < 0 || wait < shortest {
+				shortest = wait
 				s.reserved = block.Block{Rack: r.ID, Start: at, Size: j.Accelerators}
 			}
 		}
 	}
-	if first >= 0 {
-		s.until, s.reservedFor = first, j.ID
+	if shortest >= 0 {
+		s.reservedFreeIn, s.reservedFor = shortest, j.ID
 	}
 }
 
-// frees returns for each accelerator of a rack how long it is expected to be busy.
-func (s *Scheduler) frees(now unit.Instant, k id.Rack) [block.MaxSize]time.Duration {
+// busyFor returns, for each accelerator of a rack, how much longer it is expected
+// to be held.
+func (s *Scheduler) busyFor(now unit.Instant, k id.Rack) [block.MaxSize]time.Duration {
 	var out [block.MaxSize]time.Duration
-	for _, r := range s.inRack(k) {
-		left := s.remaining(now, r)
+	for _, r := range s.gangsInRack(k) {
+		left := s.remainingRunTime(now, r)
 		for i := range r.Block.Size {
 			out[r.Block.Start+i] = max(out[r.Block.Start+i], left)
 		}
--- a/core/sched/doc.go
+++ b/core/sched/doc.go
@@ -1,15 +1,16 @@
-// Package sched is the owner's side of scheduling: which job runs next, where, and
-// what has to make room for it.
+// Package sched is the scheduler of the owner (leader): it decides which job
+// runs next, on which accelerators, and which gangs are preempted to make room.
 //
-// A Scheduler reads the replayed state and adds what only the owner knows: the
-// gangs under way, which workers answer, and how long jobs of a customer really
-// run. It writes nothing itself. Its decisions are log entries and worker syncs
-// that the caller carries out, and nothing it believes counts until the log
-// accepted it.
+// A Scheduler reads the replicated state and adds what only the owner knows: the
+// gangs in flight, which workers respond, and how long the jobs of each customer
+// run in practice. It performs no I/O. Its decisions are log entries and worker
+// syncs that the caller writes and sends, and no task runs until the log has
+// accepted its placement.
 //
-// The order of a pass is: move the gangs on, refuse what can never run, then walk
-// the queue. A job is first tried within its customer's guarantees, where it may
-// preempt borrowers, and then on borrowed capacity, where it may not. The oldest
-// job that finds no room gets a reservation: a block that later jobs may use only
-// if they are expected to end before it is free.
+// Each step first advances the gangs. A scheduling pass then refuses jobs that
+// can never run and tries the waiting groups of jobs. A job is first tried within
+// its customer's guarantees, where it may preempt borrowers, and then on borrowed
+// capacity, where only an urgent job may preempt. The first job that finds no
+// room gets a reservation: a block that other jobs may use only if they are
+// expected to end before it becomes free.
 package sched
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -10,130 +10,131 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// maxAttempts is how often a repeatable job is placed before a crash is taken for
-// the job's own fault.
+// maxAttempts is the number of attempts of a repeatable job after which a crash
+// counts as the job's own failure.
 const maxAttempts = 3
 
-// compare takes over the placements that the log holds and no gang stands for, queues
-// the jobs that wait, and stops the gangs of jobs that have ended.
-func (s *Scheduler) compare(now unit.Instant) {
-	for _, name := range config.Sorted(s.state.Jobs) {
-		j := s.state.Jobs[name]
+// reconcile adopts the placements in the log that have no gang here, queues the
+// pending jobs, and stops the gangs of jobs that have ended.
+func (s *Scheduler) reconcile(now unit.Instant) {
+	for _, jobID := range config.Sorted(s.state.Jobs) {
+		j := s.state.Jobs[jobID]
 		switch {
-		case j.State == state.Running && s.gangs[name] == nil:
-			p := record.Place{Job: name, Attempt: j.Attempt, Lease: j.Lease, Block: j.Block, Cell: j.Cell, Home: j.Home}
-			s.keep(&run{Gang: gang.Adopt(now, p, j.Spec, s.members(j.Block)), began: now})
-		case j.State == state.Pending && s.gangs[name] == nil && !s.ends[name]:
-			s.backlog.Add(j.Spec, len(s.bad[name]) > 0)
+		case j.State == state.Running && s.gangs[jobID] == nil:
+			p := record.Place{Job: jobID, Attempt: j.Attempt, Lease: j.Lease, Block: j.Block, Cell: j.Cell, Home: j.Home}
+			s.track(&run{Gang: gang.Adopt(now, p, j.Spec, s.membersOn(j.Block)), startedAt: now})
+		case j.State == state.Pending && s.gangs[jobID] == nil && !s.refusing[jobID]:
+			s.backlog.Add(j.Spec, len(s.crashedOn[jobID]) > 0)
 		}
 	}
-	for _, name := range config.Sorted(s.gangs) {
-		j := s.state.Jobs[name]
+	for _, jobID := range config.Sorted(s.gangs) {
+		j := s.state.Jobs[jobID]
 		if j == nil || j.State != state.Pending && j.State != state.Running {
-			s.end(now, s.gangs[name], gang.Cancel, record.Requeued, "cancelled")
+			s.stopGang(now, s.gangs[jobID], gang.Cancel, record.Requeued, "cancelled")
 		}
 	}
 	s.dirty = true
 }
 
-// keep adds a gang to all indexes.
-func (s *Scheduler) keep(r *run) {
+// track adds a gang to all indexes.
+func (s *Scheduler) track(r *run) {
 	s.gangs[r.Job.ID] = r
 	s.inventory.Add(r.Job.ID, inventory.Holding{
 		Customer: r.Job.Customer, Block: r.Block, Cell: r.Cell, Home: r.Home,
 		Once: r.Job.Once, Urgent: r.Job.Urgent,
 	})
 	for _, m := range r.Members {
-		if s.tasks[m.Worker] == nil {
-			s.tasks[m.Worker] = map[id.Job]*run{}
+		if s.runsOn[m.Worker] == nil {
+			s.runsOn[m.Worker] = map[id.Job]*run{}
 		}
-		s.tasks[m.Worker][r.Job.ID] = r
+		s.runsOn[m.Worker][r.Job.ID] = r
 	}
-	s.touch(r)
-	s.wake(r)
+	s.markForAdvance(r)
+	s.requestSync(r)
 }
 
-// forget removes a gang from all indexes, and queues its job again if it waits.
-func (s *Scheduler) forget(r *run) {
-	name := r.Job.ID
-	delete(s.gangs, name)
-	delete(s.hot, name)
-	s.inventory.Remove(name)
+// untrack removes a gang from all indexes, and queues its job again if the job is
+// pending.
+func (s *Scheduler) untrack(r *run) {
+	jobID := r.Job.ID
+	delete(s.gangs, jobID)
+	delete(s.toAdvance, jobID)
+	s.inventory.Remove(jobID)
 	for _, m := range r.Members {
-		delete(s.tasks[m.Worker], name)
+		delete(s.runsOn[m.Worker], jobID)
 	}
 	s.dirty = true
-	j := s.state.Jobs[name]
+	j := s.state.Jobs[jobID]
 	switch {
 	case j == nil:
 	case j.State == state.Pending:
-		s.backlog.Add(j.Spec, len(s.bad[name]) > 0)
+		s.backlog.Add(j.Spec, len(s.crashedOn[jobID]) > 0)
 	case j.State == state.Running:
-		// The log holds a placement that nobody here stands for.
+		// The log holds a placement that has no gang here.
 		s.reload = true
 	default:
-		delete(s.bad, name)
+		delete(s.crashedOn, jobID)
 	}
 }
 
-// touch makes the next step look at a gang.
-func (s *Scheduler) touch(r *run) { s.hot[r.Job.ID] = r }
+// markForAdvance makes the next step advance a gang.
+func (s *Scheduler) markForAdvance(r *run) { s.toAdvance[r.Job.ID] = r }
 
-// end makes a gang stop.
-func (s *Scheduler) end(now unit.Instant, r *run, ev gang.Event, o record.Outcome, reason string) {
+// stopGang makes a gang stop with the given outcome.
+func (s *Scheduler) stopGang(now unit.Instant, r *run, ev gang.Event, o record.Outcome, reason string) {
 	r.End(now, ev, o, reason)
-	s.touch(r)
-	s.wake(r)
+	s.markForAdvance(r)
+	s.requestSync(r)
 	if r.State == gang.Stopping {
 		s.inventory.Leave(r.Job.ID)
 	}
 }
 
-// sweep looks for gangs with a silent member.
-func (s *Scheduler) sweep(now unit.Instant) {
+// checkSilent marks the gangs that have a silent member.
+func (s *Scheduler) checkSilent(now unit.Instant) {
 	for _, r := range s.gangs {
 		if r.Silent(now) {
-			s.touch(r)
+			s.markForAdvance(r)
 		}
 	}
 }
 
-// advance moves the hot gangs on and writes down what became of them.
+// advance advances the gangs marked for it and emits their log entries.
 func (s *Scheduler) advance(now unit.Instant) {
-	for _, name := range config.Sorted(s.hot) {
-		r := s.hot[name]
+	for _, jobID := range config.Sorted(s.toAdvance) {
+		r := s.toAdvance[jobID]
 		before := r.State
 		r.Step(now)
 		if r.State != before {
 			s.dirty = true
-			s.wake(r)
-			s.doubt(r)
+			s.requestSync(r)
+			s.markUnresponsive(r)
 		}
 		if r.State == gang.Stopping {
-			s.inventory.Leave(name)
+			s.inventory.Leave(jobID)
 		}
 		if r.State == gang.Open {
-			delete(s.hot, name)
+			delete(s.toAdvance, jobID)
 		}
-		s.write(now, r)
+		s.emitForState(now, r)
 	}
 }
 
-// doubt stops counting on workers that did not answer when they were asked for a
-// task, until they answer again.
-func (s *Scheduler) doubt(r *run) {
+// markUnresponsive excludes the workers that did not answer the gang's lease
+// request from placement until they answer again.
+func (s *Scheduler) markUnresponsive(r *run) {
 	if r.Committed() || r.State != gang.Stopping {
 		return
 	}
 	for _, m := range r.Members {
 		if h := s.workers[m.Worker]; h != nil && m.State == "" {
-			h.heard = 0
+			h.lastReport = 0
 		}
 	}
 }
 
-// write queues the entry that the gang's state calls for, once.
-func (s *Scheduler) write(now unit.Instant, r *run) {
+// emitForState emits the log entry that the gang's state requires, once.
+func (s *Scheduler) emitForState(now unit.Instant, r *run) {
 	switch r.State {
 	case gang.Committing:
 		if r.placed {
@@ -145,32 +146,33 @@
 			Attempt: r.Attempt, Lease: r.Lease, Cell: r.Cell, Home: r.Home,
 		}})
 	case gang.Released:
-		s.release(now, r)
+		s.emitEnd(now, r)
 	}
 }
 
-// release writes down the end of a gang that has stopped whole.
-func (s *Scheduler) release(now unit.Instant, r *run) {
+// emitEnd emits the end entry of a gang of which every member has stopped. It waits
+// for the verdict on the placement entry if one was emitted.
+func (s *Scheduler) emitEnd(now unit.Instant, r *run) {
 	if r.ended || r.placed && !r.settled {
 		return
 	}
 	j := s.state.Jobs[r.Job.ID]
 	if !r.Committed() || j == nil || j.State != state.Running || j.Lease != r.Lease {
-		// The log knows nothing of the placement, or has closed it already.
-		s.forget(r)
+		// The log doesn't have the placement, or has its end already.
+		s.untrack(r)
 		return
 	}
 	r.ended = true
-	s.learn(now, r)
+	s.addRunTime(now, r)
 	s.emit(record.Entry{End: &record.End{
 		Job: r.Job.ID, Epoch: s.epoch, Attempt: r.Attempt,
-		Outcome: verdictOn(r), Reason: r.Reason,
+		Outcome: finalOutcome(r), Reason: r.Reason,
 	}})
 }
 
-// verdictOn turns a crash into a requeue while the worker may be to blame, and a
-// requeue into a loss if the job must not be repeated.
-func verdictOn(r *run) record.Outcome {
+// finalOutcome turns a crash of a repeatable job into a requeue while the worker
+// may be the cause, and a requeue into a loss if the job must not be repeated.
+func finalOutcome(r *run) record.Outcome {
 	if r.Outcome == record.Requeued && r.Job.Once {
 		return record.Lost
 	}
@@ -180,4 +182,4 @@
 	return r.Outcome
 }
 
-func (s *Scheduler) emit(e record.Entry) { s.out.Entries = append(s.out.Entries, e) }
+func (s *Scheduler) emit(e record.Entry) { s.decisions.Entries = append(s.decisions.Entries, e) }
--- a/core/sched/health.go
+++ b/core/sched/health.go
@@ -9,54 +9,58 @@
 	"curlewsill.org/curlewsill/core/worker"
 )
 
-// The rules by which workers are blamed.
+// Rules of worker health.
 const (
-	// quarantineAfter is the number of crashes in a row, of different jobs, that
-	// put a worker into quarantine.
-	quarantineAfter = 3
-	// quarantineFor is how long a worker gets no tasks.
-	quarantineFor = 10 * time.Minute
-	// idleSync is how often a worker without tasks is synced.
-	idleSync = 10 * time.Second
+	// quarantineThreshold is the number of different jobs that must crash on a
+	// worker, without a normal exit in between, to quarantine it.
+	quarantineThreshold = 3
+	// quarantinePeriod is how long a quarantined worker gets no new tasks.
+	quarantinePeriod = 10 * time.Minute
+	// idleSyncInterval is the interval of syncs to a worker without tasks.
+	idleSyncInterval = 10 * time.Second
 )
 
-// health is what the owner knows of one worker beyond its configuration.
+// health is the owner's runtime state of one worker.
 type health struct {
-	// heard is when the worker last answered under this owner's epoch.
-	heard unit.Instant
-	// due is when the next sync leaves; the zero instant means at once.
-	due unit.Instant
+	// lastReport is when the worker last answered under this owner's epoch; 0 if it
+	// has not, or not since it failed to answer a lease request.
+	lastReport unit.Instant
+	// nextSync is when the next sync is due; the zero instant means at once.
+	nextSync unit.Instant
+	// seq is the sequence number of the last sync.
 	seq id.Seq
-	// full is the last whole list that was sent, as sync fullSeq; base is fullSeq
-	// once the worker has reported on it.
-	full    []worker.Want
-	fullSeq id.Seq
-	base    id.Seq
-	// life is the worker's current life; 0 until it answered.
-	life uint64
-	// crashed lists the different jobs that crashed since the last good exit.
-	crashed map[id.Job]bool
-	// banned is until when the worker is in quarantine.
-	banned unit.Instant
+	// lastList is the last complete task list that was sent, and lastListSeq the
+	// sequence number of its sync. base is lastListSeq once the worker has answered
+	// that sync, and 0 before.
+	lastList    []worker.Want
+	lastListSeq id.Seq
+	base        id.Seq
+	// incarnation is the worker's current incarnation; 0 until it has answered.
+	incarnation uint64
+	// crashedJobs has the jobs that crashed on the worker since the last normal
+	// exit.
+	crashedJobs map[id.Job]bool
+	// quarantinedUntil is the end of the worker's quarantine.
+	quarantinedUntil unit.Instant
 }
 
-// alive reports whether new tasks may be placed on the worker.
-func (h *health) alive(now unit.Instant) bool {
-	return h.heard != 0 && now.Sub(h.heard) < idleSync+gang.Grace && now >= h.banned
+// available reports whether new tasks may be placed on the worker.
+func (h *health) available(now unit.Instant) bool {
+	return h.lastReport != 0 && now.Sub(h.lastReport) < idleSyncInterval+gang.Grace && now >= h.quarantinedUntil
 }
 
-// blame notes that a job crashed on the worker, and reports whether the worker is
-// now in quarantine.
-func (h *health) blame(now unit.Instant, j id.Job) {
-	if h.crashed == nil {
-		h.crashed = map[id.Job]bool{}
+// noteCrash counts a crash of a job against the worker, and quarantines the worker
+// once quarantineThreshold different jobs have crashed on it.
+func (h *health) noteCrash(now unit.Instant, j id.Job) {
+	if h.crashedJobs == nil {
+		h.crashedJobs = map[id.Job]bool{}
 	}
-	h.crashed[j] = true
-	if len(h.crashed) >= quarantineAfter {
-		h.banned = now.Add(quarantineFor)
-		h.crashed = nil
+	h.crashedJobs[j] = true
+	if len(h.crashedJobs) >= quarantineThreshold {
+		h.quarantinedUntil = now.Add(quarantinePeriod)
+		h.crashedJobs = nil
 	}
 }
 
-// clearBlame notes that a task ended well on the worker.
-func (h *health) clearBlame() { h.crashed = nil }
+// clearCrashes resets the crash count after a normal exit.
+func (h *health) clearCrashes() { h.crashedJobs = nil }
--- a/core/sched/measure.go
+++ b/core/sched/measure.go
@@ -8,20 +8,20 @@
 	"curlewsill.org/curlewsill/core/place"
 )
 
-// noteDemand notes which sizes are guaranteed or wait.
-func (s *Scheduler) noteDemand(groups []*backlog.Group) {
+// updateDemand updates the gang sizes of all guarantees and waiting jobs.
+func (s *Scheduler) updateDemand(groups []*backlog.Group) {
 	sizes := map[int]bool{}
 	for _, g := range s.state.Config.Guarantees {
 		sizes[g.Size] = true
 	}
-	for _, l := range groups {
-		sizes[l.Class.Accelerators] = true
+	for _, group := range groups {
+		sizes[group.Class.Accelerators] = true
 	}
 	s.demand = config.Sorted(sizes)
 }
 
-// measure brings the shown numbers up to date.
-func (s *Scheduler) measure() {
+// updateStats updates the statistics at the end of a pass.
+func (s *Scheduler) updateStats() {
 	s.stats.Pending, s.stats.Running = s.backlog.Len(), len(s.gangs)
 	s.stats.AtRisk = s.inventory.AtRisk()
 	free := make([]uint64, 0, len(s.inventory.Racks))
@@ -34,7 +34,7 @@
 
 // Fragmentation returns the share of free accelerators that can't serve gangs of
 // the given sizes, averaged over the sizes, from 0 to 1. Each element of free is
-// one rack. Without free accelerators or sizes it is 0.
+// the mask of one rack. The result is 0 without free accelerators or sizes.
 func Fragmentation(free []uint64, sizes []int) float64 {
 	total := 0
 	for _, m := range free {
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -14,107 +14,111 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// pass walks the queue once. A walk for an event leaves out the groups that failed when
-// no more room was free than now; from time to time all are tried.
+// pass tries to start waiting jobs. A pass that an event triggered skips the groups
+// for which nothing was freed since they last found no room; a full pass, once per
+// fullPassInterval, tries all groups.
 func (s *Scheduler) pass(now unit.Instant) {
-	all := now.Sub(s.passed) >= passEvery
+	full := now.Sub(s.lastFullPass) >= fullPassInterval
 	s.dirty = false
-	clear(s.prices)
-	if all {
-		s.passed = now
-		s.noteLive(now)
+	clear(s.preemptCosts)
+	if full {
+		s.lastFullPass = now
+		s.updateLive(now)
 		s.reserved, s.reservedFor = block.Block{}, ""
 	}
 	if !s.backlog.Has(s.reservedFor) {
 		s.reserved, s.reservedFor = block.Block{}, ""
 	}
 	s.inventory.Begin(s.state.Config, s.state.Spare)
-	every := s.backlog.Groups()
-	s.noteDemand(every)
-	groups := s.able(every, all)
-	// Guarantees go first: a borrower that was stopped for one would otherwise be
-	// the first to take the room again.
-	groups = slices.DeleteFunc(groups, func(l *backlog.Group) bool { return s.fill(now, l) })
+	all := s.backlog.Groups()
+	s.updateDemand(all)
+	groups := s.eligible(all, full)
+	// Guarantees are served first: otherwise a borrower that was preempted for one
+	// could take the freed accelerators again.
+	groups = slices.DeleteFunc(groups, func(group *backlog.Group) bool { return s.startGuaranteed(now, group) })
 	s.inventory.Refresh(s.state.Config, s.state.Spare)
-	s.borrow(now, groups)
-	s.measure()
+	s.startBorrowed(now, groups)
+	s.updateStats()
 }
 
-// able returns the groups to be tried. It refuses the jobs of classes that can never
-// run.
-func (s *Scheduler) able(groups []*backlog.Group, all bool) []*backlog.Group {
+// eligible returns the groups that the pass tries. It refuses the jobs of groups
+// that can never run.
+func (s *Scheduler) eligible(groups []*backlog.Group, full bool) []*backlog.Group {
 	var out []*backlog.Group
-	for _, l := range groups {
-		if l.Checked != s.seenConfig {
-			if reason := s.never(l.Head()); reason != "" {
-				s.refuse(l, reason)
+	for _, group := range groups {
+		if group.Checked != s.indexedConfig {
+			if reason := s.unrunnableReason(group.Head()); reason != "" {
+				s.refuseGroup(group, reason)
 				continue
 			}
-			l.Checked = s.seenConfig
+			group.Checked = s.indexedConfig
 		}
-		if all || l.Failed != s.inventory.Room()+1 {
-			out = append(out, l)
+		if full || group.Failed != s.inventory.Room()+1 {
+			out = append(out, group)
 		}
 	}
 	return out
 }
 
-// outcome is what became of trying a job.
-type outcome int
+// tryResult is the result of trying to place a job.
+type tryResult int
 
 const (
-	// noRoom means that the job waits for whatever is freed.
-	noRoom outcome = iota
-	// waits means that gangs were told to stop for the job, and their place is kept.
-	waits
+	// noRoom means that the job waits until accelerators are freed.
+	noRoom tryResult = iota
+	// preempting means that gangs are being stopped for the job and that their
+	// block is set aside for it.
+	preempting
 	started
 )
 
-// fill starts jobs of the group within guarantees. It reports whether the group needs
-// nothing more in this pass.
-func (s *Scheduler) fill(now unit.Instant, l *backlog.Group) bool {
-	for len(l.Jobs) > 0 {
-		if s.overQuota(l.Head()) {
+// startGuaranteed starts jobs of the group within guarantees. It reports whether
+// the pass is done with the group.
+func (s *Scheduler) startGuaranteed(now unit.Instant, group *backlog.Group) bool {
+	for len(group.Jobs) > 0 {
+		if s.overQuota(group.Head()) {
 			return false
 		}
-		switch s.tryGuaranteed(now, l.Head()) {
+		switch s.tryGuaranteed(now, group.Head()) {
 		case noRoom:
 			return false
-		case waits:
-			// Every pass has to keep the place.
-			l.Failed = 0
+		case preempting:
+			// Blocks are set aside for one pass only, so every pass must try this
+			// group until the job starts.
+			group.Failed = 0
 			return true
 		}
 	}
 	return true
 }
 
-// overQuota reports whether the job would take its customer above its quota.
+// overQuota reports whether starting the job would exceed its customer's quota.
 func (s *Scheduler) overQuota(j record.Job) bool {
 	c := s.state.Config.Customers[j.Customer]
 	return c.Quota > 0 && s.inventory.Held(j.Customer)+j.Accelerators > c.Quota
 }
 
-// borrow starts jobs on borrowed accelerators: urgent ones first, then always one of
-// the customer that holds least for its weight.
-func (s *Scheduler) borrow(now unit.Instant, groups []*backlog.Group) {
+// startBorrowed starts jobs on borrowed accelerators, one at a time: urgent jobs
+// first, then a job of the customer that holds the least in proportion to its
+// weight.
+func (s *Scheduler) startBorrowed(now unit.Instant, groups []*backlog.Group) {
 	for len(groups) > 0 {
 		i := s.next(groups)
-		l := groups[i]
-		got := noRoom
-		if !s.overQuota(l.Head()) {
-			got = s.tryElsewhere(now, l.Head())
+		group := groups[i]
+		result := noRoom
+		if !s.overQuota(group.Head()) {
+			result = s.tryOutsideGuarantees(now, group.Head())
 		}
-		if got == noRoom {
-			l.Failed = s.inventory.Room() + 1
+		if result == noRoom {
+			group.Failed = s.inventory.Room() + 1
 		}
-		if got != started || len(l.Jobs) == 0 {
+		if result != started || len(group.Jobs) == 0 {
 			groups = slices.Delete(groups, i, i+1)
 		}
 	}
 }
 
-// next returns the group whose turn it is.
+// next returns the index of the group to try next.
 func (s *Scheduler) next(groups []*backlog.Group) int {
 	best := 0
 	for i := range groups {
@@ -130,32 +134,34 @@
 		return a.Class.Urgent
 	}
 	return cmp.Or(
-		cmp.Compare(s.share(a.Class.Customer), s.share(b.Class.Customer)),
+		cmp.Compare(s.weightedShare(a.Class.Customer), s.weightedShare(b.Class.Customer)),
 		backlog.Older(a.Head(), b.Head()),
 	) < 0
 }
 
-// share returns what a customer holds for its weight.
-func (s *Scheduler) share(c id.Customer) float64 {
+// weightedShare returns the number of accelerators that a customer holds, divided
+// by its weight.
+func (s *Scheduler) weightedShare(c id.Customer) float64 {
 	return float64(s.inventory.Held(c)) / float64(max(s.state.Config.Customers[c].Weight, 1))
 }
 
-// tryElsewhere starts the job on borrowed accelerators, makes room for it if it is
-// urgent, or leaves it waiting with a block reserved.
-func (s *Scheduler) tryElsewhere(now unit.Instant, j record.Job) outcome {
+// tryOutsideGuarantees starts the job on borrowed accelerators. If there is no
+// room, it preempts other gangs for an urgent job; if it can't, it reserves a block
+// for the job unless one is reserved already.
+func (s *Scheduler) tryOutsideGuarantees(now unit.Instant, j record.Job) tryResult {
 	if s.tryBorrow(now, j) {
 		return started
 	}
-	if j.Urgent && !j.Once && s.makeRoom(now, j) {
-		return waits
+	if j.Urgent && !j.Once && s.preemptForUrgent(now, j) {
+		return preempting
 	}
 	s.reserve(now, j)
 	return noRoom
 }
 
-// never returns why a job can't run under this configuration however long it
-// waits, or the empty string.
-func (s *Scheduler) never(j record.Job) string {
+// unrunnableReason returns why a job can never run under the current
+// configuration, or the empty string if it can.
+func (s *Scheduler) unrunnableReason(j record.Job) string {
 	c, ok := s.state.Config.Customers[j.Customer]
 	switch {
 	case !ok:
@@ -166,91 +172,96 @@
 		return "the gang is larger than the customer's quota"
 	}
 	for i := range s.inventory.Racks {
-		if block.LongestRun(s.fits(&s.inventory.Racks[i], j)) < j.Accelerators {
+		if block.LongestRun(s.usableFor(&s.inventory.Racks[i], j)) < j.Accelerators {
 			continue
 		}
-		if j.Once && !s.ownsCell(j.Customer, j.Accelerators) && !s.couldClear(j.Accelerators) {
+		if j.Once && !s.hasGuaranteeOf(j.Customer, j.Accelerators) && !s.couldClear(j.Accelerators) {
 			return "a job that can't be stopped would leave a guarantee without a place"
 		}
 		return ""
 	}
-	if len(s.bad[j.ID]) > 0 {
+	if len(s.crashedOn[j.ID]) > 0 {
 		return "the job crashed on every worker that could hold it"
 	}
 	return "no rack has that many adjacent accelerators with the cores and memory asked for"
 }
 
-// couldClear is inventory.CouldClear, remembered for one configuration.
+// couldClear is inventory.CouldClear, cached for one configuration.
 func (s *Scheduler) couldClear(size int) bool {
-	ok, known := s.firmSizes[size]
+	ok, known := s.couldClearSize[size]
 	if !known {
 		ok = inventory.CouldClear(s.state.Config, size)
-		s.firmSizes[size] = ok
+		s.couldClearSize[size] = ok
 	}
 	return ok
 }
 
-// ownsCell reports whether the customer has a guarantee that holds the size.
-func (s *Scheduler) ownsCell(c id.Customer, size int) bool {
-	return slices.ContainsFunc(s.cells[c], func(g config.Guarantee) bool { return g.Size >= size })
+// hasGuaranteeOf reports whether the customer has a guarantee of at least the given
+// size.
+func (s *Scheduler) hasGuaranteeOf(c id.Customer, size int) bool {
+	return slices.ContainsFunc(s.guarantees[c], func(g config.Guarantee) bool { return g.Size >= size })
 }
 
-// fits returns the accelerators of a rack whose workers have the cores and memory
-// that the job asks for with each accelerator, and on which the job has not crashed.
-func (s *Scheduler) fits(r *inventory.Rack, j record.Job) uint64 {
-	bad := s.bad[j.ID]
-	if j.Cores == 0 && j.Memory == 0 && len(bad) == 0 {
+// usableFor returns the accelerators of a rack whose workers have the cores and
+// memory that the job requests per accelerator and on which the job has not
+// crashed.
+func (s *Scheduler) usableFor(r *inventory.Rack, j record.Job) uint64 {
+	crashed := s.crashedOn[j.ID]
+	if j.Cores == 0 && j.Memory == 0 && len(crashed) == 0 {
 		return ^uint64(0)
 	}
 	var m uint64
 	for i, w := range r.Config.Workers {
 		n := min(j.Accelerators, w.Accelerators)
-		if !bad[w.ID] && j.Cores*n <= w.Cores && int64(j.Memory)*int64(n) <= int64(w.Memory) {
+		if !crashed[w.ID] && j.Cores*n <= w.Cores && int64(j.Memory)*int64(n) <= int64(w.Memory) {
 			m |= r.Config.Span(i).Mask()
 		}
 	}
 	return m
 }
 
-// refuse ends all jobs of a group that can never run.
-func (s *Scheduler) refuse(l *backlog.Group, reason string) {
-	for _, j := range slices.Clone(l.Jobs) {
+// refuseGroup ends all jobs of a group that can never run.
+func (s *Scheduler) refuseGroup(group *backlog.Group, reason string) {
+	for _, j := range slices.Clone(group.Jobs) {
 		s.backlog.Remove(j.ID)
-		s.ends[j.ID] = true
+		s.refusing[j.ID] = true
 		s.emit(record.Entry{End: &record.End{
 			Job: j.ID, Epoch: s.epoch, Attempt: s.state.Jobs[j.ID].Attempt, Outcome: record.Refused, Reason: reason,
 		}})
 	}
 }
 
-// start begins to ask for the leases of a gang.
-func (s *Scheduler) start(now unit.Instant, j record.Job, b block.Block, cell record.Cell, home block.Block) {
-	s.asked++
+// startGang starts a gang, which begins to request its leases.
+func (s *Scheduler) startGang(now unit.Instant, j record.Job, b block.Block, cell record.Cell, home block.Block) {
+	s.leaseSeq++
 	p := record.Place{
-		Job: j.ID, Epoch: s.epoch, Lease: s.lease(), Block: b, Cell: cell, Home: home,
+		Job: j.ID, Epoch: s.epoch, Lease: s.leaseID(), Block: b, Cell: cell, Home: home,
 		Attempt: s.state.Jobs[j.ID].Attempt + 1,
 	}
 	s.backlog.Remove(j.ID)
-	s.keep(&run{Gang: gang.New(now, p, j, s.members(b)), began: now})
+	s.track(&run{Gang: gang.New(now, p, j, s.membersOn(b)), startedAt: now})
 }
 
-// leaseBits is the width of the number within an epoch.
+// leaseBits is the number of low bits of a lease ID that hold its number within
+// the epoch.
 const leaseBits = 20
 
-// lease returns the name of the latest asking. No other epoch has the same.
-func (s *Scheduler) lease() id.Lease { return id.Lease(uint64(s.epoch)<<leaseBits | s.asked) }
+// leaseID returns the ID of the latest lease. It contains the epoch, so that it is
+// unique across epochs.
+func (s *Scheduler) leaseID() id.Lease { return id.Lease(uint64(s.epoch)<<leaseBits | s.leaseSeq) }
 
-// noteLive tells the inventory which workers answer.
-func (s *Scheduler) noteLive(now unit.Instant) {
+// updateLive updates the live accelerators in the inventory and the number of
+// quarantined workers.
+func (s *Scheduler) updateLive(now unit.Instant) {
 	s.stats.Quarantined = 0
 	live := map[id.Rack]uint64{}
 	for w, h := range s.workers {
-		at := s.where[w]
-		if now < h.banned {
+		loc := s.locations[w]
+		if now < h.quarantinedUntil {
 			s.stats.Quarantined++
 		}
-		if h.alive(now) {
-			live[at.rack] |= at.span.Mask()
+		if h.available(now) {
+			live[loc.rack] |= loc.span.Mask()
 		}
 	}
 	for i := range s.inventory.Racks {
--- a/core/sched/ratio.go
+++ b/core/sched/ratio.go
@@ -9,62 +9,65 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// The estimate of run times.
+// Parameters of the run time estimate.
 const (
-	// ratioMemory is how many ended jobs of a customer are remembered.
-	ratioMemory = 64
-	// ratioRank is the share of them that ran no longer than estimated.
-	ratioRank = 0.9
+	// ratioWindow is the number of most recently finished jobs of a customer on
+	// which the estimate is based.
+	ratioWindow = 64
+	// ratioQuantile is the share of these jobs that ran no longer than the estimate.
+	ratioQuantile = 0.9
 )
 
-// ratio remembers how long a customer's jobs ran compared with what was declared.
-type ratio struct {
-	seen []float64
-	at   int
+// ratioHistory has the ratios of actual to declared run time of a customer's most
+// recent jobs.
+type ratioHistory struct {
+	values []float64
+	oldest int
 }
 
-func (r *ratio) add(x float64) {
-	if len(r.seen) < ratioMemory {
-		r.seen = append(r.seen, x)
+func (r *ratioHistory) add(x float64) {
+	if len(r.values) < ratioWindow {
+		r.values = append(r.values, x)
 		return
 	}
-	r.seen[r.at] = x
-	r.at = (r.at + 1) % ratioMemory
+	r.values[r.oldest] = x
+	r.oldest = (r.oldest + 1) % ratioWindow
 }
 
-// quantile returns the factor by which declared times are stretched.
-func (r *ratio) quantile() float64 {
-	if r == nil || len(r.seen) == 0 {
+// quantile returns the factor by which a declared run time is multiplied to
+// estimate the actual one; 1 without history.
+func (r *ratioHistory) quantile() float64 {
+	if r == nil || len(r.values) == 0 {
 		return 1
 	}
-	sorted := slices.Clone(r.seen)
+	sorted := slices.Clone(r.values)
 	slices.Sort(sorted)
-	return sorted[int(float64(len(sorted)-1)*ratioRank)]
+	return sorted[int(float64(len(sorted)-1)*ratioQuantile)]
 }
 
-// learn takes in the run time of a job that finished.
-func (s *Scheduler) learn(now unit.Instant, r *run) {
+// addRunTime adds the run time of a finished job to its customer's history.
+func (s *Scheduler) addRunTime(now unit.Instant, r *run) {
 	if r.Outcome != record.Finished || r.Job.Declared <= 0 {
 		return
 	}
-	t := s.truth[r.Job.Customer]
-	if t == nil {
-		t = &ratio{}
-		s.truth[r.Job.Customer] = t
+	history := s.runTimeRatios[r.Job.Customer]
+	if history == nil {
+		history = &ratioHistory{}
+		s.runTimeRatios[r.Job.Customer] = history
 	}
-	t.add(float64(now.Sub(r.began)) / float64(r.Job.Declared))
+	history.add(float64(now.Sub(r.startedAt)) / float64(r.Job.Declared))
 }
 
-// expected returns how long a job of a customer will run, as far as is known.
-func (s *Scheduler) expected(c id.Customer, declared time.Duration) time.Duration {
-	return time.Duration(float64(declared) * s.truth[c].quantile())
+// expectedRunTime estimates how long a job of a customer will run.
+func (s *Scheduler) expectedRunTime(c id.Customer, declared time.Duration) time.Duration {
+	return time.Duration(float64(declared) * s.runTimeRatios[c].quantile())
 }
 
-// remaining returns how much longer a gang is expected to run. A gang that has
-// outlived its estimate is expected to run for as long again.
-func (s *Scheduler) remaining(now unit.Instant, r *run) time.Duration {
-	ran := now.Sub(r.began)
-	left := s.expected(r.Job.Customer, r.Job.Declared) - ran
+// remainingRunTime returns how much longer a gang is expected to run. A gang that
+// has exceeded its estimate is expected to run for as long again as it has run.
+func (s *Scheduler) remainingRunTime(now unit.Instant, r *run) time.Duration {
+	ran := now.Sub(r.startedAt)
+	left := s.expectedRunTime(r.Job.Customer, r.Job.Declared) - ran
 	if left <= 0 {
 		return max(ran, time.Second)
 	}
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -16,19 +16,20 @@
 	"curlewsill.org/curlewsill/core/worker"
 )
 
-// passEvery is the longest time between two walks of the queue in which every group is
-// tried, and between two looks for silent workers.
-const passEvery = time.Second
+// fullPassInterval is the interval of full passes, which try every group of
+// waiting jobs, and of the checks for silent workers.
+const fullPassInterval = time.Second
 
-// Decisions is what a step wants to have done.
+// Decisions are the log entries and worker syncs that a step asks its caller to
+// write and send.
 type Decisions struct {
-	// Entries go to the log in this order.
+	// Entries are written to the log in this order.
 	Entries []record.Entry
-	// Syncs go to the workers, in any order.
+	// Syncs are sent to the workers in any order.
 	Syncs []worker.Sync
 }
 
-// Scheduler holds the owner's knowledge for one epoch. It is not safe for
+// Scheduler makes the scheduling decisions of one owner epoch. It is not safe for
 // concurrent use.
 type Scheduler struct {
 	epoch     id.Epoch
@@ -38,124 +39,134 @@
 	backlog   *backlog.Backlog
 
 	gangs map[id.Job]*run
-	// hot lists the gangs that the next step has to look at.
-	hot     map[id.Job]*run
-	workers map[id.Worker]*health
-	where   map[id.Worker]spot
-	// tasks lists the gangs that have a member on a worker.
-	tasks map[id.Worker]map[id.Job]*run
-	// cells lists each customer's guarantees in ascending order.
-	cells map[id.Customer][]config.Guarantee
-	// seenConfig is the configuration, plus one, that where and cells were made of.
-	seenConfig id.Offset
-	// ends lists pending jobs whose refusal is under way.
-	ends map[id.Job]bool
-	// bad lists the workers on which a job crashed.
-	bad map[id.Job]map[id.Worker]bool
-	// firmSizes remembers, for the configuration seen, whether a gang that can't
-	// be stopped could ever be placed beside all guarantees.
-	firmSizes map[int]bool
-	// truth learns how run times compare with what customers declare.
-	truth map[id.Customer]*ratio
+	// toAdvance has the gangs that the next step advances.
+	toAdvance map[id.Job]*run
+	workers   map[id.Worker]*health
+	locations map[id.Worker]location
+	// runsOn has, for each worker, the gangs with a member on it.
+	runsOn map[id.Worker]map[id.Job]*run
+	// guarantees has each customer's guarantees in ascending order of their IDs.
+	guarantees map[id.Customer][]config.Guarantee
+	// indexedConfig is the offset, plus one, of the configuration from which
+	// locations and guarantees were built; 0 if none was.
+	indexedConfig id.Offset
+	// refusing has the pending jobs whose refusal was emitted and has no verdict
+	// yet.
+	refusing map[id.Job]bool
+	// crashedOn has, for each job, the workers on which it crashed.
+	crashedOn map[id.Job]map[id.Worker]bool
+	// couldClearSize caches the results of couldClear by gang size for the
+	// configuration indexedConfig.
+	couldClearSize map[int]bool
+	// runTimeRatios has, for each customer, the ratios of actual to declared run
+	// times.
+	runTimeRatios map[id.Customer]*ratioHistory
 
-	// reserved is the block kept for the oldest job without room, and until how
-	// long from now others may use it.
-	reserved    block.Block
-	reservedFor id.Job
-	until       time.Duration
+	// reserved is the block kept for job reservedFor, the first job that found no
+	// room since the last full pass. Other jobs may use the block if they are
+	// expected to run no longer than reservedFreeIn, the time until the block is
+	// expected to be free.
+	reserved       block.Block
+	reservedFor    id.Job
+	reservedFreeIn time.Duration
 
-	// demand lists the sizes of gangs that are guaranteed or wait.
+	// demand has the gang sizes of all guarantees and waiting jobs.
 	demand []int
-	// prices has what it would cost to stop the gangs of a rack, for one pass.
-	prices map[id.Rack]*priced
-	// asked counts the gangs that were asked for.
-	asked uint64
-	// reload is set when gangs and queue must be compared with the whole state.
+	// preemptCosts caches the cost of preempting the gangs of each rack for one
+	// pass.
+	preemptCosts map[id.Rack]*rackCosts
+	// leaseSeq numbers the leases of this epoch.
+	leaseSeq uint64
+	// reload is set when gangs and backlog must be reconciled with the whole state.
 	reload bool
-	// dirty is set when something changed that the queue may profit from.
-	dirty  bool
-	passed unit.Instant
-	swept  unit.Instant
-	stats  Stats
-	out    Decisions
+	// dirty is set when a change may allow a waiting job to start.
+	dirty           bool
+	lastFullPass    unit.Instant
+	lastSilentCheck unit.Instant
+	stats           Stats
+	decisions       Decisions
 }
 
-// run is a gang and what the scheduler remembers of it.
+// run is one attempt of a job: its gang and the scheduler's bookkeeping for it.
 type run struct {
 	*gang.Gang
-	// placed is set once the placement went to the log and settled once its
-	// verdict is known; ended once the end went to the log.
+	// placed is set once the placement entry was emitted, settled once the
+	// verdict on that entry is known, and ended once the end entry was emitted.
 	placed, settled, ended bool
-	// began is when the gates were opened, or when the gang was adopted; before
-	// that, when it was asked for.
-	began unit.Instant
-	// dropped has the first sync to each worker that no longer listed the gang.
-	dropped map[id.Worker]id.Seq
-	// blamed is set once a crash was counted against its worker.
-	blamed bool
+	// startedAt is when the log accepted the placement or when the gang was
+	// adopted; before that, when its leases were first requested.
+	startedAt unit.Instant
+	// omittedSeq has, for each worker, the sequence number of the first sync that
+	// no longer listed the gang.
+	omittedSeq map[id.Worker]id.Seq
+	// crashCounted is set once a crash of the gang was counted against a worker.
+	crashCounted bool
 }
 
-// spot is the place of a worker.
-type spot struct {
+// location is the rack of a worker and the span of its accelerators in it.
+type location struct {
 	rack id.Rack
 	span block.Block
 }
 
-// Stats counts what the scheduler did and shows what it sees.
+// Stats has counters and current values of the scheduler.
 type Stats struct {
-	// Pending, Running and Quarantined are current numbers.
+	// Pending is the number of waiting jobs, Running the number of gangs, and
+	// Quarantined the number of workers in quarantine, all as of now.
 	Pending     int `json:"pending"`
 	Running     int `json:"running"`
 	Quarantined int `json:"quarantined"`
-	// Preempted counts gangs that were stopped to make room.
+	// Preempted counts the gangs that were stopped to make room for other jobs.
 	Preempted int `json:"preempted"`
-	// AtRisk is set while some guaranteed block has no place on live workers.
+	// AtRisk is set while the live workers have no place for some guaranteed
+	// block.
 	AtRisk bool `json:"at_risk"`
-	// Fragmentation is the share of free accelerators that can't serve the
-	// gang sizes that wait or are guaranteed, from 0 to 1.
+	// Fragmentation is the share of free accelerators that can't serve the gang
+	// sizes of waiting jobs and guarantees, from 0 to 1.
 	Fragmentation float64 `json:"fragmentation"`
 }
 
-// New returns the scheduler of the owner of the given epoch. It reads st and never
-// changes it.
+// New returns the scheduler for the owner of the given epoch. The scheduler reads
+// st and never changes it.
 func New(epoch id.Epoch, st *state.State, p place.Policy) *Scheduler {
 	return &Scheduler{
 		epoch: epoch, state: st, policy: p, inventory: inventory.New(), backlog: backlog.New(),
-		gangs: map[id.Job]*run{}, hot: map[id.Job]*run{},
-		workers: map[id.Worker]*health{}, where: map[id.Worker]spot{},
-		tasks: map[id.Worker]map[id.Job]*run{}, ends: map[id.Job]bool{},
-		bad: map[id.Job]map[id.Worker]bool{}, truth: map[id.Customer]*ratio{}, prices: map[id.Rack]*priced{},
+		gangs: map[id.Job]*run{}, toAdvance: map[id.Job]*run{},
+		workers: map[id.Worker]*health{}, locations: map[id.Worker]location{},
+		runsOn: map[id.Worker]map[id.Job]*run{}, refusing: map[id.Job]bool{},
+		crashedOn: map[id.Job]map[id.Worker]bool{}, runTimeRatios: map[id.Customer]*ratioHistory{}, preemptCosts: map[id.Rack]*rackCosts{},
 		reload: true, dirty: true,
 	}
 }
 
-// Epoch returns the epoch that the scheduler decides for.
+// Epoch returns the owner epoch of the scheduler.
 func (s *Scheduler) Epoch() id.Epoch { return s.epoch }
 
-// Stats returns the current numbers.
+// Stats returns the statistics as of the last pass.
 func (s *Scheduler) Stats() Stats { return s.stats }
 
-// Step decides what to do at now.
+// Step advances the gangs, runs a scheduling pass if one is due, and returns the
+// resulting decisions.
 func (s *Scheduler) Step(now unit.Instant) Decisions {
-	s.out = Decisions{}
-	s.index()
+	s.decisions = Decisions{}
+	s.indexConfig()
 	if s.reload {
 		s.reload = false
-		s.compare(now)
+		s.reconcile(now)
 	}
-	if now.Sub(s.swept) >= passEvery {
-		s.swept = now
-		s.sweep(now)
+	if now.Sub(s.lastSilentCheck) >= fullPassInterval {
+		s.lastSilentCheck = now
+		s.checkSilent(now)
 	}
 	s.advance(now)
-	if s.dirty || now.Sub(s.passed) >= passEvery {
+	if s.dirty || now.Sub(s.lastFullPass) >= fullPassInterval {
 		s.pass(now)
 	}
 	s.sync(now)
-	return s.out
+	return s.decisions
 }
 
-// Accepted tells the scheduler of an entry that the log accepted, whoever wrote it.
+// Accepted processes an entry that the log accepted, whichever host wrote it.
 func (s *Scheduler) Accepted(now unit.Instant, e record.Entry) {
 	switch {
 	case e.Submit != nil:
@@ -164,17 +175,17 @@
 	case e.Cancel != nil:
 		s.backlog.Remove(e.Cancel.Job)
 		if r := s.gangs[e.Cancel.Job]; r != nil {
-			s.end(now, r, gang.Cancel, record.Requeued, "cancelled")
+			s.stopGang(now, r, gang.Cancel, record.Requeued, "cancelled")
 		}
 		s.dirty = true
 	}
 }
 
-// Reload makes the scheduler compare what it knows with the whole state, because it
-// may have missed entries.
+// Reload makes the next step reconcile the scheduler with the whole state, because
+// it may have missed entries.
 func (s *Scheduler) Reload() { s.reload = true }
 
-// Settled tells the verdict on an entry of this scheduler.
+// Settled processes the verdict on an entry that this scheduler emitted.
 func (s *Scheduler) Settled(now unit.Instant, e record.Entry, verdict error) {
 	s.dirty = true
 	switch {
@@ -192,132 +203,136 @@
 	}
 	r.settled = true
 	if verdict != nil {
-		s.end(now, r, gang.Void, record.Requeued, verdict.Error())
+		s.stopGang(now, r, gang.Void, record.Requeued, verdict.Error())
 		return
 	}
 	r.Apply(now, gang.Accepted)
-	r.began = now
+	r.startedAt = now
 	if r.State != gang.Open {
-		// A cancel overtook the commit: the log holds the placement, the gang stops.
+		// The gang was stopped before the verdict arrived. The log holds its
+		// placement, so its end must be written as well.
 		r.Commit()
 	}
-	s.touch(r)
-	s.wake(r)
+	s.markForAdvance(r)
+	s.requestSync(r)
 }
 
 func (s *Scheduler) settleEnd(e record.End, verdict error) {
-	delete(s.ends, e.Job)
+	delete(s.refusing, e.Job)
 	if verdict == nil && e.Outcome != record.Requeued {
-		delete(s.bad, e.Job)
+		delete(s.crashedOn, e.Job)
 	}
 	if r, ok := s.gangs[e.Job]; ok && r.Attempt == e.Attempt && r.ended {
-		s.forget(r)
+		s.untrack(r)
 	}
 }
 
-// Report takes in a worker's answer.
+// Report processes a worker's answer to a sync.
 func (s *Scheduler) Report(now unit.Instant, rep worker.Report) {
 	h, ok := s.workers[rep.Worker]
 	if !ok || rep.Epoch != s.epoch {
 		return
 	}
-	if !h.alive(now) {
+	if !h.available(now) {
 		s.dirty = true
 	}
-	h.heard = now
-	reborn := h.life != 0 && h.life != rep.Life
-	if h.life != rep.Life {
-		// The worker took nothing of a sync for another life.
-		h.due = 0
+	h.lastReport = now
+	restarted := h.incarnation != 0 && h.incarnation != rep.Life
+	if h.incarnation != rep.Life {
+		// The worker ignored the last sync, which was for another incarnation, so
+		// it needs a new one at once.
+		h.nextSync = 0
 	}
-	h.life = rep.Life
+	h.incarnation = rep.Life
 	if rep.Base != 0 {
 		s.unchanged(now, rep, h)
 		return
 	}
 	h.base = 0
-	if rep.Seq == h.fullSeq && !reborn {
+	if rep.Seq == h.lastListSeq && !restarted {
 		h.base = rep.Seq
 	}
-	named := map[id.Job]bool{}
+	listed := map[id.Job]bool{}
 	for _, t := range rep.Tasks {
 		r, ok := s.gangs[t.Job]
 		if !ok || r.Lease != t.Lease {
 			continue
 		}
-		named[t.Job] = true
+		listed[t.Job] = true
 		r.Report(now, rep.Worker, rep.Clock, t.State)
-		s.judge(now, r, rep.Worker, h, t.State)
-		s.touch(r)
+		s.countTaskEnd(now, r, rep.Worker, h, t.State)
+		s.markForAdvance(r)
 	}
-	for name, r := range s.tasks[rep.Worker] {
-		// A worker that was told to drop a task, or that was restarted, and no
-		// longer names it, doesn't hold it.
-		seq, told := r.dropped[rep.Worker]
-		if !named[name] && (reborn || told && rep.Seq >= seq) {
+	for jobID, r := range s.runsOn[rep.Worker] {
+		// The worker no longer lists the task. If it was restarted, or has
+		// processed a sync that omitted the task, it doesn't hold the task.
+		seq, omitted := r.omittedSeq[rep.Worker]
+		if !listed[jobID] && (restarted || omitted && rep.Seq >= seq) {
 			r.Report(now, rep.Worker, rep.Clock, worker.Missing)
-			s.touch(r)
+			s.markForAdvance(r)
 		}
 	}
 }
 
-// unchanged takes in that a worker's tasks are as it reported before.
+// unchanged processes a report without a task list, which says that the worker's
+// tasks are as in its report on the sync rep.Base.
 func (s *Scheduler) unchanged(now unit.Instant, rep worker.Report, h *health) {
 	if rep.Base != h.base {
 		return
 	}
-	for _, r := range s.tasks[rep.Worker] {
+	for _, r := range s.runsOn[rep.Worker] {
 		r.Heard(now, rep.Worker, rep.Clock)
 	}
 }
 
-// judge counts the end of a task for or against its worker.
-func (s *Scheduler) judge(now unit.Instant, r *run, w id.Worker, h *health, st worker.TaskState) {
+// countTaskEnd counts a crash against the worker and the job. A normal exit resets
+// the crash count of the worker.
+func (s *Scheduler) countTaskEnd(now unit.Instant, r *run, w id.Worker, h *health, st worker.TaskState) {
 	switch {
-	case st == worker.Crashed && !r.blamed:
-		r.blamed = true
-		h.blame(now, r.Job.ID)
-		if s.bad[r.Job.ID] == nil {
-			s.bad[r.Job.ID] = map[id.Worker]bool{}
+	case st == worker.Crashed && !r.crashCounted:
+		r.crashCounted = true
+		h.noteCrash(now, r.Job.ID)
+		if s.crashedOn[r.Job.ID] == nil {
+			s.crashedOn[r.Job.ID] = map[id.Worker]bool{}
 		}
-		s.bad[r.Job.ID][w] = true
+		s.crashedOn[r.Job.ID][w] = true
 	case st == worker.Exited:
-		h.clearBlame()
+		h.clearCrashes()
 	}
 }
 
-// index takes over a new configuration.
-func (s *Scheduler) index() {
-	if s.seenConfig == s.state.ConfigAt+1 {
+// indexConfig rebuilds what is derived from the configuration if it has changed.
+func (s *Scheduler) indexConfig() {
+	if s.indexedConfig == s.state.ConfigAt+1 {
 		return
 	}
-	s.seenConfig, s.dirty = s.state.ConfigAt+1, true
-	s.firmSizes = map[int]bool{}
-	s.where = map[id.Worker]spot{}
+	s.indexedConfig, s.dirty = s.state.ConfigAt+1, true
+	s.couldClearSize = map[int]bool{}
+	s.locations = map[id.Worker]location{}
 	for _, k := range config.Sorted(s.state.Config.Racks) {
 		r := s.state.Config.Racks[k]
 		for i, w := range r.Workers {
-			s.where[w.ID] = spot{k, r.Span(i)}
+			s.locations[w.ID] = location{k, r.Span(i)}
 			if s.workers[w.ID] == nil {
 				s.workers[w.ID] = &health{}
 			}
 		}
 	}
 	for w := range s.workers {
-		if _, ok := s.where[w]; !ok {
+		if _, ok := s.locations[w]; !ok {
 			delete(s.workers, w)
 		}
 	}
-	s.cells = map[id.Customer][]config.Guarantee{}
+	s.guarantees = map[id.Customer][]config.Guarantee{}
 	for _, k := range config.Sorted(s.state.Config.Guarantees) {
 		g := s.state.Config.Guarantees[k]
-		s.cells[g.Customer] = append(s.cells[g.Customer], g)
+		s.guarantees[g.Customer] = append(s.guarantees[g.Customer], g)
 	}
 	s.inventory.Configure(s.state.Config)
 }
 
-// members returns the members of a gang on block b.
-func (s *Scheduler) members(b block.Block) []gang.Member {
+// membersOn returns the members of a gang on block b.
+func (s *Scheduler) membersOn(b block.Block) []gang.Member {
 	var out []gang.Member
 	r := s.state.Config.Racks[b.Rack]
 	for i, w := range r.Workers {
