--- a/internal/replay/doc.go
+++ b/internal/replay/doc.go
@@ -1,5 +1,5 @@
-// Package replay drives the scheduler with a recorded list of events, fake workers and
-// a virtual clock, to compare placement policies on equal terms. It is a bench for
-// decisions and no model of a cluster: messages take no time, and the log accepts at
-// once whatever the reducer accepts.
+// Package replay simulates the scheduler on a trace of events, with fake workers
+// and a virtual clock, to compare placement policies under equal conditions. It
+// tests scheduling decisions and does not model a cluster: messages take no time,
+// and the log immediately accepts every entry that the state accepts.
 package replay
--- a/internal/replay/generate.go
+++ b/internal/replay/generate.go
@@ -12,169 +12,172 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// ErrLikeness reports a likeness that can't be generated.
-var ErrLikeness = errors.New("replay: no such likeness")
+// ErrUnknownProfile reports a workload profile that does not exist.
+var ErrUnknownProfile = errors.New("replay: unknown workload profile")
 
-// mix is one kind of work that a customer sends.
-type mix struct {
+// workload is one kind of job that a customer submits.
+type workload struct {
 	customer id.Customer
 	prefix   string
-	// sizes are drawn evenly.
+	// sizes are the gang sizes, drawn with equal probability.
 	sizes []int
-	// run is the median run time; it is drawn from a log-normal distribution.
-	run    time.Duration
-	spread float64
-	// each is the mean time between two submissions and burst how many come at
-	// once.
-	each         time.Duration
-	burst        int
+	// medianRun is the median of the log-normal distribution of run times, and
+	// sigma the standard deviation of their logarithm.
+	medianRun time.Duration
+	sigma     float64
+	// meanInterval is the mean time between two bursts of submissions, and maxBurst
+	// the maximum number of jobs in a burst.
+	meanInterval time.Duration
+	maxBurst     int
 	once, urgent bool
-	// night keeps the work to the hours from 22 to 4.
-	night bool
-	// owed marks work that the customer's guarantee has to serve.
-	owed bool
+	// nightOnly restricts submissions to the hours from 22:00 to 04:00.
+	nightOnly bool
+	// guaranteed is set for jobs that the customer's guarantee must serve.
+	guaranteed bool
 }
 
-var likenesses = map[string][]mix{
+var profiles = map[string][]workload{
 	"delta-north": {
 		{
 			customer: "excursion", prefix: "recon", sizes: []int{16, 32, 64},
-			run: 70 * time.Minute, spread: 0.7, each: 45 * time.Minute, burst: 1, owed: true,
+			medianRun: 70 * time.Minute, sigma: 0.7, meanInterval: 45 * time.Minute, maxBurst: 1, guaranteed: true,
 		},
 		{
 			customer: "excursion", prefix: "review", sizes: []int{4, 8},
-			run: 30 * time.Minute, spread: 0.8, each: 12 * time.Minute, burst: 2,
+			medianRun: 30 * time.Minute, sigma: 0.8, meanInterval: 12 * time.Minute, maxBurst: 2,
 		},
 		{
 			customer: "shelf-life", prefix: "rescore", sizes: []int{2, 4, 8, 16},
-			run: 20 * time.Minute, spread: 0.8, each: 8 * time.Minute, burst: 2, urgent: true,
+			medianRun: 20 * time.Minute, sigma: 0.8, meanInterval: 8 * time.Minute, maxBurst: 2, urgent: true,
 		},
 		{
 			customer: "calibration", prefix: "sweep", sizes: []int{16, 32},
-			run: 90 * time.Minute, spread: 0.4, each: 40 * time.Minute, burst: 2, once: true, night: true,
+			medianRun: 90 * time.Minute, sigma: 0.4, meanInterval: 40 * time.Minute, maxBurst: 2, once: true, nightOnly: true,
 		},
 		{
 			customer: "pharmacy", prefix: "batch", sizes: []int{1, 1, 2, 4},
-			run: 40 * time.Minute, spread: 1.2, each: 9 * time.Minute, burst: 6,
+			medianRun: 40 * time.Minute, sigma: 1.2, meanInterval: 9 * time.Minute, maxBurst: 6,
 		},
 	},
 	"be-oost": {
 		{
 			customer: "labels", prefix: "label", sizes: []int{1, 2, 4},
-			run: 4 * time.Minute, spread: 0.8, each: time.Minute, burst: 3, urgent: true,
+			medianRun: 4 * time.Minute, sigma: 0.8, meanInterval: time.Minute, maxBurst: 3, urgent: true,
 		},
 		{
 			customer: "customs", prefix: "customs", sizes: []int{16, 32, 64},
-			run: 35 * time.Minute, spread: 0.6, each: 25 * time.Minute, burst: 1, owed: true,
+			medianRun: 35 * time.Minute, sigma: 0.6, meanInterval: 25 * time.Minute, maxBurst: 1, guaranteed: true,
 		},
 		{
 			customer: "pickup", prefix: "qr", sizes: []int{1, 2, 8},
-			run: 6 * time.Minute, spread: 1, each: 90 * time.Second, burst: 4,
+			medianRun: 6 * time.Minute, sigma: 1, meanInterval: 90 * time.Second, maxBurst: 4,
 		},
 		{
 			customer: "archive", prefix: "archive", sizes: []int{1, 4, 8, 16},
-			run: time.Hour, spread: 1, each: 14 * time.Minute, burst: 3,
+			medianRun: time.Hour, sigma: 1, meanInterval: 14 * time.Minute, maxBurst: 3,
 		},
 	},
 }
 
-// Rates of what goes wrong in a generated trace.
+// Rates of faults and cancels in a generated trace.
 const (
-	lieShare    = 0.15
-	badShare    = 0.01
-	cancelShare = 0.02
-	waveEvery   = 6 * time.Hour
-	waveSize    = 12
-	downEvery   = 3 * time.Hour
-	downFor     = 20 * time.Minute
+	misdeclaredShare   = 0.15
+	crashShare         = 0.01
+	cancelShare        = 0.02
+	cancelWaveInterval = 6 * time.Hour
+	cancelWaveSize     = 12
+	downInterval       = 3 * time.Hour
+	meanDowntime       = 20 * time.Minute
 )
 
-// Generate returns a trace in the likeness of a user's work: bursts, waves of cancels,
-// declared times that are wrong by ten times in both directions, jobs that crash
-// everywhere and workers that go down. The same seed gives the same trace.
-func Generate(likeness string, seed uint64, length time.Duration, workers []id.Worker) ([]Event, error) {
-	mixes, ok := likenesses[likeness]
+// Generate returns a random trace of a workload profile, which resembles the jobs
+// of one user's site. It has bursts of submissions, waves of cancels, declared run
+// times that are too long or too short by a factor of ten, jobs that crash on every
+// worker, and workers that go down. The same seed gives the same trace.
+func Generate(profile string, seed uint64, length time.Duration, workers []id.Worker) ([]Event, error) {
+	workloads, ok := profiles[profile]
 	if !ok {
-		return nil, fmt.Errorf("%w: %s", ErrLikeness, likeness)
+		return nil, fmt.Errorf("%w: %s", ErrUnknownProfile, profile)
 	}
 	g := &generator{rng: rand.New(rand.NewPCG(seed, 2)), length: length}
-	for _, m := range mixes {
-		g.work(m)
+	for _, m := range workloads {
+		g.addJobs(m)
 	}
-	g.cancels()
-	g.failures(workers)
-	slices.SortStableFunc(g.out, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	return g.out, nil
+	g.addCancels()
+	g.addFailures(workers)
+	slices.SortStableFunc(g.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	return g.events, nil
 }
 
 type generator struct {
 	rng    *rand.Rand
 	length time.Duration
-	out    []Event
+	events []Event
 }
 
-// after returns a random time with the given mean, in whole seconds.
-func (g *generator) after(mean time.Duration) time.Duration {
+// randomInterval returns an exponentially distributed time with the given mean,
+// truncated to whole seconds.
+func (g *generator) randomInterval(mean time.Duration) time.Duration {
 	return time.Duration(g.rng.ExpFloat64() * float64(mean)).Truncate(time.Second)
 }
 
-func (g *generator) work(m mix) {
+func (g *generator) addJobs(m workload) {
 	n := 0
-	for at := g.after(m.each); at < g.length; at += g.after(m.each) + time.Second {
-		if hour := int(at.Hours()) % 24; m.night && hour >= 4 && hour < 22 {
+	for at := g.randomInterval(m.meanInterval); at < g.length; at += g.randomInterval(m.meanInterval) + time.Second {
+		if hour := int(at.Hours()) % 24; m.nightOnly && hour >= 4 && hour < 22 {
 			continue
 		}
-		for range 1 + g.rng.IntN(m.burst) {
+		for range 1 + g.rng.IntN(m.maxBurst) {
 			n++
-			g.out = append(g.out, g.job(m, at, n))
+			g.events = append(g.events, g.newJob(m, at, n))
 		}
 	}
 }
 
-func (g *generator) job(m mix, at time.Duration, n int) Event {
-	run := time.Duration(float64(m.run) * math.Exp(m.spread*g.rng.NormFloat64())).Truncate(time.Second)
+func (g *generator) newJob(m workload, at time.Duration, n int) Event {
+	run := time.Duration(float64(m.medianRun) * math.Exp(m.sigma*g.rng.NormFloat64())).Truncate(time.Second)
 	e := Event{
 		At: at, Kind: Submit, Job: id.Job(fmt.Sprintf("%s-%04d", m.prefix, n)), Customer: m.customer,
 		Accelerators: m.sizes[g.rng.IntN(len(m.sizes))], Run: max(run, 10*time.Second), Once: m.once, Urgent: m.urgent,
-		Bad: g.rng.Float64() < badShare,
+		Bad: g.rng.Float64() < crashShare,
 	}
 	e.Declared = e.Run
-	if g.rng.Float64() < lieShare {
+	if g.rng.Float64() < misdeclaredShare {
 		e.Declared = []time.Duration{e.Run / 10, e.Run * 10}[g.rng.IntN(2)].Truncate(time.Second)
 	}
-	if m.owed {
+	if m.guaranteed {
 		e.Kind = GuaranteeUsed
 	}
 	return e
 }
 
-// cancels adds single cancels and waves of them.
-func (g *generator) cancels() {
-	jobs := slices.Clone(g.out)
+// addCancels adds single cancels and waves of cancels.
+func (g *generator) addCancels() {
+	jobs := slices.Clone(g.events)
 	for _, e := range jobs {
 		if g.rng.Float64() < cancelShare {
-			g.out = append(g.out, Event{At: e.At + g.after(10*time.Minute), Kind: Cancel, Job: e.Job})
+			g.events = append(g.events, Event{At: e.At + g.randomInterval(10*time.Minute), Kind: Cancel, Job: e.Job})
 		}
 	}
-	for at := g.after(waveEvery); at < g.length; at += g.after(waveEvery) + time.Second {
-		for range waveSize {
+	for at := g.randomInterval(cancelWaveInterval); at < g.length; at += g.randomInterval(cancelWaveInterval) + time.Second {
+		for range cancelWaveSize {
 			e := jobs[g.rng.IntN(len(jobs))]
 			if e.At < at {
-				g.out = append(g.out, Event{At: at, Kind: Cancel, Job: e.Job})
+				g.events = append(g.events, Event{At: at, Kind: Cancel, Job: e.Job})
 			}
 		}
 	}
 }
 
-// failures adds workers that go down for a while.
-func (g *generator) failures(workers []id.Worker) {
+// addFailures adds failures of workers and their recovery.
+func (g *generator) addFailures(workers []id.Worker) {
 	if len(workers) == 0 {
 		return
 	}
-	for at := g.after(downEvery); at < g.length; at += g.after(downEvery) + time.Second {
+	for at := g.randomInterval(downInterval); at < g.length; at += g.randomInterval(downInterval) + time.Second {
 		w := id.Job(workers[g.rng.IntN(len(workers))])
-		g.out = append(g.out,
+		g.events = append(g.events,
 			Event{At: at, Kind: WorkerDown, Job: w},
-			Event{At: at + downFor/2 + g.after(downFor/2), Kind: WorkerUp, Job: w})
+			Event{At: at + meanDowntime/2 + g.randomInterval(meanDowntime/2), Kind: WorkerUp, Job: w})
 	}
 }
--- a/internal/replay/plot.go
+++ b/internal/replay/plot.go
@@ -17,7 +17,8 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// Plot draws fragmentation and waiting jobs over time into the folder dir, as SVG.
+// Plot writes charts of fragmentation and waiting jobs over time to SVG files in
+// folder dir.
 func Plot(dir string, results []Result) error {
 	for _, d := range []struct {
 		name, label string
@@ -38,11 +39,11 @@
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "hours", label
 	var lines []any
 	for _, r := range results {
-		xy := make(plotter.XYs, len(r.Samples))
+		points := make(plotter.XYs, len(r.Samples))
 		for i, s := range r.Samples {
-			xy[i] = plotter.XY{X: float64(s.At) / float64(time.Hour), Y: value(s)}
+			points[i] = plotter.XY{X: float64(s.At) / float64(time.Hour), Y: value(s)}
 		}
-		lines = append(lines, r.Policy, xy)
+		lines = append(lines, r.Policy, points)
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return err
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -19,55 +19,63 @@
 )
 
 const (
-	// step is how far the clock moves at a time.
-	step = time.Second
-	// sampleEvery is how often fragmentation and utilisation are looked at.
-	sampleEvery = 30 * time.Second
-	// large is the size from which a gang counts as large.
-	large = 16
-	// maxAfter bounds the time after the last event in which jobs may end.
-	maxAfter = 48 * time.Hour
-	// batch is how many entries go into one record.
-	batch = 200
-	begin = unit.Instant(time.Hour)
+	// tick is the step of the virtual clock.
+	tick = time.Second
+	// sampleInterval is the interval at which fragmentation and utilisation are
+	// sampled.
+	sampleInterval = 30 * time.Second
+	// largeGang is the smallest number of accelerators of a large gang.
+	largeGang = 16
+	// maxDrain bounds how long after the last submission the replay waits for jobs
+	// to end.
+	maxDrain = 48 * time.Hour
+	// batchSize is the maximum number of entries in one record.
+	batchSize = 200
+	// startTime is the reading of the virtual clock at time 0 of the trace.
+	startTime = unit.Instant(time.Hour)
 )
 
-// ErrSite reports a configuration that the state does not accept.
-var ErrSite = errors.New("replay: the site is not accepted")
+// ErrSite reports a site whose configuration the state does not accept.
+var ErrSite = errors.New("replay: site configuration was rejected")
 
-// Result is what one policy came to on a trace.
+// Result has the measurements of one policy on a trace.
 type Result struct {
 	Policy    string `json:"policy"`
 	Submitted int    `json:"submitted"`
 	Finished  int    `json:"finished"`
 	Refused   int    `json:"refused"`
-	// Completion is from submission to the end of jobs that finished; Large those
-	// of 16 accelerators and more.
+	// CompletionP50 and CompletionP99 are quantiles of the time from submission to
+	// the end of finished jobs; LargeCompletionP99 covers only jobs of 16
+	// accelerators or more.
 	CompletionP50      float64 `json:"completion_p50_s"`
 	CompletionP99      float64 `json:"completion_p99_s"`
 	LargeCompletionP99 float64 `json:"large_completion_p99_s"`
-	// UrgentStart is from submission until the gates of an urgent job are open.
+	// UrgentStartP99 is a quantile of the time from the submission of an urgent
+	// job until its first gate opens.
 	UrgentStartP99 float64 `json:"urgent_start_p99_s"`
-	// Fragmentation is the share of free accelerators that can't serve the gang
-	// sizes that wait or are guaranteed, its mean over time.
+	// Fragmentation is the mean share of free accelerators that can't serve the
+	// gang sizes of waiting jobs and guarantees, until the last submission.
 	Fragmentation float64 `json:"fragmentation"`
-	// Utilisation is the share of live accelerators that tasks hold, its mean
-	// until the last submission, less the work that was thrown away.
+	// Utilisation is the mean share of live accelerators on which tasks run, until
+	// the last submission, less the share of the work that was lost.
 	Utilisation float64 `json:"utilisation"`
 	Preempted   int     `json:"preempted"`
-	// LostAccelerator is the work that was thrown away by stopping gangs, in
+	// LostAccelerator is the work of gangs that ended without finishing, in
 	// accelerator-seconds.
 	LostAccelerator float64 `json:"lost_accelerator_s"`
-	// GuaranteeReclaimMax is the longest time until a guarantee_used job started
-	// whose customer had no other one under way.
+	// GuaranteeReclaimMax is the longest time from submission to start of a
+	// guarantee_used job whose customer had no other such job in flight.
 	GuaranteeReclaimMax float64 `json:"guarantee_reclaim_max_s"`
-	Violations          int     `json:"violations"`
+	// Violations counts the leases under which a job that must not be repeated
+	// started again, and the steps after which the planned places of unused
+	// guarantees were invalid.
+	Violations int `json:"violations"`
 
 	// Samples are for plots.
 	Samples []Sample `json:"-"`
 }
 
-// Sample is the system at one moment.
+// Sample has the measurements at one point of time.
 type Sample struct {
 	At            time.Duration
 	Fragmentation float64
@@ -75,109 +83,116 @@
 	Waiting       int
 }
 
-// job is what a replay knows of one job.
+// job is the simulation's state of one job.
 type job struct {
-	event   Event
+	event Event
+	// started is when a gate of the job first opened; 0 before.
 	started unit.Instant
-	// opened is when the gates of the current attempt opened; 0 if none is.
-	opened  unit.Instant
-	ended   unit.Instant
+	// opened is when a gate last opened while no other task of the job was running.
+	opened unit.Instant
+	// ended is when the job finished; 0 if it has not.
+	ended unit.Instant
+	// leases has the leases under which a gate of the job opened, and running the
+	// workers on which its tasks run now.
 	leases  map[id.Lease]bool
 	running map[id.Worker]bool
-	// owed is set if the customer had no other owed job under way, so that its
-	// guarantee had to serve this one at once.
-	owed bool
+	// reclaims is set for a guarantee_used job whose customer had no other such job
+	// in flight at its submission, so that the guarantee must serve it at once.
+	reclaims bool
 }
 
-// bench is one run.
-type bench struct {
-	state   *state.State
-	sched   *sched.Scheduler
-	workers map[id.Worker]*fake.Worker
-	down    map[id.Worker]bool
-	lives   map[id.Worker]uint64
-	jobs    map[id.Job]*job
-	now     unit.Instant
-	seq     id.Seq
-	result  Result
-	// due lists workers whose tasks may have ended.
+// simulation is one replay of a trace.
+type simulation struct {
+	state        *state.State
+	sched        *sched.Scheduler
+	workers      map[id.Worker]*fake.Worker
+	down         map[id.Worker]bool
+	incarnations map[id.Worker]uint64
+	jobs         map[id.Job]*job
+	now          unit.Instant
+	seq          id.Seq
+	result       Result
+	// lastSubmit is the time of the latest submission.
 	lastSubmit unit.Instant
-	queue      []record.Entry
+	// pending has the entries that the next step writes.
+	pending []record.Entry
 }
 
-// Run replays a trace on a site with a policy. The trace is not changed.
+// Run replays a trace on a site with a placement policy. It does not change the
+// trace.
 func Run(site []config.Change, trace []Event, p place.Policy) (Result, error) {
-	b := &bench{
+	sim := &simulation{
 		state: state.New(), workers: map[id.Worker]*fake.Worker{}, down: map[id.Worker]bool{},
-		lives: map[id.Worker]uint64{}, jobs: map[id.Job]*job{}, now: begin,
+		incarnations: map[id.Worker]uint64{}, jobs: map[id.Job]*job{}, now: startTime,
 	}
-	b.result.Policy = p.Name()
-	if err := b.setUp(site, p); err != nil {
+	sim.result.Policy = p.Name()
+	if err := sim.setUp(site, p); err != nil {
 		return Result{}, err
 	}
 	for i := 0; ; {
-		for i < len(trace) && begin.Add(trace[i].At) <= b.now {
-			b.take(trace[i])
+		for i < len(trace) && startTime.Add(trace[i].At) <= sim.now {
+			sim.apply(trace[i])
 			i++
 		}
-		b.step()
-		if i == len(trace) && (b.idle() || b.now.Sub(b.lastSubmit) > maxAfter) {
+		sim.step()
+		if i == len(trace) && (sim.idle() || sim.now.Sub(sim.lastSubmit) > maxDrain) {
 			break
 		}
-		b.now = b.now.Add(step)
+		sim.now = sim.now.Add(tick)
 	}
-	return b.sum(), nil
+	return sim.summarize(), nil
 }
 
-// setUp puts the site in force and lets the scheduler hear of its workers.
-func (b *bench) setUp(site []config.Change, p place.Policy) error {
-	v := b.write(record.Entry{Configure: &record.Configure{Changes: site}}, record.Entry{Claim: &record.Claim{Host: "replay"}})
-	if v[0] != nil {
-		return fmt.Errorf("%w: %w", ErrSite, v[0])
+// setUp applies the configuration of the site, starts its workers, and runs steps
+// in which they report to the scheduler.
+func (sim *simulation) setUp(site []config.Change, p place.Policy) error {
+	verdicts := sim.write(record.Entry{Configure: &record.Configure{Changes: site}}, record.Entry{Claim: &record.Claim{Host: "replay"}})
+	if verdicts[0] != nil {
+		return fmt.Errorf("%w: %w", ErrSite, verdicts[0])
 	}
-	for _, k := range config.Sorted(b.state.Config.Racks) {
-		for _, w := range b.state.Config.Racks[k].Workers {
-			b.start(w.ID, w.Accelerators)
+	for _, k := range config.Sorted(sim.state.Config.Racks) {
+		for _, w := range sim.state.Config.Racks[k].Workers {
+			sim.startWorker(w.ID, w.Accelerators)
 		}
 	}
-	b.sched = sched.New(b.state.Owner.Epoch, b.state, p)
+	sim.sched = sched.New(sim.state.Owner.Epoch, sim.state, p)
 	for range 3 {
-		b.step()
-		b.now = b.now.Add(step)
+		sim.step()
+		sim.now = sim.now.Add(tick)
 	}
 	return nil
 }
 
-// start starts a worker, or starts it again with a new life.
-func (b *bench) start(w id.Worker, accelerators int) {
-	b.lives[w]++
-	b.workers[w] = fake.New(w, accelerators, b.lives[w], fake.Hooks{
+// startWorker starts a worker, or restarts it as a new incarnation.
+func (sim *simulation) startWorker(w id.Worker, accelerators int) {
+	sim.incarnations[w]++
+	sim.workers[w] = fake.New(w, accelerators, sim.incarnations[w], fake.Hooks{
 		Plan: func(t worker.Want) fake.Run {
-			e := b.jobs[t.Job].event
+			e := sim.jobs[t.Job].event
 			return fake.Run{For: e.Run, Crash: e.Bad}
 		},
-		Started: func(j id.Job, l id.Lease) { b.opened(b.jobs[j], w, l) },
-		Ended:   func(j id.Job, _ id.Lease, st worker.TaskState) { b.closed(b.jobs[j], w, st) },
+		Started: func(j id.Job, l id.Lease) { sim.gateOpened(sim.jobs[j], w, l) },
+		Ended:   func(j id.Job, _ id.Lease, st worker.TaskState) { sim.taskEnded(sim.jobs[j], w, st) },
 	})
 }
 
-// opened notes that a gate was opened.
-func (b *bench) opened(j *job, w id.Worker, l id.Lease) {
+// gateOpened records that the gate of a task was opened.
+func (sim *simulation) gateOpened(j *job, w id.Worker, l id.Lease) {
 	if !j.leases[l] && j.event.Once && len(j.leases) > 0 {
-		b.result.Violations++
+		sim.result.Violations++
 	}
 	if j.started == 0 {
-		j.started = b.now
+		j.started = sim.now
 	}
 	if len(j.running) == 0 {
-		j.opened = b.now
+		j.opened = sim.now
 	}
 	j.leases[l] = true
 	j.running[w] = true
 }
 
-// closed notes that a task ended.
-func (b *bench) closed(j *job, w id.Worker, st worker.TaskState) {
+// taskEnded records that a task ended.
+func (sim *simulation) taskEnded(j *job, w id.Worker, st worker.TaskState) {
 	if !j.running[w] {
 		return
 	}
@@ -185,72 +200,74 @@
 	if st != worker.Exited {
 		share := float64(j.event.Accelerators) / float64(max(len(j.running)+1, 1))
 		if len(j.running) == 0 {
-			b.result.LostAccelerator += b.now.Sub(j.opened).Seconds() * share
+			sim.result.LostAccelerator += sim.now.Sub(j.opened).Seconds() * share
 		}
 	}
 }
 
-// write puts entries on the log.
-func (b *bench) write(entries ...record.Entry) []error {
-	b.seq++
+// write appends entries to the log and returns their verdicts.
+func (sim *simulation) write(entries ...record.Entry) []error {
+	sim.seq++
 	raw, err := record.Encode(record.Batch{
-		Version: record.Version, Host: "replay", Incarnation: 1, Seq: b.seq, Basis: b.state.Applied, Entries: entries,
+		Version: record.Version, Host: "replay", Incarnation: 1, Seq: sim.seq, Basis: sim.state.Applied, Entries: entries,
 	})
 	if err != nil {
-		panic(fmt.Sprintf("replay: entries of the program itself: %v", err))
+		panic(fmt.Sprintf("replay: failed to encode the replay's own entries: %v", err))
 	}
-	a, err := b.state.Apply(b.state.Applied+1, raw)
+	a, err := sim.state.Apply(sim.state.Applied+1, raw)
 	if err != nil || a.Damaged != nil {
-		panic(fmt.Sprintf("replay: record of the program itself: %v %v", err, a.Damaged))
+		panic(fmt.Sprintf("replay: failed to apply the replay's own record: %v %v", err, a.Damaged))
 	}
 	return a.Verdicts
 }
 
-// take carries out one line of the trace.
-func (b *bench) take(e Event) {
+// apply processes one event of the trace.
+func (sim *simulation) apply(e Event) {
 	switch e.Kind {
 	case Submit, GuaranteeUsed:
-		b.result.Submitted++
-		b.lastSubmit = b.now
-		b.jobs[e.Job] = &job{event: e, owed: b.owed(e), leases: map[id.Lease]bool{}, running: map[id.Worker]bool{}}
-		b.queue = append(b.queue, record.Entry{Submit: &record.Submit{Job: record.Job{
+		sim.result.Submitted++
+		sim.lastSubmit = sim.now
+		sim.jobs[e.Job] = &job{event: e, reclaims: sim.mustReclaim(e), leases: map[id.Lease]bool{}, running: map[id.Worker]bool{}}
+		sim.pending = append(sim.pending, record.Entry{Submit: &record.Submit{Job: record.Job{
 			ID: e.Job, Customer: e.Customer, Accelerators: e.Accelerators, Declared: e.Declared,
-			Once: e.Once, Urgent: e.Urgent, Submitted: b.now,
+			Once: e.Once, Urgent: e.Urgent, Submitted: sim.now,
 		}}})
 	case Cancel:
-		b.queue = append(b.queue, record.Entry{Cancel: &record.Cancel{Job: e.Job}})
+		sim.pending = append(sim.pending, record.Entry{Cancel: &record.Cancel{Job: e.Job}})
 	case WorkerDown:
-		if w := b.workers[id.Worker(e.Job)]; w != nil {
-			b.down[id.Worker(e.Job)] = true
+		if w := sim.workers[id.Worker(e.Job)]; w != nil {
+			sim.down[id.Worker(e.Job)] = true
 			for _, j := range w.Running() {
-				b.closed(b.jobs[j], id.Worker(e.Job), worker.Stopped)
+				sim.taskEnded(sim.jobs[j], id.Worker(e.Job), worker.Stopped)
 			}
 		}
 	case WorkerUp:
-		if b.down[id.Worker(e.Job)] {
-			delete(b.down, id.Worker(e.Job))
-			b.start(id.Worker(e.Job), b.accelerators(id.Worker(e.Job)))
+		if sim.down[id.Worker(e.Job)] {
+			delete(sim.down, id.Worker(e.Job))
+			sim.startWorker(id.Worker(e.Job), sim.accelerators(id.Worker(e.Job)))
 		}
 	}
 }
 
-// owed reports whether the guarantee of the job's customer is unused.
-func (b *bench) owed(e Event) bool {
+// mustReclaim reports whether the event submits a guarantee_used job whose customer
+// has no other such job in flight.
+func (sim *simulation) mustReclaim(e Event) bool {
 	if e.Kind != GuaranteeUsed {
 		return false
 	}
-	for name, j := range b.jobs {
-		s := b.state.Jobs[name]
-		under := s == nil || s.State == state.Pending || s.State == state.Running
-		if under && j.event.Customer == e.Customer && j.event.Kind == GuaranteeUsed {
+	for jobID, j := range sim.jobs {
+		s := sim.state.Jobs[jobID]
+		inFlight := s == nil || s.State == state.Pending || s.State == state.Running
+		if inFlight && j.event.Customer == e.Customer && j.event.Kind == GuaranteeUsed {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *bench) accelerators(name id.Worker) int {
-	for _, r := range b.state.Config.Racks {
+// accelerators returns the number of accelerators of a worker; 0 if it is unknown.
+func (sim *simulation) accelerators(name id.Worker) int {
+	for _, r := range sim.state.Config.Racks {
 		for _, w := range r.Workers {
 			if w.ID == name {
 				return w.Accelerators
@@ -260,98 +277,101 @@
 	return 0
 }
 
-// step lets everything happen that is due.
-func (b *bench) step() {
-	for part := range slices.Chunk(b.queue, batch) {
-		for i, err := range b.write(part...) {
+// step processes everything that is due at the current time.
+func (sim *simulation) step() {
+	for part := range slices.Chunk(sim.pending, batchSize) {
+		for i, err := range sim.write(part...) {
 			if err == nil {
-				b.sched.Accepted(b.now, part[i])
+				sim.sched.Accepted(sim.now, part[i])
 			}
 		}
 	}
-	b.queue = b.queue[:0]
-	// Messages take no time: go on until nothing more follows.
+	sim.pending = sim.pending[:0]
+	// Messages take no time: repeat until the scheduler emits nothing more. The
+	// number of repetitions is bounded.
 	for range 8 {
-		d := b.sched.Step(b.now)
+		d := sim.sched.Step(sim.now)
 		if len(d.Entries)+len(d.Syncs) == 0 {
 			break
 		}
-		b.carryOut(d)
+		sim.execute(d)
 	}
-	for name, w := range b.workers {
-		if !b.down[name] {
-			w.Advance(time.Duration(b.now))
+	for workerID, w := range sim.workers {
+		if !sim.down[workerID] {
+			w.Advance(time.Duration(sim.now))
 		}
 	}
-	if b.now.Sub(begin)%sampleEvery == 0 {
-		b.sample()
+	if sim.now.Sub(startTime)%sampleInterval == 0 {
+		sim.sample()
 	}
 }
 
-func (b *bench) carryOut(d sched.Decisions) {
-	for part := range slices.Chunk(d.Entries, batch) {
-		for i, err := range b.write(part...) {
-			b.noteEnd(part[i], err)
-			b.sched.Settled(b.now, part[i], err)
+// execute writes the entries of the decisions and delivers their syncs.
+func (sim *simulation) execute(d sched.Decisions) {
+	for part := range slices.Chunk(d.Entries, batchSize) {
+		for i, err := range sim.write(part...) {
+			sim.noteEnd(part[i], err)
+			sim.sched.Settled(sim.now, part[i], err)
 		}
 	}
-	if len(d.Entries) > 0 && b.state.CheckWitness() != nil {
-		b.result.Violations++
+	if len(d.Entries) > 0 && sim.state.CheckWitness() != nil {
+		sim.result.Violations++
 	}
 	for _, q := range d.Syncs {
-		if !b.down[q.Worker] {
-			b.sched.Report(b.now, b.workers[q.Worker].Sync(time.Duration(b.now), q))
+		if !sim.down[q.Worker] {
+			sim.sched.Report(sim.now, sim.workers[q.Worker].Sync(time.Duration(sim.now), q))
 		}
 	}
 }
 
-func (b *bench) noteEnd(e record.Entry, err error) {
+// noteEnd counts the end of a job if the log accepted its entry.
+func (sim *simulation) noteEnd(e record.Entry, err error) {
 	if e.End == nil || err != nil {
 		return
 	}
-	j := b.jobs[e.End.Job]
+	j := sim.jobs[e.End.Job]
 	switch e.End.Outcome {
 	case record.Finished:
-		j.ended = b.now
-		b.result.Finished++
+		j.ended = sim.now
+		sim.result.Finished++
 	case record.Refused:
-		b.result.Refused++
+		sim.result.Refused++
 	}
 }
 
 // idle reports whether every job has ended.
-func (b *bench) idle() bool {
-	for _, j := range b.state.Jobs {
+func (sim *simulation) idle() bool {
+	for _, j := range sim.state.Jobs {
 		if j.State == state.Pending || j.State == state.Running {
 			return false
 		}
 	}
-	return len(b.queue) == 0
+	return len(sim.pending) == 0
 }
 
-// all returns the number of accelerators of the site.
-func (b *bench) all() int {
+// totalAccelerators returns the number of usable accelerators of the site.
+func (sim *simulation) totalAccelerators() int {
 	n := 0
-	for k := range b.state.Config.Racks {
-		n += bits.OnesCount64(state.Usable(b.state.Config, k))
+	for k := range sim.state.Config.Racks {
+		n += bits.OnesCount64(state.Usable(sim.state.Config, k))
 	}
 	return n
 }
 
-// sample notes the state of all racks.
-func (b *bench) sample() {
-	st := b.sched.Stats()
-	used, all := 0, b.all()
-	for _, j := range b.jobs {
+// sample records the current fragmentation, utilisation and number of waiting jobs.
+func (sim *simulation) sample() {
+	st := sim.sched.Stats()
+	used, live := 0, sim.totalAccelerators()
+	for _, j := range sim.jobs {
 		if len(j.running) > 0 {
 			used += j.event.Accelerators
 		}
 	}
-	for w := range b.down {
-		all -= b.accelerators(w)
+	for w := range sim.down {
+		live -= sim.accelerators(w)
 	}
-	b.result.Samples = append(b.result.Samples, Sample{
-		At: b.now.Sub(begin), Fragmentation: st.Fragmentation,
-		Utilisation: float64(used) / float64(max(all, 1)), Waiting: st.Pending,
+	sim.result.Samples = append(sim.result.Samples, Sample{
+		At: sim.now.Sub(startTime), Fragmentation: st.Fragmentation,
+		Utilisation: float64(used) / float64(max(live, 1)), Waiting: st.Pending,
 	})
 }
--- a/internal/replay/replay_bench_test.go
+++ b/internal/replay/replay_bench_test.go
@@ -10,7 +10,7 @@
 	"curlewsill.org/curlewsill/internal/replay"
 )
 
-// BenchmarkDay replays a day of a site.
+// BenchmarkDay replays a generated trace of one day on each example site.
 func BenchmarkDay(b *testing.B) {
 	for _, site := range examples.Sites() {
 		b.Run(site, func(b *testing.B) {
--- a/internal/replay/sum.go
+++ b/internal/replay/sum.go
@@ -7,40 +7,40 @@
 	"curlewsill.org/curlewsill/core/config"
 )
 
-// Quantiles that are reported.
+// Quantiles in a Result.
 const (
 	median = 0.5
 	tail   = 0.99
 )
 
-// sum adds a run up.
-func (b *bench) sum() Result {
-	r := b.result
-	r.Preempted = b.sched.Stats().Preempted
-	var all, big, urgent []float64
-	for _, name := range config.Sorted(b.jobs) {
-		j := b.jobs[name]
-		at := begin.Add(j.event.At)
+// summarize computes the result of the replay.
+func (sim *simulation) summarize() Result {
+	r := sim.result
+	r.Preempted = sim.sched.Stats().Preempted
+	var completions, largeCompletions, urgentStarts []float64
+	for _, jobID := range config.Sorted(sim.jobs) {
+		j := sim.jobs[jobID]
+		at := startTime.Add(j.event.At)
 		if j.event.Urgent && j.started != 0 {
-			urgent = append(urgent, j.started.Sub(at).Seconds())
+			urgentStarts = append(urgentStarts, j.started.Sub(at).Seconds())
 		}
-		if j.owed && j.started != 0 {
+		if j.reclaims && j.started != 0 {
 			r.GuaranteeReclaimMax = max(r.GuaranteeReclaimMax, j.started.Sub(at).Seconds())
 		}
 		if j.ended == 0 {
 			continue
 		}
-		took := j.ended.Sub(at).Seconds()
-		all = append(all, took)
-		if j.event.Accelerators >= large {
-			big = append(big, took)
+		completion := j.ended.Sub(at).Seconds()
+		completions = append(completions, completion)
+		if j.event.Accelerators >= largeGang {
+			largeCompletions = append(largeCompletions, completion)
 		}
 	}
-	r.CompletionP50, r.CompletionP99 = quantile(all, median), quantile(all, tail)
-	r.LargeCompletionP99, r.UrgentStartP99 = quantile(big, tail), quantile(urgent, tail)
+	r.CompletionP50, r.CompletionP99 = quantile(completions, median), quantile(completions, tail)
+	r.LargeCompletionP99, r.UrgentStartP99 = quantile(largeCompletions, tail), quantile(urgentStarts, tail)
 	frag, util, n := 0.0, 0.0, 0
 	for _, s := range r.Samples {
-		if begin.Add(s.At) > b.lastSubmit {
+		if startTime.Add(s.At) > sim.lastSubmit {
 			break
 		}
 		frag += s.Fragmentation
@@ -48,13 +48,14 @@
 		n++
 	}
 	r.Fragmentation, r.Utilisation = frag/float64(max(n, 1)), util/float64(max(n, 1))
-	if span := b.lastSubmit.Sub(begin).Seconds(); span > 0 {
-		r.Utilisation -= r.LostAccelerator / span / float64(b.all())
+	if span := sim.lastSubmit.Sub(startTime).Seconds(); span > 0 {
+		r.Utilisation -= r.LostAccelerator / span / float64(sim.totalAccelerators())
 	}
 	return r
 }
 
-// quantile returns the q-quantile of x by the nearest rank; 0 if x is empty.
+// quantile returns the q-quantile of x by the nearest-rank method; 0 if x is empty.
+// It sorts x.
 func quantile(x []float64, q float64) float64 {
 	if len(x) == 0 {
 		return 0
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -13,91 +13,95 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// Header is the first line of a trace.
+// Header has the column names in the first line of a trace.
 var Header = []string{"at_s", "event", "job", "customer", "accelerators", "run_s", "declared_s", "flags"}
 
-// ErrTrace reports a bad line; the error text has its number.
+// ErrTrace reports an invalid line of a trace. The error text names its number.
 var ErrTrace = errors.New("replay: bad trace")
 
-// Kind is what a line of a trace says.
+// Kind is the kind of an event.
 type Kind string
 
-// The kinds.
+// The kinds of events.
 const (
-	// Submit adds a job.
+	// Submit submits a job.
 	Submit Kind = "submit"
-	// GuaranteeUsed adds a job that its customer's guarantee has to serve; the
-	// time until it starts is the time to reclaim the guarantee.
+	// GuaranteeUsed submits a job that its customer's guarantee must serve. The time
+	// until it starts is the time to reclaim the guarantee from borrowers.
 	GuaranteeUsed Kind = "guarantee_used"
-	Cancel        Kind = "cancel"
-	// WorkerDown and WorkerUp name a worker in the column job.
+	// Cancel cancels a job.
+	Cancel Kind = "cancel"
+	// WorkerDown and WorkerUp stop and restart the worker named in column job.
 	WorkerDown Kind = "worker_down"
 	WorkerUp   Kind = "worker_up"
 )
 
 // Event is one line of a trace.
 type Event struct {
-	At       time.Duration
-	Kind     Kind
+	// At is the time since the start of the trace.
+	At   time.Duration
+	Kind Kind
+	// Job is the job, or the worker's name for WorkerDown and WorkerUp.
 	Job      id.Job
 	Customer id.Customer
-	// Accelerators, Run and Declared describe a job. Run is how long it really
-	// runs.
+	// Accelerators, Run and Declared describe a submitted job. Run is its actual
+	// run time, and Declared the run time that the customer declares.
 	Accelerators  int
 	Run, Declared time.Duration
-	// Once, Urgent and Bad are flags of a job; a bad job crashes wherever it runs.
-	// The flag preemptible is read and has no effect: every job that may be
-	// repeated can be preempted.
+	// Once, Urgent and Bad are flags of a job: it must not be repeated, it is
+	// urgent, or it crashes on every worker. Read accepts the flag preemptible and
+	// ignores it, because every job that may be repeated can be preempted.
 	Once, Urgent, Bad bool
 }
 
-// Read reads a trace. Its lines must be in the order of time.
+// Read reads a trace. Its lines must be in ascending order of time.
 func Read(r io.Reader) ([]Event, error) {
-	in := csv.NewReader(r)
-	in.FieldsPerRecord = len(Header)
-	in.Comment = '#'
-	head, err := in.Read()
-	if err != nil || !slices.Equal(head, Header) {
+	reader := csv.NewReader(r)
+	reader.FieldsPerRecord = len(Header)
+	reader.Comment = '#'
+	header, err := reader.Read()
+	if err != nil || !slices.Equal(header, Header) {
 		return nil, fmt.Errorf("%w: line 1: want the header %s", ErrTrace, strings.Join(Header, ","))
 	}
 	var out []Event
 	for {
-		f, err := in.Read()
+		f, err := reader.Read()
 		if errors.Is(err, io.EOF) {
 			return out, nil
 		}
-		line, _ := in.FieldPos(0)
+		line, _ := reader.FieldPos(0)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrTrace, err)
 		}
-		e, err := parse(f)
+		e, err := parseEvent(f)
 		if err != nil {
 			return nil, fmt.Errorf("%w: line %d: %w", ErrTrace, line, err)
 		}
 		if len(out) > 0 && e.At < out[len(out)-1].At {
-			return nil, fmt.Errorf("%w: line %d: earlier than the line before", ErrTrace, line)
+			return nil, fmt.Errorf("%w: line %d: time is earlier than in the line before", ErrTrace, line)
 		}
 		out = append(out, e)
 	}
 }
 
-// mostAccelerators bounds what a line may ask for. A job that no site has room for is a job like
-// others: it is refused and counted, so that one of them doesn't keep a trace from being played.
-const mostAccelerators = 1_000_000
+// maxAccelerators bounds the number of accelerators of a job in a trace. It is far
+// above the largest gang that can be placed: the scheduler refuses a larger job and
+// the replay counts it, so that one such job doesn't make the trace unusable.
+const maxAccelerators = 1_000_000
 
-// Errors of single fields.
+// Errors in single fields.
 var (
-	errSeconds = errors.New("want seconds")
+	errSeconds = errors.New("want a number of seconds from 0 to 1e9")
 	errKind    = errors.New("want submit, guarantee_used, cancel, worker_down or worker_up")
-	errSize    = fmt.Errorf("want 1 to %d accelerators", mostAccelerators)
+	errSize    = fmt.Errorf("want 1 to %d accelerators", maxAccelerators)
 	errFlag    = errors.New("want flags urgent, once, preemptible or bad, joined by +")
-	errName    = errors.New("want a job or worker")
+	errName    = errors.New("want the name of a job or worker")
 )
 
-func parse(f []string) (Event, error) {
+func parseEvent(f []string) (Event, error) {
 	e := Event{Kind: Kind(f[1]), Job: id.Job(f[2]), Customer: id.Customer(f[3])}
 	var err error
-	if e.At, err = seconds(f[0]); err != nil {
+	if e.At, err = parseSeconds(f[0]); err != nil {
 		return e, fmt.Errorf("at_s: %q: %w", f[0], err)
 	}
 	if e.Job == "" {
@@ -110,21 +114,21 @@
 	default:
 		return e, fmt.Errorf("event: %q: %w", f[1], errKind)
 	}
-	if e.Accelerators, err = strconv.Atoi(f[4]); err != nil || e.Accelerators < 1 || e.Accelerators > mostAccelerators {
+	if e.Accelerators, err = strconv.Atoi(f[4]); err != nil || e.Accelerators < 1 || e.Accelerators > maxAccelerators {
 		return e, fmt.Errorf("accelerators: %q: %w", f[4], errSize)
 	}
-	if e.Run, err = seconds(f[5]); err != nil {
+	if e.Run, err = parseSeconds(f[5]); err != nil {
 		return e, fmt.Errorf("run_s: %q: %w", f[5], err)
 	}
-	if e.Declared, err = seconds(f[6]); err != nil {
+	if e.Declared, err = parseSeconds(f[6]); err != nil {
 		return e, fmt.Errorf("declared_s: %q: %w", f[6], err)
 	}
-	return e, e.flags(f[7])
+	return e, e.parseFlags(f[7])
 }
 
-func (e *Event) flags(s string) error {
-	for _, w := range strings.FieldsFunc(s, func(r rune) bool { return r == '+' }) {
-		switch w {
+func (e *Event) parseFlags(s string) error {
+	for _, flag := range strings.FieldsFunc(s, func(r rune) bool { return r == '+' }) {
+		switch flag {
 		case "once":
 			e.Once = true
 		case "urgent":
@@ -139,7 +143,7 @@
 	return nil
 }
 
-func seconds(s string) (time.Duration, error) {
+func parseSeconds(s string) (time.Duration, error) {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || x < 0 || x > 1e9 {
 		return 0, errSeconds
@@ -163,7 +167,7 @@
 }
 
 func (e Event) fields() []string {
-	f := []string{decimal(e.At), string(e.Kind), string(e.Job), string(e.Customer), "", "", "", ""}
+	f := []string{formatSeconds(e.At), string(e.Kind), string(e.Job), string(e.Customer), "", "", "", ""}
 	if e.Kind != Submit && e.Kind != GuaranteeUsed {
 		return f
 	}
@@ -176,8 +180,8 @@
 			flags = append(flags, x.name)
 		}
 	}
-	f[4], f[5], f[6], f[7] = strconv.Itoa(e.Accelerators), decimal(e.Run), decimal(e.Declared), strings.Join(flags, "+")
+	f[4], f[5], f[6], f[7] = strconv.Itoa(e.Accelerators), formatSeconds(e.Run), formatSeconds(e.Declared), strings.Join(flags, "+")
 	return f
 }
 
-func decimal(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
+func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
--- a/internal/replay/trace_test.go
+++ b/internal/replay/trace_test.go
@@ -10,8 +10,8 @@
 	"curlewsill.org/curlewsill/internal/replay"
 )
 
-// TestTraces checks that generated traces are the same for the same seed and are read
-// back as they were written.
+// TestTraces checks that the same seed generates the same trace and that Read
+// returns the events that Write wrote.
 func TestTraces(t *testing.T) {
 	for _, site := range examples.Sites() {
 		a, err := replay.Generate(site, 3, 6*time.Hour, nil)
@@ -30,7 +30,7 @@
 	}
 }
 
-// FuzzRead checks that no trace breaks the reader.
+// FuzzRead checks that Read doesn't panic on any input.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("at_s,event,job,customer,accelerators,run_s,declared_s,flags\n0,submit,j,c,8,60,60,once+urgent\n"))
 	f.Fuzz(func(_ *testing.T, in []byte) { _, _ = replay.Read(bytes.NewReader(in)) })
