--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -19,6 +19,7 @@
 
 // option is one possible placement of a job within a cell of a guarantee.
 type option struct {
+	// home is the block of the cell, and block the part of it for the job.
 	cell  record.Cell
 	home  block.Block
 	block block.Block
@@ -148,11 +149,13 @@
 }
 
 // costSums has at index i the work that would be lost if the gangs on the
-// accelerators before i were stopped, in accelerator-minutes.
+// accelerators before i were stopped, in accelerator-minutes. Each accelerator
+// counts at least 1, except that one counts 0 if it is free or its gang is stopping
+// already.
 type costSums [block.MaxSize + 1]int
 
 // costSumsOf returns the preemption costs of a rack. They are cached for one pass,
-// as long as the rack's occupied accelerators stay the same.
+// as long as r.Staying doesn't change.
 func (s *Scheduler) costSumsOf(now unit.Instant, r *inventory.Rack) *costSums {
 	if p := s.preemptCosts[r.ID]; p != nil && p.staying == r.Staying() {
 		return &p.costSums
@@ -175,8 +178,8 @@
 	return &p.costSums
 }
 
-// rackCosts is the preemption costs of a rack and the mask of the occupied
-// accelerators for which they were computed.
+// rackCosts has the preemption costs of a rack and the value of Rack.Staying for
+// which they were computed.
 type rackCosts struct {
 	costSums
 	staying uint64
@@ -261,9 +264,10 @@
 	return out
 }
 
-// preemptForUrgent preempts the gangs on the block for an urgent job where the
-// least work is lost, and sets that block aside. It spares the blocks of
-// guarantees in use, gangs that must not be repeated, and urgent gangs.
+// preemptForUrgent chooses the block for an urgent job on which the least work is
+// lost, preempts the gangs on it, and sets it aside. It spares the blocks of
+// guarantees in use, gangs that must not be repeated, and urgent gangs. It reports
+// false if there is no such block or if the cheapest one is free already.
 func (s *Scheduler) preemptForUrgent(now unit.Instant, j record.Job) bool {
 	var best block.Block
 	var rack *inventory.Rack
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -245,7 +245,7 @@
 	}
 	h.incarnation = rep.Life
 	if rep.Base != 0 {
-		s.unchanged(now, rep, h)
+		s.reportUnchanged(now, rep, h)
 		return
 	}
 	h.base = 0
@@ -274,9 +274,9 @@
 	}
 }
 
-// unchanged processes a report without a task list, which says that the worker's
+// reportUnchanged processes a report without a task list, which says that the worker's
 // tasks are as in its report on the sync rep.Base.
-func (s *Scheduler) unchanged(now unit.Instant, rep worker.Report, h *health) {
+func (s *Scheduler) reportUnchanged(now unit.Instant, rep worker.Report, h *health) {
 	if rep.Base != h.base {
 		return
 	}
