--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -19,8 +19,8 @@
 
 // option is one possible placement of a job within a cell of a guarantee.
 type option struct {
+	cell record.Cell
 	// home is the block of the cell, and block the part of it for the job.
-	cell  record.Cell
 	home  block.Block
 	block block.Block
 	// cost is the work that borrowers would lose; vacant is set if no gang holds
@@ -149,9 +149,9 @@
 }
 
 // costSums has at index i the work that would be lost if the gangs on the
-// accelerators before i were stopped, in accelerator-minutes. Each accelerator
-// counts at least 1, except that one counts 0 if it is free or its gang is stopping
-// already.
+// accelerators before i were stopped, in accelerator-minutes. An accelerator that is
+// held or set aside counts at least 1. Free ones, and those whose gang is stopping
+// already, count 0 unless they are set aside.
 type costSums [block.MaxSize + 1]int
 
 // costSumsOf returns the preemption costs of a rack. They are cached for one pass,
