--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -128,7 +128,7 @@
 		if !need.Fits(room) {
 			room = w.Capacity // runs may be stopped for urgent work
 		}
-		expected += max(yield, minYield) * float64(s.mostOn(room))
+		expected += max(yield, minYield) * float64(s.maxTasksIn(room))
 		enough := expected >= float64(len(c.waiting)+askSpare)
 		if enough && advice.Takes(len(out)+1) > 2*advice.Decide {
 			break
@@ -145,7 +145,7 @@
 	need := s.step.Reserved()
 	fittingByRack := map[id.Rack]int{}
 	var out []*worker
-	for _, w := range c.possible {
+	for _, w := range c.eligible {
 		fits := need.Fits(w.free())
 		if fits {
 			fittingByRack[w.Rack]++
--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -17,9 +17,9 @@
 	busyPause = 500 * time.Millisecond
 )
 
-// addressee returns the worker that an order was sent to, or nil if it isn't
+// targetWorker returns the worker that an order was sent to, or nil if it isn't
 // known any more or the order was sent under another epoch.
-func (d *Dispatcher) addressee(t Target) *worker {
+func (d *Dispatcher) targetWorker(t Target) *worker {
 	if t.Fence.Epoch != d.epoch {
 		return nil
 	}
@@ -35,9 +35,9 @@
 	return r
 }
 
-// answered records that a worker has answered, and its clock.
-func (d *Dispatcher) answered(now unit.Instant, w *worker, c fleet.Clock) {
-	w.answered = now
+// recordAnswer records that a worker has answered, and its clock.
+func (d *Dispatcher) recordAnswer(now unit.Instant, w *worker, c fleet.Clock) {
+	w.lastAnswerAt = now
 	if c > 0 && c >= w.Clock {
 		w.Clock, w.clockAt = c, now
 	}
@@ -62,7 +62,7 @@
 		d.fenced = true
 		return false
 	default:
-		d.answered(now, w, c)
+		d.recordAnswer(now, w, c)
 		return true
 	}
 }
@@ -70,7 +70,7 @@
 // runAnswer handles the answer to an order for a run. It returns the run, or
 // nil if the run or its worker isn't known any more.
 func (d *Dispatcher) runAnswer(now unit.Instant, t Target, v fleet.Verdict, c fleet.Clock, task job.Task, number job.Run) *run {
-	w := d.addressee(t)
+	w := d.targetWorker(t)
 	if w == nil {
 		return nil
 	}
@@ -84,24 +84,24 @@
 // Started handles the result of a start order.
 func (d *Dispatcher) Started(now unit.Instant, res StartResult) {
 	if res.Verdict != fleet.Carried && res.Verdict != fleet.Unknown && res.Verdict != fleet.Stale {
-		d.refused(res.Start)
+		d.startRefused(res.Start)
 	}
 	r := d.runAnswer(now, res.Start.Target, res.Verdict, res.Clock, res.Start.Task, res.Start.Run)
 	if r == nil {
 		return
 	}
 	r.inFlight = false
-	r.worker.recordGrant(r.startLapse, res.Verdict)
-	r.startLapse = 0
+	r.worker.recordGrant(r.startLeaseExpiry, res.Verdict)
+	r.startLeaseExpiry = 0
 	switch res.Verdict {
 	case fleet.Carried:
-		if r.apply(evStarted) && r.started == 0 {
-			r.started = now
+		if r.apply(evStarted) && r.startedAt == 0 {
+			r.startedAt = now
 		}
-		d.window.answered(now, now.Sub(r.asked))
+		d.window.noteAnswer(now, now.Sub(r.startSentAt))
 	case fleet.Unknown:
-		r.unanswered = true
-		r.lateStartLeaseExpiry = d.strayed(r.worker, r.asked)
+		r.startUnanswered = true
+		r.lateStartLeaseExpiry = d.noteUnansweredLease(r.worker, r.startSentAt)
 	case fleet.Unreachable, fleet.Replaced, fleet.Fenced, fleet.Expired:
 		// The order is repeated by resend, or the worker was given up above.
 	case fleet.Stale:
@@ -112,7 +112,7 @@
 		}
 		d.startRejected(now, r, res.Verdict)
 	case fleet.NoRoom, fleet.Busy, fleet.Invalid:
-		r.worker.pause(now, busyPause)
+		r.worker.suspend(now, busyPause)
 		d.startRejected(now, r, res.Verdict)
 	}
 }
@@ -122,11 +122,11 @@
 // has ended, perhaps with success: the next renewal lists its end, or else the
 // run is lost.
 func (d *Dispatcher) handleStaleStart(now unit.Instant, r *run) {
-	d.noteRun(EventStartOvertaken, r, "", now.Sub(r.since))
+	d.noteRun(EventStartOvertaken, r, "", now.Sub(r.knownSince))
 	if r.apply(evStarted) {
-		r.started = now
+		r.startedAt = now
 	}
-	r.worker.nextHold = min(r.worker.nextHold, now)
+	r.worker.nextRenewal = min(r.worker.nextRenewal, now)
 }
 
 // startRejected takes back a run that its worker did not start.
@@ -134,16 +134,16 @@
 	if r.state == runRunning {
 		return // the answer is older than one that was handled already
 	}
-	r.worker.nextHold = min(r.worker.nextHold, now)
-	d.noteRun(EventStartRejected, r, v.String(), now.Sub(r.since))
-	if r.unanswered {
+	r.worker.nextRenewal = min(r.worker.nextRenewal, now)
+	d.noteRun(EventStartRejected, r, v.String(), now.Sub(r.knownSince))
+	if r.startUnanswered {
 		// An earlier copy of the order may still be carried out; a stop
 		// prevents that.
-		d.stopRun(now, r, "refused while an earlier copy of its start order may still be carried out")
+		d.stopWithGang(now, r, "refused while an earlier copy of its start order may still be carried out")
 		return
 	}
 	if r.apply(evRejected) {
-		d.lose(now, r, v.String())
+		d.loseWithGang(now, r, v.String())
 	}
 }
 
@@ -157,51 +157,51 @@
 	r.inFlight = false
 	// Any other answer means that nothing was done; resend repeats the order.
 	done := res.Verdict == fleet.Carried || res.Verdict == fleet.Stale
-	if done && r.stopDone == 0 {
-		r.stopDone = now
+	if done && r.stopConfirmedAt == 0 {
+		r.stopConfirmedAt = now
 		// A renewal that doesn't wait then shows whether the run was ever
 		// there.
-		r.worker.nextHold = min(r.worker.nextHold, now.Add(d.config.StopTime))
+		r.worker.nextRenewal = min(r.worker.nextRenewal, now.Add(d.config.StopTime))
 	}
 }
 
 // endRenewal handles the end of a renewal that was in flight, with or without
 // an answer.
 func (d *Dispatcher) endRenewal(now unit.Instant, w *worker, res RenewResult) {
-	w.holding = false
-	if w.waits {
-		w.waits = false
-		d.awaiting--
-	}
-	w.nextHold = now.Add(renewPause)
-	w.lastUnanswered = res.Verdict == fleet.Unknown
-	w.askedInVain = false
-	if w.lastUnanswered || res.Verdict == fleet.Unreachable {
-		w.askedInVain = now.Sub(res.Sent) <= res.Renew.Wait+renewLimit+lateResult
-		w.changeSent = w.changeSent || w.lastUnanswered && (res.Renew.Until != 0 || res.Renew.Told > 0)
+	w.renewalInFlight = false
+	if w.renewalWaits {
+		w.renewalWaits = false
+		d.waitingRenewals--
+	}
+	w.nextRenewal = now.Add(renewPause)
+	w.renewalUnanswered = res.Verdict == fleet.Unknown
+	w.renewalFailed = false
+	if w.renewalUnanswered || res.Verdict == fleet.Unreachable {
+		w.renewalFailed = now.Sub(res.Sent) <= res.Renew.Wait+renewTimeout+maxResultDelay
+		w.changeSent = w.changeSent || w.renewalUnanswered && (res.Renew.Until != 0 || res.Renew.Told > 0)
 		d.raiseAfterLoss(w)
-		if w.lostAt == 0 {
-			w.lostAt = now
+		if w.firstLossAt == 0 {
+			w.firstLossAt = now
 		}
 	}
-	if w.lastUnanswered {
+	if w.renewalUnanswered {
 		// The pause has passed already. Two renewals in a row may be lost
 		// before a lease of 6 s expires.
-		w.nextHold = max(now, res.Sent.Add(renewPause))
+		w.nextRenewal = max(now, res.Sent.Add(renewPause))
 	}
-	w.recordGrant(w.renewalLapse, res.Verdict)
-	w.renewalLapse = 0
-	if w.lastUnanswered && res.Renew.Until != 0 {
-		d.strayed(w, res.Sent)
+	w.recordGrant(w.renewalLeaseExpiry, res.Verdict)
+	w.renewalLeaseExpiry = 0
+	if w.renewalUnanswered && res.Renew.Until != 0 {
+		d.noteUnansweredLease(w, res.Sent)
 	}
-	if w.lastUnanswered && res.Renew.Told > 0 {
-		w.toldStray = res.Sent
+	if w.renewalUnanswered && res.Renew.Told > 0 {
+		w.lateAckAt = res.Sent
 	}
 }
 
 // Renewed handles a worker's answer to a renewal.
 func (d *Dispatcher) Renewed(now unit.Instant, res RenewResult) {
-	w := d.addressee(res.Renew.Target)
+	w := d.targetWorker(res.Renew.Target)
 	if w == nil {
 		return
 	}
@@ -215,31 +215,31 @@
 	if !d.applyVerdict(now, w, res.Renew.Target, res.Verdict, res.Report.Clock) || res.Verdict != fleet.Carried {
 		return
 	}
-	w.told, w.lostAt = max(w.told, res.Renew.Told), 0
+	w.lastEndAcked, w.firstLossAt = max(w.lastEndAcked, res.Renew.Told), 0
 	if res.Sent > w.syncRequestedAt {
-		w.synced, w.toldClock = res.Sent, res.Report.Clock
+		w.syncedAsOf, w.syncedClock = res.Sent, res.Report.Clock
 	}
-	d.follow(now, w)
+	d.resolveContest(now, w)
 	ended := map[job.Task]bool{}
 	for _, e := range res.Report.Ended {
 		ended[e.Task] = true
-		if e.Seq > w.seen {
-			w.seen, d.newEnds = e.Seq, true
-			d.end(now, w, e)
+		if e.Seq > w.lastEndSeen {
+			w.lastEndSeen, d.newEnds = e.Seq, true
+			d.runEnded(now, w, e)
 		}
 	}
 	if w.replaced && fleet.TellsStart(w.ID) {
 		return // it answered before the next incarnation did: the runs that it lists are over
 	}
-	d.compare(now, w, res, ended)
+	d.reconcile(now, w, res, ended)
 	// A later answer was delayed in this host, and its progress is out of date.
-	if now.Sub(res.Sent) <= res.Renew.Wait+renewLimit {
+	if now.Sub(res.Sent) <= res.Renew.Wait+renewTimeout {
 		d.stopStalled(now, w)
 	}
-	w.endTrial(now)
+	w.endProbation(now)
 	d.pace(now, w)
 	d.noteMachineBack(w)
-	if w.seen == w.durable {
-		w.nextHold = now
+	if w.lastEndSeen == w.lastEndStored {
+		w.nextRenewal = now
 	}
 }
--- a/core/dispatch/candidate.go
+++ b/core/dispatch/candidate.go
@@ -18,11 +18,11 @@
 	step *stepState
 	// waiting holds the indexes of the tasks that wait for a worker.
 	waiting []int
-	// possible holds the workers that accept new tasks and may run the step, as
+	// eligible holds the workers that accept new tasks and may run the step, as
 	// far as is known, whether they have free capacity or not.
-	possible []*worker
-	// covered is set for urgent work within its customer's guarantee.
-	covered bool
+	eligible []*worker
+	// withinGuarantee is set for urgent work within its customer's guarantee.
+	withinGuarantee bool
 	// late is set when the job can't earn anything any more.
 	late bool
 	// deadline is when the job should be completed.
@@ -41,7 +41,7 @@
 	for _, js := range d.open {
 		for _, s := range js.steps {
 			if c, ok := d.candidate(now, s); ok {
-				c.covered = js.spec.Priority == 0 && used[js.spec.Customer] <= d.guaranteed[js.spec.Customer]
+				c.withinGuarantee = js.spec.Priority == 0 && used[js.spec.Customer] <= d.guaranteed[js.spec.Customer]
 				out = append(out, c)
 			}
 		}
@@ -60,7 +60,7 @@
 	}
 	return cmp.Or(
 		cmp.Compare(a.step.job.spec.Priority, b.step.job.spec.Priority),
-		-compareBools(a.covered, b.covered),
+		-compareBools(a.withinGuarantee, b.withinGuarantee),
 		late,
 		cmp.Compare(a.sortTime, b.sortTime),
 	)
@@ -105,12 +105,12 @@
 	}
 	c := candidate{step: s}
 	crashed := len(js.progress.Crashes) > 0
-	if crashed && s.step.Gang && s.spent(0) {
+	if crashed && s.step.Gang && s.pastCrashLimit(0) {
 		return candidate{}, false
 	}
 	for i := range s.step.Count {
 		waits := s.runs[i] == nil && (len(js.progress.Tasks) == 0 || js.progress.Tasks[s.base+i].Phase == job.Waiting)
-		if waits && (!crashed || s.step.Gang || !s.spent(i)) {
+		if waits && (!crashed || s.step.Gang || !s.pastCrashLimit(i)) {
 			c.waiting = append(c.waiting, i)
 		}
 	}
@@ -141,9 +141,9 @@
 func (d *Dispatcher) due(now unit.Instant, s *stepState) (unit.Instant, bool) {
 	spec := s.job.spec
 	if spec.Rounds == 0 {
-		return min(spec.Accepted, s.job.seen), true
+		return min(spec.Accepted, s.job.knownSince), true
 	}
-	ago := d.wall.Sub(spec.Due(s.round))
+	ago := d.wallTime.Sub(spec.Due(s.round))
 	return now.Add(-ago), ago >= 0
 }
 
--- a/core/dispatch/check.go
+++ b/core/dispatch/check.go
@@ -5,9 +5,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// violated logs that an invariant didn't hold for a run.
-func (d *Dispatcher) violated(now unit.Instant, r *run, violation string) {
-	d.noteRun(EventViolated, r, violation, now.Sub(r.since))
+// noteViolation logs that an invariant didn't hold for a run.
+func (d *Dispatcher) noteViolation(now unit.Instant, r *run, violation string) {
+	d.noteRun(EventViolated, r, violation, now.Sub(r.knownSince))
 }
 
 // checkStart checks the invariants that must hold when a start order is sent.
@@ -28,7 +28,7 @@
 	if t.Failed >= js.spec.MaxAttempts && !s.step.LongRunning {
 		return "the task has no attempts left"
 	}
-	if s.spent(r.task.Index) {
+	if s.pastCrashLimit(r.task.Index) {
 		return "the task has reached its limit of crashed workers"
 	}
 	if !js.ready(s) {
@@ -56,11 +56,11 @@
 	return ""
 }
 
-// reclaimable logs, once for each job, that urgent work within its customer's
+// noteGuaranteeAtRisk logs, once for each job, that urgent work within its customer's
 // guarantee waits although every run that may be stopped for it was considered.
-func (d *Dispatcher) reclaimable(now unit.Instant, c candidate) {
+func (d *Dispatcher) noteGuaranteeAtRisk(now unit.Instant, c candidate) {
 	js := c.step.job
-	if !c.covered || js.guaranteeAtRisk || now.Sub(js.seen) < d.config.StopTime {
+	if !c.withinGuarantee || js.guaranteeAtRisk || now.Sub(js.knownSince) < d.config.StopTime {
 		return
 	}
 	js.guaranteeAtRisk = true
--- a/core/dispatch/claim.go
+++ b/core/dispatch/claim.go
@@ -20,8 +20,8 @@
 	until unit.Instant
 }
 
-// keep reserves room for the waiting tasks of a step, for a time.
-func (d *Dispatcher) keep(now unit.Instant, c candidate, workers []*worker, lasts time.Duration, why string) {
+// claimRoom reserves room for the waiting tasks of a step, for a time.
+func (d *Dispatcher) claimRoom(now unit.Instant, c candidate, workers []*worker, lasts time.Duration, why string) {
 	c.step.hold(&claim{workers: workers, until: now.Add(lasts)})
 	d.noteJob(EventRoomClaimed, now, c.step.job, why, lasts)
 }
@@ -48,7 +48,7 @@
 	}
 	workers := s.claim.workers
 	s.dropClaim()
-	d.placeOn(c, workers)
+	d.placeOnWorkers(c, workers)
 	return true
 }
 
@@ -81,7 +81,7 @@
 func (d *Dispatcher) hasOtherRoom(now unit.Instant, c candidate, fits []*worker) bool {
 	kept := c.step.claim
 	c.step.dropClaim()
-	found := d.chooseGang(now, c, fits, d.plainRoom).workers != nil
+	found := d.chooseGang(now, c, fits, d.freeRoom).workers != nil
 	c.step.hold(kept)
 	return found
 }
@@ -100,7 +100,7 @@
 func (s *stepState) hold(c *claim) {
 	need := s.step.Reserved()
 	for _, w := range c.workers {
-		w.recount(func() { w.reserved = w.reserved.Add(need) })
+		w.updateCounts(func() { w.reserved = w.reserved.Add(need) })
 	}
 	s.claim = c
 }
@@ -112,7 +112,7 @@
 	}
 	need := s.step.Reserved()
 	for _, w := range s.claim.workers {
-		w.recount(func() { w.reserved = w.reserved.Sub(need) })
+		w.updateCounts(func() { w.reserved = w.reserved.Sub(need) })
 	}
 	s.claim = nil
 }
--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -45,16 +45,16 @@
 	// explained is set if one of these runs may well be the cause because it
 	// had just begun. repeated is set if workers have crashed before under the
 	// task of one of them; such a crash is no evidence of a common cause.
-	explained, repeated bool
+	explained, repeatedCrash bool
 }
 
-// excuseMass takes back the counts of a service's newest crashes if so many of
+// excuseCommonCause takes back the counts of a service's newest crashes if so many of
 // them are unexplained, or so many happened at all, that they must have a
 // common cause.
-func (d *Dispatcher) excuseMass(service id.Service) {
+func (d *Dispatcher) excuseCommonCause(service id.Service) {
 	all, unexplained := 0, 0
 	for _, e := range d.lifeEnds {
-		if e.service != service || e.repeated {
+		if e.service != service || e.repeatedCrash {
 			continue
 		}
 		all++
@@ -62,7 +62,7 @@
 			unexplained++
 		}
 	}
-	workers := float64(d.listed(service))
+	workers := float64(d.countListed(service))
 	manyUnexplained := unexplained >= minUnexplained && float64(unexplained) >= minUnexplainedShare*workers
 	if !manyUnexplained && (all < minCrashes || float64(all) < minCrashShare*workers) {
 		return
@@ -86,22 +86,22 @@
 	if c == nil || c.Run != r.number {
 		return
 	}
-	if r.workedFor() < settledAfter {
-		if r.step.excused[r.task.Index] >= maxExcused {
+	if r.confirmedRuntime() < earlyCrashTime {
+		if r.step.excusedCrashes[r.task.Index] >= maxExcused {
 			return
 		}
 		r.step.noteExcused(r.task.Index)
 	}
 	c.All--
 	c.AtOnce = max(0, c.AtOnce-1)
-	d.mark(r.step.job)
-	d.noteRun(EventCrashExcused, r, fmt.Sprintf("%d workers crashed together, which suggests a common cause", crashes), r.workedFor())
+	d.markChanged(r.step.job)
+	d.noteRun(EventCrashExcused, r, fmt.Sprintf("%d workers crashed together, which suggests a common cause", crashes), r.confirmedRuntime())
 }
 
 // noteExcused counts a crash soon after its start that a task was excused.
 func (s *stepState) noteExcused(index int) {
-	if s.excused == nil {
-		s.excused = map[int]int{}
+	if s.excusedCrashes == nil {
+		s.excusedCrashes = map[int]int{}
 	}
-	s.excused[index]++
+	s.excusedCrashes[index]++
 }
--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -26,11 +26,11 @@
 	// maxCrashes is the limit for crashes at any time after a start: the third
 	// crash plus the two more starts that the platform allows.
 	maxCrashes = 5
-	// settledAfter is how long after a run's start its worker must have
+	// earlyCrashTime is how long after a run's start its worker must have
 	// answered so that a later crash does not count as one soon after the
 	// start. Most tasks that crash workers do so immediately. A longer time
 	// would attribute more unrelated crashes to the task.
-	settledAfter = 300 * time.Millisecond
+	earlyCrashTime = 300 * time.Millisecond
 	// minRepeatedCrashes is the number of crashes under a task from which a
 	// further one is no evidence of a common cause. Without it, tasks that
 	// crash workers some time after their starts would excuse each other
@@ -50,7 +50,7 @@
 // network.
 func (w *worker) crashed(now unit.Instant, e evidence) bool {
 	announced := w.Draining && !w.endedEarly(now)
-	return !w.replaced && !announced && !w.held && (e != leaseLapsed || !w.listed)
+	return !w.replaced && !announced && !w.awaitingUpkeep && (e != leaseLapsed || !w.listed)
 }
 
 // endedEarly reports whether a draining worker ended before its announced time:
@@ -58,7 +58,7 @@
 // Without this, tasks that crash draining workers would be restarted for as
 // long as there are such workers.
 func (w *worker) endedEarly(now unit.Instant) bool {
-	return w.mustBeUpAt(now) || w.lostAt != 0 && w.mustBeUpAt(w.lostAt)
+	return w.mustBeUpAt(now) || w.firstLossAt != 0 && w.mustBeUpAt(w.firstLossAt)
 }
 
 // mustBeUpAt reports whether a draining worker must still be up at a time. The
@@ -66,18 +66,18 @@
 // bound of that clock is the reading in its last answer plus the time since the
 // renewal was sent that it answered.
 func (w *worker) mustBeUpAt(at unit.Instant) bool {
-	if w.synced == 0 || w.toldClock == 0 {
+	if w.syncedAsOf == 0 || w.syncedClock == 0 {
 		return false
 	}
-	return w.toldClock+fleet.Clock(at.Sub(w.synced)) < w.leavesAt
+	return w.syncedClock+fleet.Clock(at.Sub(w.syncedAsOf)) < w.drainEndClock
 }
 
-// refused processes the result that an order to start was refused by whoever
+// startRefused processes the result that an order to start was refused by whoever
 // received it, or that it reached nobody. Unless an earlier copy of the order
 // may have been carried out, the run hasn't begun, so a crash of its worker in
 // the meantime isn't counted against it.
-func (d *Dispatcher) refused(s Start) {
-	w := d.addressee(s.Target)
+func (d *Dispatcher) startRefused(s Start) {
+	w := d.targetWorker(s.Target)
 	if w == nil || s.Unsure {
 		return
 	}
@@ -91,7 +91,7 @@
 // mayHaveStarted reports whether an order to start the run may have reached its
 // worker.
 func (r *run) mayHaveStarted() bool {
-	return r.state != runOrdered && (r.started != 0 || r.unanswered || r.inFlight || r.resumed)
+	return r.state != runOrdered && (r.startedAt != 0 || r.startUnanswered || r.inFlight || r.fromEarlierOwner)
 }
 
 // mayCauseCrash reports whether the run may be the cause of a crash of its
@@ -106,7 +106,9 @@
 
 // likelyCrashCause reports whether a run may have begun only shortly before its
 // worker crashed, which makes it the likely cause.
-func (r *run) likelyCrashCause() bool { return r.mayCauseCrash() && r.workedFor() < settledAfter }
+func (r *run) likelyCrashCause() bool {
+	return r.mayCauseCrash() && r.confirmedRuntime() < earlyCrashTime
+}
 
 // crashedRepeatedly reports whether workers crashed under earlier runs of the
 // task so often that the task is a possible cause.
@@ -114,13 +116,13 @@
 	return r.mayCauseCrash() && r.step.anyCrashCount(r.task.Index, func(c job.CrashCount) bool { return c.All >= minRepeatedCrashes })
 }
 
-// workedFor returns how long after the run's start its worker last answered; 0
+// confirmedRuntime returns how long after the run's start its worker last answered; 0
 // if it hasn't answered since.
-func (r *run) workedFor() time.Duration {
-	if r.started == 0 {
+func (r *run) confirmedRuntime() time.Duration {
+	if r.startedAt == 0 {
 		return 0
 	}
-	return max(0, r.worker.answered.Sub(r.started))
+	return max(0, r.worker.lastAnswerAt.Sub(r.startedAt))
 }
 
 // countCrashes counts the crash of a worker for all runs that may have begun
@@ -128,7 +130,7 @@
 func (d *Dispatcher) countCrashes(now unit.Instant, w *worker) {
 	e := &lifeEnd{
 		at: now, service: w.Service,
-		explained: slices.ContainsFunc(w.runs, (*run).likelyCrashCause), repeated: slices.ContainsFunc(w.runs, (*run).crashedRepeatedly),
+		explained: slices.ContainsFunc(w.runs, (*run).likelyCrashCause), repeatedCrash: slices.ContainsFunc(w.runs, (*run).crashedRepeatedly),
 	}
 	for _, r := range w.runs {
 		if d.countCrash(now, r) {
@@ -137,7 +139,7 @@
 	}
 	d.lifeEnds = slices.DeleteFunc(d.lifeEnds, func(o *lifeEnd) bool { return now.Sub(o.at) > commonCause })
 	d.lifeEnds = append(d.lifeEnds, e)
-	d.excuseMass(w.Service)
+	d.excuseCommonCause(w.Service)
 }
 
 // countCrash counts the crash of a worker for one of its runs, at most once per
@@ -154,12 +156,12 @@
 	c.Run, c.Worker = r.number, r.worker.ID
 	c.All++
 	c.AtOnce++
-	if r.workedFor() >= settledAfter {
+	if r.confirmedRuntime() >= earlyCrashTime {
 		c.AtOnce = 0
 	}
 	s.noteFailure(now, r.task.Index, r.worker)
-	d.mark(s.job)
-	d.noteRun(EventCrashCounted, r, fmt.Sprintf("%d of %d at once, %d of %d in all", c.AtOnce, maxEarlyCrashes, c.All, maxCrashes), r.workedFor())
+	d.markChanged(s.job)
+	d.noteRun(EventCrashCounted, r, fmt.Sprintf("%d of %d at once, %d of %d in all", c.AtOnce, maxEarlyCrashes, c.All, maxCrashes), r.confirmedRuntime())
 	return true
 }
 
@@ -180,16 +182,16 @@
 	if c.All <= 0 {
 		s.dropCrash(s.base + t.Index)
 	}
-	delete(s.failures, s.failureKey(t.Index))
-	d.mark(s.job)
+	delete(s.lastFailures, s.failureKey(t.Index))
+	d.markChanged(s.job)
 	d.note(Note{Event: EventCrashRetracted, Job: t.Job, Task: t, Worker: w, Run: number, Why: why})
 }
 
-// giveUpSpent fails the jobs that have a task at its limit of crashes. They
+// failCrashedJobs fails the jobs that have a task at its limit of crashes. They
 // can't be completed, and each further start costs a worker for some seconds,
 // with everything that runs there. It waits for the time in which the last
 // crash may still turn out to be one of many with a common cause.
-func (d *Dispatcher) giveUpSpent(now unit.Instant) {
+func (d *Dispatcher) failCrashedJobs(now unit.Instant) {
 	for _, js := range slices.Clone(d.open) {
 		if all, ok := js.taskBeyondCrashLimit(now); ok {
 			d.finish(now, js, job.Failed, fmt.Sprintf("%d workers in a row crashed under one of its tasks", all))
@@ -213,9 +215,9 @@
 	return 0, false
 }
 
-// spent reports whether a task, or a member of its gang, has reached the limit
+// pastCrashLimit reports whether a task, or a member of its gang, has reached the limit
 // of crashes, so that it is not to be started again.
-func (s *stepState) spent(index int) bool {
+func (s *stepState) pastCrashLimit(index int) bool {
 	return s.anyCrashCount(index, beyondCrashLimit)
 }
 
@@ -242,19 +244,19 @@
 		return
 	}
 	worked := r.step.confirmedRuntime(r)
-	if worked < settledAfter {
+	if worked < earlyCrashTime {
 		return
 	}
 	if r.step.anyCrashCount(r.task.Index, lastCrashEarly) {
 		r.step.resetEarlyCrashes(r.task.Index)
-		d.mark(r.step.job)
+		d.markChanged(r.step.job)
 	}
 	if !r.step.anyCrashCount(r.task.Index, needsOwnWorker) || worked >= crashResetAfter {
 		r.step.dropIsolationReserves(r)
 	}
 	if worked >= crashResetAfter {
 		r.step.dropCrashes(r.task.Index)
-		d.mark(r.step.job)
+		d.markChanged(r.step.job)
 	}
 }
 
@@ -263,17 +265,17 @@
 // members that only wait for others are no evidence that the task is harmless.
 func (s *stepState) confirmedRuntime(r *run) time.Duration {
 	if !s.step.Gang {
-		return r.workedFor()
+		return r.confirmedRuntime()
 	}
 	if len(s.runs) < s.step.Count {
 		return 0
 	}
-	least := r.workedFor()
+	least := r.confirmedRuntime()
 	for _, m := range s.runs {
 		if m.state != runRunning {
 			return 0
 		}
-		least = min(least, m.workedFor())
+		least = min(least, m.confirmedRuntime())
 	}
 	return least
 }
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -29,18 +29,18 @@
 	// expired is when ended was last searched for jobs to forget.
 	expired unit.Instant
 	workers map[id.Worker]*worker
-	// awaiting counts the renewals that wait at workers for a report.
-	awaiting int
-	// order holds the workers sorted by id, so that every host iterates in the
+	// waitingRenewals counts the renewals that wait at workers for a report.
+	waitingRenewals int
+	// workersByID holds the workers sorted by id, so that every host iterates in the
 	// same order.
-	order []*worker
+	workersByID []*worker
 	// guaranteed is the number of accelerators guaranteed to each customer.
 	guaranteed map[id.Customer]int
 	// arrivals holds the arrival rate of urgent work for each service.
 	arrivals map[id.Service]*arrivals
 
-	// wall is the time of day at the last pass.
-	wall unit.Instant
+	// wallTime is the time of day at the last pass.
+	wallTime unit.Instant
 	// pools holds the usable workers of each service in this pass, racks the
 	// number of empty workers of each rack.
 	pools map[id.Service]*pool
@@ -49,19 +49,19 @@
 	lifeEnds []*lifeEnd
 	// window bounds the number of start orders in flight.
 	window window
-	// inPlace counts the runs that occupy room on workers.
-	inPlace int
-	// claims counts the gangs that have room reserved without a run being
+	// placedRuns counts the runs that occupy room on workers.
+	placedRuns int
+	// claimsWithoutStop counts the gangs that have room reserved without a run being
 	// stopped for them.
-	claims int
-	// lastingWaits holds the services in which long-running tasks wait for
+	claimsWithoutStop int
+	// longRunningWaits holds the services in which long-running tasks wait for
 	// room.
-	lastingWaits map[id.Service]bool
+	longRunningWaits map[id.Service]bool
 
 	// waves holds the requested waves of maintenance.
 	waves map[id.Wave]*wave
-	// began is when this owner's first pass was; 0 before.
-	began unit.Instant
+	// firstPassAt is when this owner's first pass was; 0 before.
+	firstPassAt unit.Instant
 	// advice is the state of the questions to the advice service.
 	advice adviceState
 
@@ -77,9 +77,9 @@
 	// batch.
 	newEnds bool
 	fenced  bool
-	// raise is the last raise number that was assigned to a worker's fence; it
+	// lastFenceRevision is the last raise number that was assigned to a worker's fence; it
 	// never decreases.
-	raise id.Raise
+	lastFenceRevision id.Raise
 	// soleOwnerAt is the latest time as of which no other host was the owner; 0
 	// if nothing reports that, as in a model without other hosts: leases are
 	// granted then.
@@ -89,10 +89,10 @@
 	leasesWithheld bool
 	// evacuated holds the failure domains where nothing may start, as of
 	// informed; informed is 0 before anything is known.
-	evacuated []id.Domain
-	informed  unit.Instant
-	// uninformed is set while nothing starts because informed is too old.
-	uninformed bool
+	evacuated          []id.Domain
+	evacuationsKnownAt unit.Instant
+	// startsWithheld is set while nothing starts because informed is too old.
+	startsWithheld bool
 }
 
 // New returns the dispatcher of an owner with the given epoch and policy. The
@@ -116,7 +116,7 @@
 
 // InPlace returns the number of runs that occupy room on workers, as far as is
 // known.
-func (d *Dispatcher) InPlace() int { return d.inPlace }
+func (d *Dispatcher) InPlace() int { return d.placedRuns }
 
 // Take returns the orders that may be sent at once.
 func (d *Dispatcher) Take() Orders {
@@ -157,12 +157,12 @@
 	w.Listing, w.listed = l, true
 	w.evacuated = slices.Contains(d.evacuated, l.Domain)
 	if resized {
-		w.reshield()
+		w.updateIsolationReserves()
 	}
 	if l.Draining {
-		w.leaves, w.leavesAt = now.Add(l.Remaining), 0
+		w.drainEndsAt, w.drainEndClock = now.Add(l.Remaining), 0
 		if listedClock > 0 {
-			w.leavesAt = listedClock + fleet.Clock(l.Remaining)
+			w.drainEndClock = listedClock + fleet.Clock(l.Remaining)
 		}
 	}
 	d.contest(now, w)
@@ -186,19 +186,19 @@
 	if w != nil {
 		return w
 	}
-	w = &worker{Listing: fleet.Listing{ID: name}, name: fleet.NameOf(name), clockAt: now, since: now}
-	w.grantedUntil = d.lapseOf(now)
+	w = &worker{Listing: fleet.Listing{ID: name}, name: fleet.NameOf(name), clockAt: now, knownSince: now}
+	w.grantedLeaseExpiry = d.maxLeaseExpiry(now)
 	d.raiseFence(w)
 	d.workers[name] = w
-	at, _ := slices.BinarySearchFunc(d.order, w, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
-	d.order = slices.Insert(d.order, at, w)
+	at, _ := slices.BinarySearchFunc(d.workersByID, w, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
+	d.workersByID = slices.Insert(d.workersByID, at, w)
 	return w
 }
 
 // forgetGone drops the workers that are gone for certain. Without it the cost
 // of a pass would grow with every incarnation that the owner has ever known.
 func (d *Dispatcher) forgetGone(now unit.Instant) {
-	d.order = slices.DeleteFunc(d.order, func(w *worker) bool {
+	d.workersByID = slices.DeleteFunc(d.workersByID, func(w *worker) bool {
 		gone := w.gone(now, d.config.KeepEnded)
 		if gone {
 			delete(d.workers, w.ID)
@@ -211,14 +211,14 @@
 // nothing can run there, and it has no end left to report again. A worker that
 // wasn't told to forget its ends is kept for as long as the jobs that ended.
 func (w *worker) gone(now unit.Instant, keepEnded time.Duration) bool {
-	if w.listed || w.holding || len(w.runs) > 0 || now <= w.lapse() {
+	if w.listed || w.renewalInFlight || len(w.runs) > 0 || now <= w.leaseExpiry() {
 		return false
 	}
-	return w.replaced || w.told == w.seen || now > w.lapse().Add(keepEnded)
+	return w.replaced || w.lastEndAcked == w.lastEndSeen || now > w.leaseExpiry().Add(keepEnded)
 }
 
-// mark schedules the job's records to be written again.
-func (d *Dispatcher) mark(js *jobState) {
+// markChanged schedules the job's records to be written again.
+func (d *Dispatcher) markChanged(js *jobState) {
 	if !js.changed {
 		js.changed = true
 		d.changed = append(d.changed, js)
--- a/core/dispatch/evacuation.go
+++ b/core/dispatch/evacuation.go
@@ -31,7 +31,7 @@
 
 // Inform sets the time as of which the owner knows all evacuations that the
 // operator has asked for.
-func (d *Dispatcher) Inform(at unit.Instant) { d.informed = max(d.informed, at) }
+func (d *Dispatcher) Inform(at unit.Instant) { d.evacuationsKnownAt = max(d.evacuationsKnownAt, at) }
 
 // StartRules determine which orders to start may be sent.
 type StartRules struct {
@@ -47,10 +47,10 @@
 	until := unit.Instant(math.MaxInt64)
 	switch {
 	case d.config.Evacuation == 0:
-	case d.informed == 0:
+	case d.evacuationsKnownAt == 0:
 		until = 0
 	default:
-		until = d.informed.Add(d.config.NewsAge())
+		until = d.evacuationsKnownAt.Add(d.config.NewsAge())
 	}
 	return StartRules{Evacuated: d.evacuated, Until: until}
 }
@@ -68,23 +68,25 @@
 }
 
 // mayStart reports whether tasks may be placed and ordered to start.
-func (d *Dispatcher) mayStart(now unit.Instant) bool { return d.grants(now) && d.knowsEvacuations(now) }
+func (d *Dispatcher) mayStart(now unit.Instant) bool {
+	return d.mayGrantLeases(now) && d.knowsEvacuations(now)
+}
 
 // knowsEvacuations reports whether the knowledge of evacuations is recent
 // enough for orders to start.
 func (d *Dispatcher) knowsEvacuations(now unit.Instant) bool { return now <= d.StartRules().Until }
 
-// noteNews logs when starts are withheld because the operator's records were
+// noteStartsWithheld logs when starts are withheld because the operator's records were
 // not read recently, and when they resume.
-func (d *Dispatcher) noteNews(now unit.Instant) {
-	d.noteWithheld(&d.uninformed, !d.knowsEvacuations(now), EventStartsWithheld, EventStartsResumed, age(now, d.informed))
+func (d *Dispatcher) noteStartsWithheld(now unit.Instant) {
+	d.noteWithheld(&d.startsWithheld, !d.knowsEvacuations(now), EventStartsWithheld, EventStartsResumed, age(now, d.evacuationsKnownAt))
 }
 
 // Evacuate sets the evacuated failure domains; all others are open.
 func (d *Dispatcher) Evacuate(domains []id.Domain) {
 	before := d.evacuated
 	d.evacuated = slices.Clone(domains)
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		w.evacuated = slices.Contains(domains, w.Domain)
 	}
 	for _, x := range domains {
@@ -103,7 +105,7 @@
 // runs that it has.
 func (d *Dispatcher) noteDomain(ev Event, name id.Domain) {
 	workers, runs := 0, 0
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.Domain == name && w.listed {
 			workers++
 			runs += len(w.runs)
@@ -116,9 +118,9 @@
 // isn't repeated, because of an evacuation.
 const whyEvacuated = "its failure domain is evacuated"
 
-// shut reports whether a run can no longer start because its domain, or that of
+// blockedByEvacuation reports whether a run can no longer start because its domain, or that of
 // a member of its gang that hasn't started, is evacuated: the other members
 // would wait for that one. A run that has started continues.
-func (r *run) shut() bool {
-	return r.anyMember(func(m *run) bool { return m.started == 0 && m.worker.evacuated })
+func (r *run) blockedByEvacuation() bool {
+	return r.anyMember(func(m *run) bool { return m.startedAt == 0 && m.worker.evacuated })
 }
--- a/core/dispatch/fence.go
+++ b/core/dispatch/fence.go
@@ -18,13 +18,13 @@
 	if !fleet.TellsStart(w.ID) {
 		return
 	}
-	if d.raise == id.MostRaises {
+	if d.lastFenceRevision == id.MostRaises {
 		d.note(Note{Event: EventOwnerFenced, Worker: w.ID, Why: "the fence can't be raised any more"})
 		d.fenced = true
 		return
 	}
-	d.raise++
-	w.raise, w.changeSent = d.raise, false
+	d.lastFenceRevision++
+	w.fenceRevision, w.changeSent = d.lastFenceRevision, false
 }
 
 // raiseAfterLoss raises the fence after a renewal that got no answer, if an
@@ -42,7 +42,7 @@
 // sent.
 func (d *Dispatcher) raisedSince(t Target) bool {
 	name := fleet.NameOf(t.Worker)
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.name == name && t.Fence.Below(d.fence(w)) {
 			return true
 		}
@@ -51,4 +51,6 @@
 }
 
 // fence returns the present fence of orders to a worker.
-func (d *Dispatcher) fence(w *worker) fleet.Fence { return fleet.Fence{Epoch: d.epoch, Raise: w.raise} }
+func (d *Dispatcher) fence(w *worker) fleet.Fence {
+	return fleet.Fence{Epoch: d.epoch, Raise: w.fenceRevision}
+}
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -42,10 +42,10 @@
 		})
 	}
 	f.run(time.Second)
-	if got := f.d.inPlace; got != workers {
+	if got := f.d.placedRuns; got != workers {
 		t.Fatalf("%d tasks are in place before the outage, want %d", got, workers)
 	}
-	f.d.raise = id.MostRaises - raisesEach*workers
+	f.d.lastFenceRevision = id.MostRaises - raisesEach*workers
 	f.verdict = verdict
 	f.run(outage)
 	if f.d.Fenced() {
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -30,9 +30,9 @@
 	b.Progress = append(b.Progress, records...)
 	b.starts, d.starts = d.starts, nil
 	if d.newEnds {
-		for _, w := range d.order {
-			if w.seen > w.durable {
-				b.acks = append(b.acks, ack{worker: w, seen: w.seen})
+		for _, w := range d.workersByID {
+			if w.lastEndSeen > w.lastEndStored {
+				b.acks = append(b.acks, ack{worker: w, seen: w.lastEndSeen})
 			}
 		}
 		d.newEnds = false
@@ -87,13 +87,13 @@
 	for _, js := range b.ended {
 		js.summary = summaryEnded
 		if js.hasProgress && len(js.progress.Tasks) == 0 {
-			d.mark(js)
+			d.markChanged(js)
 		}
 	}
 	for _, a := range b.acks {
-		a.worker.durable = max(a.worker.durable, a.seen)
-		if !a.worker.holding {
-			a.worker.nextHold = now
+		a.worker.lastEndStored = max(a.worker.lastEndStored, a.seen)
+		if !a.worker.renewalInFlight {
+			a.worker.nextRenewal = now
 		}
 	}
 }
@@ -107,32 +107,32 @@
 // store, or stops the run if the placement is no longer valid.
 func (d *Dispatcher) sendFirstStart(now unit.Instant, r *run) {
 	if r.workerDraining() {
-		d.stopRun(now, r, "its worker is draining")
+		d.stopWithGang(now, r, "its worker is draining")
 		return
 	}
 	if r.workerOverfull() {
-		d.stopRun(now, r, noRoomLeft)
+		d.stopWithGang(now, r, whyNoRoom)
 		return
 	}
-	if r.shut() {
-		d.stopRun(now, r, whyEvacuated)
+	if r.blockedByEvacuation() {
+		d.stopWithGang(now, r, whyEvacuated)
 		return
 	}
-	if !d.grants(now) {
-		d.stopRun(now, r, "another host may be the owner")
+	if !d.mayGrantLeases(now) {
+		d.stopWithGang(now, r, "another host may be the owner")
 		return
 	}
 	if !d.knowsEvacuations(now) {
-		d.stopRun(now, r, "its failure domain may be evacuated")
+		d.stopWithGang(now, r, "its failure domain may be evacuated")
 		return
 	}
 	if !r.step.mayRunOn(now, r.worker) {
-		d.stopRun(now, r, "its permit has expired")
+		d.stopWithGang(now, r, "its permit has expired")
 		return
 	}
 	if violation := d.checkStart(r); violation != "" {
-		d.violated(now, r, violation)
-		d.stopRun(now, r, violation)
+		d.noteViolation(now, r, violation)
+		d.stopWithGang(now, r, violation)
 		return
 	}
 	if r.apply(evCommitted) {
@@ -140,9 +140,9 @@
 	}
 }
 
-// noRoomLeft is why a run doesn't start on a worker whose capacity has shrunk:
+// whyNoRoom is why a run doesn't start on a worker whose capacity has shrunk:
 // a worker that doesn't check its capacity would start the run beyond it.
-const noRoomLeft = "its worker has less room now"
+const whyNoRoom = "its worker has less room now"
 
 // workerDraining reports whether the worker of a run, or of a member of its
 // gang, is draining.
@@ -152,7 +152,7 @@
 
 // workerOverfull reports whether the worker of a run, or of a member of its
 // gang, has more runs than it has room for.
-func (r *run) workerOverfull() bool { return r.anyWorker((*worker).overfull) }
+func (r *run) workerOverfull() bool { return r.anyWorker((*worker).overcommitted) }
 
 // anyWorker reports whether a predicate holds for the worker of a run, or of a
 // member of its gang.
@@ -176,23 +176,23 @@
 
 // orderStart sends a start order, for the first time or again.
 func (d *Dispatcher) orderStart(now unit.Instant, r *run) {
-	if r.since == 0 {
-		r.since = now
+	if r.knownSince == 0 {
+		r.knownSince = now
 	}
-	r.asked, r.inFlight, r.startLapse = now, true, d.lapseOf(now)
-	r.orders++
+	r.startSentAt, r.inFlight, r.startLeaseExpiry = now, true, d.maxLeaseExpiry(now)
+	r.startOrders++
 	r.worker.changeSent = true
 	s := r.step
 	d.orders.Starts = append(d.orders.Starts, Start{
 		Target: d.target(r.worker), Domain: r.worker.Domain, Task: r.task, Run: r.number, Text: s.job.spec.Text,
 		Checkpoint: s.job.progress.Tasks[s.base+r.task.Index].Checkpoint, Ticket: s.permits[r.worker.ID].ticket,
-		Until: d.lease(now, r.worker), Unsure: r.unanswered || r.resumed,
+		Until: d.lease(now, r.worker), Unsure: r.startUnanswered || r.fromEarlierOwner,
 	})
 }
 
 // orderStop sends a stop order, for the first time or again.
 func (d *Dispatcher) orderStop(now unit.Instant, r *run) {
-	r.stopAsked, r.inFlight = now, true
+	r.stopSentAt, r.inFlight = now, true
 	d.orders.Stops = append(d.orders.Stops, Stop{Target: d.target(r.worker), Task: r.task, Run: r.number})
 }
 
@@ -208,8 +208,8 @@
 	r := &run{task: s.task(index), number: number, state: runOrdered, worker: w, need: s.step.Reserved(), step: s}
 	d.occupy(r)
 	d.starts = append(d.starts, r)
-	d.window.under++
-	d.mark(js)
+	d.window.pendingStarts++
+	d.markChanged(js)
 	d.noteRun(EventTaskPlaced, r, string(w.Rack), 0)
 	return r
 }
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -10,18 +10,18 @@
 
 // placeGang places all members of a gang or none.
 func (d *Dispatcher) placeGang(now unit.Instant, c candidate, fits []*worker) bool {
-	chosen := d.chooseGang(now, c, fits, d.plainRoom)
+	chosen := d.chooseGang(now, c, fits, d.freeRoom)
 	if chosen.workers == nil {
 		d.preempt(now, c, fits)
 		return false
 	}
-	d.placeOn(c, chosen.workers)
+	d.placeOnWorkers(c, chosen.workers)
 	return true
 }
 
-// placeOn places as many of the waiting tasks as there are workers, one on each
+// placeOnWorkers places as many of the waiting tasks as there are workers, one on each
 // entry of workers. The members of a gang share a run number.
-func (d *Dispatcher) placeOn(c candidate, workers []*worker) {
+func (d *Dispatcher) placeOnWorkers(c candidate, workers []*worker) {
 	s := c.step
 	number := s.nextRun(0)
 	for k, w := range workers {
@@ -64,8 +64,8 @@
 // runs must be stopped for it at what cost.
 type roomFunc func(now unit.Instant, c candidate, w *worker, need job.Resources) (free job.Resources, victims []*run, cost float64)
 
-// plainRoom is the roomFunc of the capacity that is free now.
-func (d *Dispatcher) plainRoom(_ unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
+// freeRoom is the roomFunc of the capacity that is free now.
+func (d *Dispatcher) freeRoom(_ unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 	return w.free(), nil, 0
 }
 
@@ -95,7 +95,7 @@
 // if it were empty. Workers that are currently reserved for others, or wait for
 // a permit, count.
 func (c *candidate) fitsSomeRack() bool {
-	for _, group := range racks(c.possible) {
+	for _, group := range racks(c.eligible) {
 		if c.step.nearData(group[0]) && c.step.fitsIfEmpty(group, len(c.waiting)) {
 			return true
 		}
@@ -149,7 +149,7 @@
 	shares := make([]workerShare, len(workers))
 	extensions := make([]extension, len(workers))
 	for i, w := range workers {
-		shares[i].worker, shares[i].penalty = w, d.emptyWorkerPenalty(w)+w.suspicion()+s.interferencePenalty(w)
+		shares[i].worker, shares[i].penalty = w, d.emptyWorkerPenalty(w)+w.failureCost()+s.interferencePenalty(w)
 		extensions[i] = d.withOneMore(now, c, shares[i], need, roomOf)
 	}
 	var out assignment
@@ -194,7 +194,7 @@
 
 // withOneMore returns a worker's share with one more member, if there is room.
 func (d *Dispatcher) withOneMore(now unit.Instant, c candidate, share workerShare, need job.Resources, roomOf roomFunc) extension {
-	if c.step.full(share.worker, share.members) || share.worker.onTrial() && len(share.worker.runs)+share.members > 0 {
+	if c.step.full(share.worker, share.members) || share.worker.onProbation() && len(share.worker.runs)+share.members > 0 {
 		return extension{}
 	}
 	share.members++
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -54,10 +54,10 @@
 
 // noteFailure records that a run of a task of the step has failed on a worker.
 func (s *stepState) noteFailure(now unit.Instant, index int, w *worker) {
-	if s.failures == nil {
-		s.failures = map[int]failure{}
+	if s.lastFailures == nil {
+		s.lastFailures = map[int]failure{}
 	}
-	s.failures[s.failureKey(index)] = failure{worker: w, at: now}
+	s.lastFailures[s.failureKey(index)] = failure{worker: w, at: now}
 }
 
 // failureKey returns the key of a task in the step's failures: the members of a
@@ -69,16 +69,16 @@
 	return index
 }
 
-// elsewhere filters out the workers on which one of the waiting tasks has just
+// withoutRecentFailures filters out the workers on which one of the waiting tasks has just
 // failed, unless no others are left. Without it, tasks would return to a worker
 // that fails everything it starts, since that one has the most room.
-func (c *candidate) elsewhere(now unit.Instant, workers []*worker) []*worker {
-	if len(c.step.failures) == 0 {
+func (c *candidate) withoutRecentFailures(now unit.Instant, workers []*worker) []*worker {
+	if len(c.step.lastFailures) == 0 {
 		return workers
 	}
 	failed := map[*worker]bool{}
 	for _, i := range c.waiting {
-		if f, ok := c.step.failures[c.step.failureKey(i)]; ok && now.Sub(f.at) < avoidAfterFailure {
+		if f, ok := c.step.lastFailures[c.step.failureKey(i)]; ok && now.Sub(f.at) < avoidAfterFailure {
 			failed[f.worker] = true
 		}
 	}
@@ -104,20 +104,20 @@
 	w := r.worker
 	switch e.How {
 	case fleet.EndDone:
-		w.streak, w.lastFailed = 0, ""
+		w.failureStreak, w.lastFailedJob = 0, ""
 	case fleet.EndFailed:
 		d.countFailure(w, e.Task.Job)
 		if d.policy.SuspendAtOnce && r.failedImmediately(now) && r.step.job.blameWorker(w.ID, d.maxBlamed(w.Service)) {
-			w.streak = suspendAfterFailures
+			w.failureStreak = suspendAfterFailures
 		}
 		d.suspendFailing(now, w, "a task failed at once, or tasks of several jobs in a row")
 	case fleet.EndStopped, fleet.EndLapsed, fleet.EndBroken, fleet.EndAlone:
 	}
 }
 
-// countIgnored counts a run whose worker answered none of the orders to start
+// countUnansweredStart counts a run whose worker answered none of the orders to start
 // it as a failed one.
-func (d *Dispatcher) countIgnored(now unit.Instant, r *run) {
+func (d *Dispatcher) countUnansweredStart(now unit.Instant, r *run) {
 	if r.step != nil {
 		r.step.noteFailure(now, r.task.Index, r.worker)
 	}
@@ -128,28 +128,28 @@
 // countFailure counts a failed run on a worker. Consecutive failures of the
 // same job count once.
 func (d *Dispatcher) countFailure(w *worker, j id.Job) {
-	if d.policy.SuspendFailing && w.lastFailed != j {
-		w.streak++
-		w.lastFailed = j
+	if d.policy.SuspendFailing && w.lastFailedJob != j {
+		w.failureStreak++
+		w.lastFailedJob = j
 	}
 }
 
 // suspendFailing suspends a worker for a while if too many runs failed there in
 // a row.
 func (d *Dispatcher) suspendFailing(now unit.Instant, w *worker, why string) {
-	if w.streak < suspendAfterFailures {
+	if w.failureStreak < suspendAfterFailures {
 		return
 	}
 	if !d.maySuspend(w) {
-		w.streak = suspendAfterFailures - 1
+		w.failureStreak = suspendAfterFailures - 1
 		return
 	}
-	w.pause(now, suspensionTime)
+	w.suspend(now, suspensionTime)
 	d.note(Note{Event: EventWorkerSuspended, Worker: w.ID, Why: why, Age: suspensionTime})
 }
 
-// pause keeps new tasks away from a worker for a while.
-func (w *worker) pause(now unit.Instant, length time.Duration) {
+// suspend keeps new tasks away from a worker for a while.
+func (w *worker) suspend(now unit.Instant, length time.Duration) {
 	w.pausedAt, w.pausedUntil = now, now.Add(length)
 }
 
@@ -157,12 +157,12 @@
 // share of its service's workers that may be suspended at the same time.
 func (d *Dispatcher) maySuspend(w *worker) bool {
 	listed, suspended := 0, 0
-	for _, o := range d.order {
+	for _, o := range d.workersByID {
 		if o.Service != w.Service || !o.listed {
 			continue
 		}
 		listed++
-		if o != w && o.onTrial() {
+		if o != w && o.onProbation() {
 			suspended++
 		}
 	}
@@ -172,12 +172,12 @@
 // failedImmediately reports whether a run that has just failed did so
 // immediately after its start.
 func (r *run) failedImmediately(now unit.Instant) bool {
-	if r.resumed {
+	if r.fromEarlierOwner {
 		return false
 	}
-	began := r.started
+	began := r.startedAt
 	if began == 0 {
-		began = r.since
+		began = r.knownSince
 	}
 	return now.Sub(began) <= immediateFailureTime
 }
@@ -185,13 +185,13 @@
 // maxBlamed returns how many workers of a service may be suspended because of
 // one job.
 func (d *Dispatcher) maxBlamed(name id.Service) int {
-	return min(maxBlamedWorkers, 1+int(maxBlamedShare*float64(d.listed(name))))
+	return min(maxBlamedWorkers, 1+int(maxBlamedShare*float64(d.countListed(name))))
 }
 
-// listed returns how many workers of a service are on the platform's list.
-func (d *Dispatcher) listed(name id.Service) int {
+// countListed returns how many workers of a service are on the platform's list.
+func (d *Dispatcher) countListed(name id.Service) int {
 	n := 0
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.Service == name && w.listed {
 			n++
 		}
@@ -203,30 +203,30 @@
 // reports whether the worker is assumed to be at fault: if the job failed this
 // way on more than maxWorkers workers, the job is.
 func (js *jobState) blameWorker(w id.Worker, maxWorkers int) bool {
-	if !slices.Contains(js.blamed, w) {
-		js.blamed = append(js.blamed, w)
+	if !slices.Contains(js.failedAtOnceOn, w) {
+		js.failedAtOnceOn = append(js.failedAtOnceOn, w)
 	}
-	return len(js.blamed) <= maxWorkers
+	return len(js.failedAtOnceOn) <= maxWorkers
 }
 
-// onTrial reports whether a worker was suspended and has completed nothing
+// onProbation reports whether a worker was suspended and has completed nothing
 // since. It gets one run at a time until then.
-func (w *worker) onTrial() bool { return w.streak >= suspendAfterFailures }
+func (w *worker) onProbation() bool { return w.failureStreak >= suspendAfterFailures }
 
-// endTrial ends a worker's probation if a run there has worked for a while and
+// endProbation ends a worker's probation if a run there has worked for a while and
 // made progress: a long-running task never ends with success.
-func (w *worker) endTrial(now unit.Instant) {
-	if !w.onTrial() {
+func (w *worker) endProbation(now unit.Instant) {
+	if !w.onProbation() {
 		return
 	}
 	for _, r := range w.runs {
-		if r.state == runRunning && now.Sub(r.started) >= probationTime && r.percent > 0 {
-			w.streak, w.lastFailed = 0, ""
+		if r.state == runRunning && now.Sub(r.startedAt) >= probationTime && r.percent > 0 {
+			w.failureStreak, w.lastFailedJob = 0, ""
 		}
 	}
 }
 
-// suspicion returns the placement cost of a worker whose latest runs failed.
-func (w *worker) suspicion() float64 {
-	return failurePenalty * float64(min(w.streak, suspendAfterFailures))
+// failureCost returns the placement cost of a worker whose latest runs failed.
+func (w *worker) failureCost() float64 {
+	return failurePenalty * float64(min(w.failureStreak, suspendAfterFailures))
 }
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -29,9 +29,9 @@
 // incarnation of its worker.
 const whyStrayOrder = "an order to start it may reach the next life under its worker's name"
 
-// strayStart is an order to start a run that has ended, with a copy that got no
+// lateStart is an order to start a run that has ended, with a copy that got no
 // answer.
-type strayStart struct {
+type lateStart struct {
 	task   job.Task
 	number job.Run
 	// asked is when the last copy was sent.
@@ -55,57 +55,57 @@
 	return next
 }
 
-// strayed records that an order which grants a lease was sent at a time and got
+// noteUnansweredLease records that an order which grants a lease was sent at a time and got
 // no answer. It returns when that lease has certainly expired on the next
 // incarnation under the worker's name; the lease starts there, on its clock,
 // when the order is carried out. It returns 0 if there can't be such an
 // incarnation.
-func (d *Dispatcher) strayed(w *worker, sent unit.Instant) unit.Instant {
+func (d *Dispatcher) noteUnansweredLease(w *worker, sent unit.Instant) unit.Instant {
 	if !fleet.TellsStart(w.ID) {
 		return 0
 	}
-	until := d.lapseOf(sent.Add(maxOrderDelay))
-	w.strayUntil = max(w.strayUntil, until)
+	until := d.maxLeaseExpiry(sent.Add(maxOrderDelay))
+	w.lateLeaseExpiry = max(w.lateLeaseExpiry, until)
 	return until
 }
 
 // inherit transfers orders that the next incarnation under a name may have
 // received, or may still receive, from the previous one to it.
 func (d *Dispatcher) inherit(now unit.Instant, w, next *worker) {
-	if w.renewalLapse != 0 {
-		d.strayed(w, now)
+	if w.renewalLeaseExpiry != 0 {
+		d.noteUnansweredLease(w, now)
 	}
 	for _, r := range w.sorted() {
-		if r.startLapse != 0 {
-			d.strayed(w, now)
+		if r.startLeaseExpiry != 0 {
+			d.noteUnansweredLease(w, now)
 		}
 		if r.mayReachSuccessor(now) {
 			d.moveRun(now, r, next)
 		}
 	}
-	for _, s := range w.strays {
+	for _, s := range w.lateStarts {
 		if now.Sub(s.asked) <= maxOrderDelay {
 			d.blockStart(now, next, s)
-			next.strays = append(next.strays, s) // a later incarnation knows nothing of that stop
+			next.lateStarts = append(next.lateStarts, s) // a later incarnation knows nothing of that stop
 		}
 	}
-	w.strays = nil
-	next.toldStray = max(next.toldStray, w.toldStray)
-	next.grantedUntil = max(next.grantedUntil, w.strayUntil)
-	next.strayUntil = max(next.strayUntil, w.strayUntil)
-	if remaining := w.toldStray.Add(maxOrderDelay).Sub(now); w.toldStray != 0 && remaining > 0 {
-		next.pause(now, remaining)
+	w.lateStarts = nil
+	next.lateAckAt = max(next.lateAckAt, w.lateAckAt)
+	next.grantedLeaseExpiry = max(next.grantedLeaseExpiry, w.lateLeaseExpiry)
+	next.lateLeaseExpiry = max(next.lateLeaseExpiry, w.lateLeaseExpiry)
+	if remaining := w.lateAckAt.Add(maxOrderDelay).Sub(now); w.lateAckAt != 0 && remaining > 0 {
+		next.suspend(now, remaining)
 		d.note(Note{Event: EventWorkerSuspended, Worker: next.ID, Why: "a delayed renewal could make it forget unread task ends", Age: remaining})
 	}
-	next.nextHold = min(next.nextHold, now)
+	next.nextRenewal = min(next.nextRenewal, now)
 }
 
 // mayReachSuccessor reports whether an order to start the run may reach, or may
 // have reached, the next incarnation under its worker's name.
 func (r *run) mayReachSuccessor(now unit.Instant) bool {
-	unanswered := (r.unanswered || r.startLapse != 0) && now.Sub(r.asked) <= maxOrderDelay
-	answeredOnly := r.started != 0 && r.worker.synced <= r.started
-	unsure := r.reported == 0 && (r.resumed || r.inherited != "" || answeredOnly) // nothing proves that this incarnation started it
+	unanswered := (r.startUnanswered || r.startLeaseExpiry != 0) && now.Sub(r.startSentAt) <= maxOrderDelay
+	answeredOnly := r.startedAt != 0 && r.worker.syncedAsOf <= r.startedAt
+	unsure := r.reportedAt == 0 && (r.fromEarlierOwner || r.inheritedFrom != "" || answeredOnly) // nothing proves that this incarnation started it
 	return r.state != runOrdered && (unanswered || unsure)
 }
 
@@ -117,36 +117,36 @@
 	}
 	old := r.worker
 	r.dropIsolationReserve()
-	old.recount(func() { old.runs.remove(r.task) })
+	old.updateCounts(func() { old.runs.remove(r.task) })
 	old.used = old.used.Sub(r.taken())
-	d.inPlace--
-	if r.inherited == "" {
-		r.inherited = old.ID
+	d.placedRuns--
+	if r.inheritedFrom == "" {
+		r.inheritedFrom = old.ID
 	}
 	r.worker = next
-	r.unanswered = r.unanswered || r.startLapse != 0
-	r.inFlight, r.startLapse = false, 0
-	r.started, r.reported, r.missed, r.stopAsked, r.stopDone = 0, 0, 0, 0, 0
+	r.startUnanswered = r.startUnanswered || r.startLeaseExpiry != 0
+	r.inFlight, r.startLeaseExpiry = false, 0
+	r.startedAt, r.reportedAt, r.missingAt, r.stopSentAt, r.stopConfirmedAt = 0, 0, 0, 0, 0
 	d.occupy(r)
-	d.noteRun(EventTaskInherited, r, "placed on "+string(old.ID), now.Sub(r.since))
+	d.noteRun(EventTaskInherited, r, "placed on "+string(old.ID), now.Sub(r.knownSince))
 	if r.step == nil || len(r.step.job.progress.Tasks) == 0 {
 		return
 	}
 	t := &r.step.job.progress.Tasks[r.step.base+r.task.Index]
 	if t.Phase == job.Placed && t.Run == r.number {
 		t.Worker = next.ID
-		d.mark(r.step.job)
+		d.markChanged(r.step.job)
 	}
 }
 
 // blockStart keeps an unanswered order from starting a run that has ended: a
 // worker refuses to start a run that it was ordered to stop before.
-func (d *Dispatcher) blockStart(now unit.Instant, next *worker, s strayStart) {
+func (d *Dispatcher) blockStart(now unit.Instant, next *worker, s lateStart) {
 	if r := next.runs.get(s.task); r != nil {
-		r.unanswered = true // stopping the later run also keeps the earlier one from starting
+		r.startUnanswered = true // stopping the later run also keeps the earlier one from starting
 		return
 	}
-	r := &run{task: s.task, number: s.number, state: runStarting, worker: next, since: now, resumed: true}
+	r := &run{task: s.task, number: s.number, state: runStarting, worker: next, knownSince: now, fromEarlierOwner: true}
 	if step := d.stepOfTask(s.task); step != nil {
 		r.need = step.step.Reserved() // it may already run there
 	}
@@ -160,8 +160,8 @@
 // run ended with the previous incarnation, or has ended here while the worker
 // collected its two lists.
 func (d *Dispatcher) inheritedMissing(now unit.Instant, r *run, sent unit.Instant) {
-	if r.unanswered {
-		d.stopRun(now, r, whyStrayOrder)
+	if r.startUnanswered {
+		d.stopWithGang(now, r, whyStrayOrder)
 		return
 	}
 	d.recordMissing(now, r, sent)
@@ -172,39 +172,39 @@
 // sent, the previous one never had the run, so its crash isn't counted against
 // the run.
 func (d *Dispatcher) inheritedFound(r *run) {
-	if r.inherited == "" {
+	if r.inheritedFrom == "" {
 		return
 	}
-	if r.orders == 1 {
-		d.retractCrash(r.inherited, r.task, r.number, "the next life under its worker's name has the run")
+	if r.startOrders == 1 {
+		d.retractCrash(r.inheritedFrom, r.task, r.number, "the next life under its worker's name has the run")
 	}
-	r.inherited = ""
+	r.inheritedFrom = ""
 }
 
-// keepStray records, when a run has ended, an order to start it that may still
+// recordLateStart records, when a run has ended, an order to start it that may still
 // be carried out.
-func (r *run) keepStray() {
+func (r *run) recordLateStart() {
 	w := r.worker
-	if !r.unanswered && r.startLapse == 0 || !fleet.TellsStart(w.ID) {
+	if !r.startUnanswered && r.startLeaseExpiry == 0 || !fleet.TellsStart(w.ID) {
 		return
 	}
-	w.strays = slices.DeleteFunc(w.strays, func(s strayStart) bool { return r.asked.Sub(s.asked) > maxOrderDelay })
-	w.strays = append(w.strays, strayStart{task: r.task, number: r.number, asked: r.asked})
+	w.lateStarts = slices.DeleteFunc(w.lateStarts, func(s lateStart) bool { return r.startSentAt.Sub(s.asked) > maxOrderDelay })
+	w.lateStarts = append(w.lateStarts, lateStart{task: r.task, number: r.number, asked: r.startSentAt})
 }
 
-// tell returns the number of the last end that a renewal acknowledges, so that
+// endsToAck returns the number of the last end that a renewal acknowledges, so that
 // the worker forgets the ends up to it; 0 for none. The next incarnation under
 // the name may receive the renewal instead, and would forget ends of its own
 // that were never read, so that their tasks would run again. So each number is
 // sent only once, and only shortly after this incarnation has answered. If its
 // last answer is too old, another renewal without an acknowledgement is sent
 // first.
-func (w *worker) tell(now unit.Instant) uint64 {
+func (w *worker) endsToAck(now unit.Instant) uint64 {
 	switch {
 	case !fleet.TellsStart(w.ID):
-		return w.durable
-	case w.told >= w.durable || w.lastUnanswered || now.Sub(w.answered) > maxAnswerAgeForAck:
+		return w.lastEndStored
+	case w.lastEndAcked >= w.lastEndStored || w.renewalUnanswered || now.Sub(w.lastAnswerAt) > maxAnswerAgeForAck:
 		return 0
 	}
-	return w.durable
+	return w.lastEndStored
 }
--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -48,7 +48,7 @@
 		d.noteArrival(now, js.spec)
 	}
 	if js.summary == summaryNone && js.progress.Began() {
-		d.mark(js)
+		d.markChanged(js)
 	}
 	if e.Cancelled {
 		d.CancelJob(now, name)
@@ -59,7 +59,7 @@
 func newJobState(now unit.Instant, name id.Job, e *jobtable.Entry) *jobState {
 	p := e.Resumed()
 	p.Tasks, p.Crashes = slices.Clone(p.Tasks), slices.Clone(p.Crashes)
-	js := &jobState{id: name, spec: e.Spec, progress: p, seen: now, summary: summaryOf(e), hasProgress: len(p.Tasks) > 0}
+	js := &jobState{id: name, spec: e.Spec, progress: p, knownSince: now, summary: summaryOf(e), hasProgress: len(p.Tasks) > 0}
 	base := 0
 	for r := range e.Spec.RoundCount() {
 		for i := range e.Spec.Steps {
@@ -85,11 +85,11 @@
 // had not written.
 func (d *Dispatcher) resumeEnded(now unit.Instant, js *jobState) {
 	d.stopAll(now, js, "job ended")
-	if !js.busy() {
+	if !js.hasRuns() {
 		js.dropTasks()
 	}
 	if js.hasProgress || js.summary != summaryEnded {
-		d.mark(js)
+		d.markChanged(js)
 	}
 }
 
@@ -145,7 +145,7 @@
 			}
 		}
 		if s.done == s.step.Count {
-			s.counted = true
+			s.doneCounted = true
 			js.open--
 		}
 	}
@@ -157,10 +157,10 @@
 func (d *Dispatcher) resumeRun(now unit.Instant, s *stepState, index int, t *job.TaskState) {
 	w := d.worker(now, t.Worker)
 	// The earlier owner may not know of this one yet.
-	w.grantedUntil = max(w.grantedUntil, d.lapseOf(now.Add(assuredFor)))
-	r := &run{task: s.task(index), number: t.Run, state: runStarting, worker: w, need: s.step.Reserved(), step: s, since: now, asked: now, resumed: true}
-	if r.fills() {
-		r.slowed = fullSpeed - minSpeed
+	w.grantedLeaseExpiry = max(w.grantedLeaseExpiry, d.maxLeaseExpiry(now.Add(soleOwnerValidity)))
+	r := &run{task: s.task(index), number: t.Run, state: runStarting, worker: w, need: s.step.Reserved(), step: s, knownSince: now, startSentAt: now, fromEarlierOwner: true}
+	if r.bestEffort() {
+		r.slowdownPercent = fullSpeed - minSpeed
 	}
 	d.occupy(r)
 }
@@ -168,7 +168,7 @@
 // forgettable reports whether an ended job has no runs left, and the store has
 // its outcome and no progress of it.
 func (js *jobState) forgettable() bool {
-	return !js.busy() && !js.changed && !js.hasProgress && js.summary == summaryEnded
+	return !js.hasRuns() && !js.changed && !js.hasProgress && js.summary == summaryEnded
 }
 
 // expire drops jobs that ended longer ago than Config.KeepEnded.
--- a/core/dispatch/lasting.go
+++ b/core/dispatch/lasting.go
@@ -73,10 +73,10 @@
 	return slices.Collect(maps.Values(r.step.runs))
 }
 
-// giveWay releases the room that is reserved for gangs without preemption, in
+// releaseGangRoom releases the room that is reserved for gangs without preemption, in
 // services in which long-running tasks have waited for a while: those must be
 // back soon if there is any room for them. It returns these services.
-func (d *Dispatcher) giveWay(now unit.Instant, candidates []candidate) map[id.Service]bool {
+func (d *Dispatcher) releaseGangRoom(now unit.Instant, candidates []candidate) map[id.Service]bool {
 	waiting := map[id.Service]bool{}
 	for _, c := range candidates {
 		if c.step.step.LongRunning && c.step.waitedFor(now, longRunningPatience) {
--- a/core/dispatch/lease.go
+++ b/core/dispatch/lease.go
@@ -14,21 +14,21 @@
 	// leaseExpiryMargin is added to the end of each lease: an order takes a few
 	// milliseconds to reach the worker, and timers fire late.
 	leaseExpiryMargin = 200 * time.Millisecond
-	// assuredFor is how long an owner grants leases after the last time as of
+	// soleOwnerValidity is how long an owner grants leases after the last time as of
 	// which no other host was the owner. Its read of the jobs is 1 s old at
 	// most, or 2.6 s after a read that failed. The next owner waits that much
 	// longer.
-	assuredFor = 3 * time.Second
+	soleOwnerValidity = 3 * time.Second
 )
 
-// grants reports whether leases may be granted and extended.
-func (d *Dispatcher) grants(now unit.Instant) bool {
-	return d.soleOwnerAt == 0 || now.Sub(d.soleOwnerAt) <= assuredFor
+// mayGrantLeases reports whether leases may be granted and extended.
+func (d *Dispatcher) mayGrantLeases(now unit.Instant) bool {
+	return d.soleOwnerAt == 0 || now.Sub(d.soleOwnerAt) <= soleOwnerValidity
 }
 
-// noteGrants logs when leases are no longer extended, and when they are again.
-func (d *Dispatcher) noteGrants(now unit.Instant) {
-	d.noteWithheld(&d.leasesWithheld, !d.grants(now), EventLeasesWithheld, EventLeasesGranted, age(now, d.soleOwnerAt))
+// noteLeasesWithheld logs when leases are no longer extended, and when they are again.
+func (d *Dispatcher) noteLeasesWithheld(now unit.Instant) {
+	d.noteWithheld(&d.leasesWithheld, !d.mayGrantLeases(now), EventLeasesWithheld, EventLeasesGranted, age(now, d.soleOwnerAt))
 }
 
 // noteWithheld logs a change of whether something is withheld, with the age of
@@ -58,12 +58,12 @@
 	return w.clock(now) + fleet.Clock(d.config.MaxLease)
 }
 
-// lapse returns when every lease on the worker has expired for certain: those
+// leaseExpiry returns when every lease on the worker has expired for certain: those
 // that may have been granted, and those of orders in flight.
-func (w *worker) lapse() unit.Instant {
-	last := max(w.grantedUntil, w.renewalLapse)
+func (w *worker) leaseExpiry() unit.Instant {
+	last := max(w.grantedLeaseExpiry, w.renewalLeaseExpiry)
 	for _, r := range w.runs {
-		last = max(last, r.startLapse, r.lateStartLeaseExpiry)
+		last = max(last, r.startLeaseExpiry, r.lateStartLeaseExpiry)
 	}
 	return last
 }
@@ -73,13 +73,13 @@
 // the tasks of a crashed worker would wait for a lease that nobody holds.
 func (w *worker) recordGrant(until unit.Instant, v fleet.Verdict) {
 	if v != fleet.Unreachable {
-		w.grantedUntil = max(w.grantedUntil, until)
+		w.grantedLeaseExpiry = max(w.grantedLeaseExpiry, until)
 	}
 }
 
-// lapseOf returns when a lease that is granted now, or earlier, has expired for
+// maxLeaseExpiry returns when a lease that is granted now, or earlier, has expired for
 // certain.
-func (d *Dispatcher) lapseOf(now unit.Instant) unit.Instant {
+func (d *Dispatcher) maxLeaseExpiry(now unit.Instant) unit.Instant {
 	return now.Add(scale(d.config.MaxLease, clockDrift)).Add(leaseExpiryMargin)
 }
 
--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -46,13 +46,13 @@
 // loseRuns gives up every run like loseAll, without counting a crash.
 func (d *Dispatcher) loseRuns(now unit.Instant, w *worker, e evidence) {
 	for _, r := range w.sorted() {
-		if e == leaseLapsed && now <= w.lapse() {
-			d.violated(now, r, "given up under a lease that may hold")
+		if e == leaseLapsed && now <= w.leaseExpiry() {
+			d.noteViolation(now, r, "given up under a lease that may hold")
 			continue
 		}
 		d.noteRun(EventTaskLost, r, string(e), w.silentFor(now))
 		r.apply(evLost)
-		d.lose(now, r, string(e))
+		d.loseWithGang(now, r, string(e))
 	}
 }
 
@@ -69,14 +69,14 @@
 		d.countCrashes(now, w)
 	}
 	if next != nil {
-		if next.raise < w.raise {
+		if next.fenceRevision < w.fenceRevision {
 			d.raiseFence(next)
 		}
 		d.inherit(now, w, next)
 	}
 	d.loseRuns(now, w, e)
-	w.listed, w.replaced, w.synced = false, true, 0
-	for _, o := range d.order {
+	w.listed, w.replaced, w.syncedAsOf = false, true, 0
+	for _, o := range d.workersByID {
 		if o.conflictsWith(w) {
 			d.endContest(o)
 		}
@@ -98,17 +98,17 @@
 // until it answers.
 func (d *Dispatcher) contest(now unit.Instant, w *worker) {
 	if w.replaced {
-		w.replaced, w.contested = false, now
+		w.replaced, w.rivalSeenAt = false, now
 		return
 	}
-	for _, o := range d.order {
-		if !o.conflictsWith(w) || !o.mayBeCurrent() && !o.unreplacedNamesake(w) || w.contested != 0 && o.contested != 0 {
+	for _, o := range d.workersByID {
+		if !o.conflictsWith(w) || !o.mayBeCurrent() && !o.unreplacedNamesake(w) || w.rivalSeenAt != 0 && o.rivalSeenAt != 0 {
 			continue
 		}
 		d.note(Note{Event: EventWorkerContested, Worker: w.ID, Why: "by " + string(o.ID), Age: w.silentFor(now)})
 		d.note(Note{Event: EventWorkerContested, Worker: o.ID, Why: "by " + string(w.ID), Age: o.silentFor(now)})
-		w.contested, o.contested = now, now
-		w.nextHold, o.nextHold = min(w.nextHold, now), min(o.nextHold, now)
+		w.rivalSeenAt, o.rivalSeenAt = now, now
+		w.nextRenewal, o.nextRenewal = min(w.nextRenewal, now), min(o.nextRenewal, now)
 	}
 }
 
@@ -118,20 +118,20 @@
 
 // confirmed reports whether a worker has answered an order that this owner sent
 // after a conflicting incarnation was last listed, if there was one.
-func (w *worker) confirmed() bool { return w.synced > w.contested }
+func (w *worker) confirmed() bool { return w.syncedAsOf > w.rivalSeenAt }
 
-// follow processes an answer of a worker that has conflicts. A conflicting
+// resolveContest processes an answer of a worker that has conflicts. A conflicting
 // worker is an earlier incarnation if its last answer arrived before the order
 // was sent that this worker has answered.
-func (d *Dispatcher) follow(now unit.Instant, w *worker) {
-	if w.contested == 0 {
+func (d *Dispatcher) resolveContest(now unit.Instant, w *worker) {
+	if w.rivalSeenAt == 0 {
 		return
 	}
-	for _, o := range d.order {
+	for _, o := range d.workersByID {
 		switch {
-		case o.unreplacedNamesake(w) && o.since < w.synced:
+		case o.unreplacedNamesake(w) && o.knownSince < w.syncedAsOf:
 			d.replace(now, o, sameName, w)
-		case o.conflictsWith(w) && o.mayBeCurrent() && o.answered != 0 && o.answered < w.synced:
+		case o.conflictsWith(w) && o.mayBeCurrent() && o.lastAnswerAt != 0 && o.lastAnswerAt < w.syncedAsOf:
 			d.replace(now, o, laterAnswered, nil)
 		}
 	}
@@ -141,19 +141,19 @@
 // endContest clears the conflict of a worker if no other worker conflicts with
 // it any more.
 func (d *Dispatcher) endContest(w *worker) {
-	for _, o := range d.order {
+	for _, o := range d.workersByID {
 		if o.conflictsWith(w) && o.mayBeCurrent() {
 			return
 		}
 	}
-	w.contested = 0
+	w.rivalSeenAt = 0
 }
 
 // silentFor returns how long ago the worker's last answer arrived; 0 if it has
 // never answered this owner.
 func (w *worker) silentFor(now unit.Instant) time.Duration {
-	if w.answered == 0 {
+	if w.lastAnswerAt == 0 {
 		return 0
 	}
-	return now.Sub(w.answered)
+	return now.Sub(w.lastAnswerAt)
 }
--- a/core/dispatch/lives_internal_test.go
+++ b/core/dispatch/lives_internal_test.go
@@ -46,7 +46,7 @@
 		d.Pass(now, now)
 		d.Take()
 	}
-	if got := len(d.order); got > 2*workers {
+	if got := len(d.workersByID); got > 2*workers {
 		t.Errorf("%d workers are known after %d incarnations of %d, of which %d are listed", got, incarnations, workers, workers)
 	}
 }
--- a/core/dispatch/loss.go
+++ b/core/dispatch/loss.go
@@ -24,10 +24,10 @@
 // unsaved returns the core-seconds of work that stopping the run now would
 // throw away.
 func (r *run) unsaved(now unit.Instant, saveEvery time.Duration) float64 {
-	if r.started == 0 {
+	if r.startedAt == 0 {
 		return 0
 	}
-	age := now.Sub(r.started)
+	age := now.Sub(r.startedAt)
 	if r.step != nil && r.step.step.LongRunning {
 		age = longRunningLoss // it has no progress to lose; the cost is its downtime
 	}
@@ -37,9 +37,9 @@
 	return age.Seconds() * r.cores()
 }
 
-// lossOf returns the core-seconds that are lost when a run, and so its gang, is
+// lostByStopping returns the core-seconds that are lost when a run, and so its gang, is
 // stopped.
-func (d *Dispatcher) lossOf(now unit.Instant, r *run) float64 {
+func (d *Dispatcher) lostByStopping(now unit.Instant, r *run) float64 {
 	if !r.step.step.Gang {
 		return r.unsaved(now, d.config.SaveEvery)
 	}
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -39,7 +39,7 @@
 // listedByName returns the incarnation under a name that the platform's list
 // has, or nil.
 func (d *Dispatcher) listedByName(name id.WorkerName) *worker {
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.name == name && w.listed {
 			return w
 		}
@@ -53,9 +53,9 @@
 // longer does is the present one too, if it has no rival.
 func (d *Dispatcher) lifeOn(m id.Machine) *worker {
 	var present *worker
-	for _, w := range d.order {
-		alone := w.answered != 0 && w.contested == 0
-		if w.Machine == m && w.listed && (w.confirmed() || alone) && (present == nil || w.synced > present.synced) {
+	for _, w := range d.workersByID {
+		alone := w.lastAnswerAt != 0 && w.rivalSeenAt == 0
+		if w.Machine == m && w.listed && (w.confirmed() || alone) && (present == nil || w.syncedAsOf > present.syncedAsOf) {
 			present = w
 		}
 	}
@@ -66,9 +66,9 @@
 // was taken down: one that answers now is the next incarnation, or the
 // maintenance was done before. An entry in the list proves nothing.
 func (d *Dispatcher) unconfirmLives(now unit.Instant, m id.Machine) {
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.Machine == m {
-			w.synced, w.syncRequestedAt, w.nextHold = 0, now, min(w.nextHold, now)
+			w.syncedAsOf, w.syncRequestedAt, w.nextRenewal = 0, now, min(w.nextRenewal, now)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		return
 	}
 	for _, x := range d.waves {
-		if at := x.carried[w.Machine]; at != 0 && w.synced > at {
+		if at := x.carriedAt[w.Machine]; at != 0 && w.syncedAsOf > at {
 			x.plan.Back(w.Machine)
 		}
 	}
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -10,8 +10,8 @@
 // the worker reports the run after all.
 const whyReported = "its worker reports the run"
 
-// end processes the end of a run that a worker reports.
-func (d *Dispatcher) end(now unit.Instant, w *worker, e fleet.End) {
+// runEnded processes the end of a run that a worker reports.
+func (d *Dispatcher) runEnded(now unit.Instant, w *worker, e fleet.End) {
 	r := w.run(e.Task, e.Run)
 	n := Note{Event: EventTaskEnded, Job: e.Task.Job, Task: e.Task, Worker: w.ID, Run: e.Run, Why: e.How.String()}
 	if r == nil {
@@ -21,7 +21,7 @@
 		d.successAfterLoss(now, e)
 		return
 	}
-	n.Age = now.Sub(r.since)
+	n.Age = now.Sub(r.knownSince)
 	d.note(n)
 	d.inheritedFound(r)
 	if e.Checkpoint != "" {
@@ -40,7 +40,7 @@
 	case fleet.EndFailed:
 		d.runFailed(now, r)
 	case fleet.EndStopped, fleet.EndLapsed, fleet.EndBroken, fleet.EndAlone:
-		d.lose(now, r, e.How.String())
+		d.loseWithGang(now, r, e.How.String())
 	}
 }
 
@@ -49,7 +49,7 @@
 func (d *Dispatcher) runSucceeded(now unit.Instant, r *run) {
 	s := r.step
 	if s.step.LongRunning {
-		d.lose(now, r, "ended")
+		d.loseWithGang(now, r, "ended")
 		return
 	}
 	d.markDone(s, r.task.Index)
@@ -75,14 +75,14 @@
 	}
 	d.markDone(s, e.Task.Index)
 	if r := s.runs[e.Task.Index]; r != nil {
-		d.stopRun(now, r, "an earlier run of its task was done")
+		d.stopWithGang(now, r, "an earlier run of its task was done")
 	}
 	d.complete(now, js)
 }
 
 // markDone marks a task as done, and with it its gang.
 func (d *Dispatcher) markDone(s *stepState, index int) {
-	tasks := s.together(index)
+	tasks := s.startGroup(index)
 	for i := range tasks {
 		t := &tasks[i]
 		if t.Phase != job.Done {
@@ -91,9 +91,9 @@
 		}
 	}
 	s.dropCrashes(index)
-	d.mark(s.job)
-	if s.done == s.step.Count && !s.counted {
-		s.counted = true
+	d.markChanged(s.job)
+	if s.done == s.step.Count && !s.doneCounted {
+		s.doneCounted = true
 		s.job.open--
 		s.dropClaim()
 	}
@@ -118,19 +118,19 @@
 	s.noteFailure(now, r.task.Index, r.worker)
 	if s.step.Gang {
 		if s.failedRun >= r.number {
-			d.lose(now, r, "failed")
+			d.loseWithGang(now, r, "failed")
 			return
 		}
 		s.failedRun = r.number
 	}
 	worst := 0
-	tasks := s.together(r.task.Index)
+	tasks := s.startGroup(r.task.Index)
 	for i := range tasks {
 		tasks[i].Failed++
 		worst = max(worst, tasks[i].Failed)
 	}
-	d.mark(js)
-	d.lose(now, r, "failed")
+	d.markChanged(js)
+	d.loseWithGang(now, r, "failed")
 	r.rememberFailedWorker()
 	if worst >= js.spec.MaxAttempts && !s.step.LongRunning {
 		d.finish(now, js, job.Failed, "out of attempts")
@@ -148,9 +148,9 @@
 	}
 }
 
-// compare compares the runs that a worker reports with those that are placed on
+// reconcile compares the runs that a worker reports with those that are placed on
 // it.
-func (d *Dispatcher) compare(now unit.Instant, w *worker, res RenewResult, ended map[job.Task]bool) {
+func (d *Dispatcher) reconcile(now unit.Instant, w *worker, res RenewResult, ended map[job.Task]bool) {
 	listed := map[job.Task]bool{}
 	for _, x := range res.Report.Running {
 		listed[x.Task] = true
@@ -161,14 +161,14 @@
 		if r == nil || r.number != x.Run {
 			continue
 		}
-		if r.state == runStopping && r.stopDone != 0 && now.Sub(r.stopDone) > stopPatience*d.config.StopTime {
-			r.stopDone = 0 // it should have ended long ago: resend repeats the order to stop
+		if r.state == runStopping && r.stopConfirmedAt != 0 && now.Sub(r.stopConfirmedAt) > stopResendFactor*d.config.StopTime {
+			r.stopConfirmedAt = 0 // it should have ended long ago: resend repeats the order to stop
 		}
 		d.inheritedFound(r)
 		r.recordProgress(now, x.Percent)
-		r.checkpoint, r.percent, r.load, r.reported, r.missed = x.Checkpoint, x.Percent, x.Load, now, 0
-		if r.apply(evStarted) && r.started == 0 {
-			r.started = now
+		r.checkpoint, r.percent, r.load, r.reportedAt, r.missingAt = x.Checkpoint, x.Percent, x.Load, now, 0
+		if r.apply(evStarted) && r.startedAt == 0 {
+			r.startedAt = now
 		}
 		d.clearSuspicion(r)
 	}
@@ -176,7 +176,7 @@
 		if listed[r.task] || ended[r.task] || res.Report.MoreEnds {
 			continue // its end may be among those in the next answer
 		}
-		if r.inherited != "" && r.state != runStopping {
+		if r.inheritedFrom != "" && r.state != runStopping {
 			d.inheritedMissing(now, r, res.Sent)
 			continue
 		}
@@ -191,9 +191,9 @@
 // start or its stop before, or every copy of the order to start it is too late
 // to be accepted.
 func (d *Dispatcher) mustBeReported(r *run, sent unit.Instant) bool {
-	started := r.started != 0 && sent > r.started
-	stopped := r.state == runStopping && r.stopDone != 0 && sent > r.stopDone
-	late := r.state != runOrdered && r.asked != 0 && sent > d.lapseOf(r.asked.Add(assuredFor))
+	started := r.startedAt != 0 && sent > r.startedAt
+	stopped := r.state == runStopping && r.stopConfirmedAt != 0 && sent > r.stopConfirmedAt
+	late := r.state != runOrdered && r.startSentAt != 0 && sent > d.maxLeaseExpiry(r.startSentAt.Add(soleOwnerValidity))
 	return started || stopped || late
 }
 
@@ -203,19 +203,19 @@
 // a row, requested after the first one arrived, lacks it too; otherwise a task
 // could be started again after it was done.
 func (d *Dispatcher) recordMissing(now unit.Instant, r *run, sent unit.Instant) {
-	if r.missed == 0 || sent <= r.missed {
-		r.missed = max(r.missed, now)
+	if r.missingAt == 0 || sent <= r.missingAt {
+		r.missingAt = max(r.missingAt, now)
 		return
 	}
 	d.noteRun(EventTaskVanished, r, string(r.state), now.Sub(sent))
 	r.apply(evLost)
-	d.lose(now, r, "not listed by its worker")
+	d.loseWithGang(now, r, "not listed by its worker")
 }
 
 // stopUnknownRun adds a run that a worker reports but no record mentions, and
 // stops it. Its task isn't started again until that run has ended.
 func (d *Dispatcher) stopUnknownRun(now unit.Instant, w *worker, x fleet.Running) *run {
-	r := &run{task: x.Task, number: x.Run, state: runRunning, worker: w, since: now, started: now, resumed: true}
+	r := &run{task: x.Task, number: x.Run, state: runRunning, worker: w, knownSince: now, startedAt: now, fromEarlierOwner: true}
 	d.retractCrash(w.ID, x.Task, x.Run, whyReported)
 	if s := d.stepOfTask(x.Task); s != nil {
 		r.need = s.step.Reserved()
@@ -224,7 +224,7 @@
 		}
 	}
 	d.occupy(r)
-	w.grantedUntil = max(w.grantedUntil, d.lapseOf(now.Add(assuredFor))) // a lease is valid there, perhaps from a delayed order
+	w.grantedLeaseExpiry = max(w.grantedLeaseExpiry, d.maxLeaseExpiry(now.Add(soleOwnerValidity))) // a lease is valid there, perhaps from a delayed order
 	d.stop(now, r, "no placement is known for it")
 	return r
 }
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -39,9 +39,9 @@
 	interferenceWeight = 8
 )
 
-// fills reports whether a run is best-effort: it uses only capacity that others
+// bestEffort reports whether a run is best-effort: it uses only capacity that others
 // leave idle.
-func (r *run) fills() bool { return r.step != nil && r.step.step.Fills }
+func (r *run) bestEffort() bool { return r.step != nil && r.step.step.Fills }
 
 // isServing reports whether a run serves requests with a target latency.
 func (r *run) isServing() bool { return r.step != nil && r.step.step.TargetLatency > 0 }
@@ -50,7 +50,7 @@
 func (w *worker) hasMixedLoad() bool {
 	filling, serving := false, false
 	for _, r := range w.runs {
-		filling = filling || r.fills()
+		filling = filling || r.bestEffort()
 		serving = serving || r.isServing()
 	}
 	return filling && serving
@@ -65,7 +65,7 @@
 	}
 	n := 0
 	for _, r := range w.runs {
-		if s.step.Fills && r.isServing() || s.step.TargetLatency > 0 && r.fills() {
+		if s.step.Fills && r.isServing() || s.step.TargetLatency > 0 && r.bestEffort() {
 			n++
 		}
 	}
@@ -93,18 +93,18 @@
 	}
 	ratio := w.worstLatencyRatio()
 	for _, r := range w.sorted() {
-		if !r.fills() || r.state != runRunning {
+		if !r.bestEffort() || r.state != runRunning {
 			continue
 		}
 		speed := fullSpeed
 		if w.hasMixedLoad() {
-			speed = nextSpeed(fullSpeed-r.slowed, ratio)
+			speed = nextSpeed(fullSpeed-r.slowdownPercent, ratio)
 		}
-		if speed == fullSpeed-r.slowed {
+		if speed == fullSpeed-r.slowdownPercent {
 			continue
 		}
 		w.pacedAt = now
-		r.slowed = fullSpeed - speed
+		r.slowdownPercent = fullSpeed - speed
 		d.orders.Paces = append(d.orders.Paces, Pace{Target: d.target(w), Task: r.task, Run: r.number, Percent: speed})
 		d.note(Note{
 			Event: EventTaskPaced, Job: r.task.Job, Task: r.task, Worker: w.ID, Run: r.number,
@@ -136,6 +136,6 @@
 	}
 	// The worker may run it at the old speed or at the new one. A speed between
 	// the two ends of the range leads to another order in either case.
-	r.slowed = min(max(r.slowed, speedStep), fullSpeed-minSpeed)
+	r.slowdownPercent = min(max(r.slowdownPercent, speedStep), fullSpeed-minSpeed)
 	r.worker.pacedAt = 0
 }
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// stopPatience times the time that a stop may take is when a run that is
+	// stopResendFactor times the time that a stop may take is when a run that is
 	// still listed is ordered to stop again.
-	stopPatience = 3
+	stopResendFactor = 3
 	// resendAfter is when an order without an answer is repeated. Workers
 	// answer within a few milliseconds.
 	resendAfter = 300 * time.Millisecond
@@ -24,12 +24,12 @@
 	// renewWait is how long a renewal may wait at the worker for news; the
 	// platform allows 2 s.
 	renewWait = 2 * time.Second
-	// renewLimit is how long after its wait a renewal without an answer counts
+	// renewTimeout is how long after its wait a renewal without an answer counts
 	// as lost. It is the timeout of the platform's client.
-	renewLimit = 800 * time.Millisecond
-	// lateResult is how long after its timeout the result of a renewal may
+	renewTimeout = 800 * time.Millisecond
+	// maxResultDelay is how long after its timeout the result of a renewal may
 	// arrive and still count as evidence about the worker.
-	lateResult = 500 * time.Millisecond
+	maxResultDelay = 500 * time.Millisecond
 	// leaseShare is the share of a lease within which a renewal must succeed
 	// after two were lost. The worker's clock may drift by 2 %; the rest is for
 	// the transit time.
@@ -57,27 +57,27 @@
 // is the time of day, by which the rounds of timed jobs become due, and may
 // jump.
 func (d *Dispatcher) Pass(now, wall unit.Instant) {
-	d.wall = wall
-	if d.began == 0 {
-		d.began = now
+	d.wallTime = wall
+	if d.firstPassAt == 0 {
+		d.firstPassAt = now
 	}
-	d.noteGrants(now)
-	d.noteNews(now)
+	d.noteLeasesWithheld(now)
+	d.noteStartsWithheld(now)
 	d.forgetGone(now)
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		d.loseLapsed(now, w)
 		d.resend(now, w)
 		d.evictDraining(now, w)
 	}
-	d.giveUpSpent(now)
+	d.failCrashedJobs(now)
 	d.expire(now)
-	d.maintain(now)
+	d.advanceWaves(now)
 	// Otherwise each order would be withdrawn again, at the cost of a record
 	// and a run number.
 	if d.mayStart(now) {
 		d.placeAll(now)
 	}
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		d.renew(now, w)
 	}
 }
@@ -89,11 +89,11 @@
 // answer says how the runs have ended. A worker whose address is unknown can't
 // be asked.
 func (d *Dispatcher) loseLapsed(now unit.Instant, w *worker) {
-	if w.leased() && now > w.lapse() && (w.askedInVain || w.Address == "") {
+	if w.leased() && now > w.leaseExpiry() && (w.renewalFailed || w.Address == "") {
 		d.loseAll(now, w, leaseLapsed)
 		// The worker now seems to be empty. Without a new answer it would be
 		// given the same tasks again.
-		w.synced = 0
+		w.syncedAsOf = 0
 	}
 }
 
@@ -123,18 +123,18 @@
 			continue
 		}
 		switch {
-		case r.state == runStarting && w.Draining && r.started == 0 && w.synced != 0:
-			d.stopRun(now, r, "its worker leaves before it has started")
-		case r.state == runStarting && r.started == 0 && w.synced != 0 && r.shut():
-			d.stopRun(now, r, whyEvacuated)
-		case r.state == runStarting && r.started == 0 && w.synced != 0 && w.overfull():
-			d.stopRun(now, r, noRoomLeft)
+		case r.state == runStarting && w.Draining && r.startedAt == 0 && w.syncedAsOf != 0:
+			d.stopWithGang(now, r, "its worker leaves before it has started")
+		case r.state == runStarting && r.startedAt == 0 && w.syncedAsOf != 0 && r.blockedByEvacuation():
+			d.stopWithGang(now, r, whyEvacuated)
+		case r.state == runStarting && r.startedAt == 0 && w.syncedAsOf != 0 && w.overcommitted():
+			d.stopWithGang(now, r, whyNoRoom)
 		case r.state == runStarting && r.startIgnored(now):
-			d.stopRun(now, r, "its worker answers renewals, but not its orders to start")
-			d.countIgnored(now, r)
-		case r.state == runStarting && r.inherited == "" && now.Sub(r.asked) >= resendAfter && w.synced != 0 && w.heard(now) && d.mayStart(now) && !r.shut():
+			d.stopWithGang(now, r, "its worker answers renewals, but not its orders to start")
+			d.countUnansweredStart(now, r)
+		case r.state == runStarting && r.inheritedFrom == "" && now.Sub(r.startSentAt) >= resendAfter && w.syncedAsOf != 0 && w.answeredLately(now) && d.mayStart(now) && !r.blockedByEvacuation():
 			d.orderStart(now, r)
-		case r.state == runStopping && r.stopDone == 0 && now.Sub(r.stopAsked) >= resendAfter:
+		case r.state == runStopping && r.stopConfirmedAt == 0 && now.Sub(r.stopSentAt) >= resendAfter:
 			d.orderStop(now, r)
 		}
 	}
@@ -144,7 +144,7 @@
 // too long, although its worker answered a renewal that was sent after the
 // first of them.
 func (r *run) startIgnored(now unit.Instant) bool {
-	return r.unanswered && r.started == 0 && r.orders >= minStartOrders && now.Sub(r.since) >= startTimeout && r.worker.synced > r.since
+	return r.startUnanswered && r.startedAt == 0 && r.startOrders >= minStartOrders && now.Sub(r.knownSince) >= startTimeout && r.worker.syncedAsOf > r.knownSince
 }
 
 // hasUnconfirmed reports whether some order for a run on the worker may have to
@@ -165,7 +165,7 @@
 	if !w.Draining || len(w.runs) == 0 {
 		return
 	}
-	left := w.leaves.Sub(now)
+	left := w.drainEndsAt.Sub(now)
 	for _, r := range w.sorted() {
 		if r.step == nil || r.state != runRunning && r.state != runStarting {
 			continue
@@ -176,7 +176,7 @@
 			continue
 		}
 		if !r.step.step.Checkpointing || left <= margin+renewWait/2 {
-			d.stopRun(now, r, "its worker leaves")
+			d.stopWithGang(now, r, "its worker leaves")
 		}
 	}
 }
@@ -186,12 +186,12 @@
 	if r.step.step.LongRunning {
 		return d.config.MaxLease
 	}
-	ran := now.Sub(r.started)
-	if r.started == 0 {
+	ran := now.Sub(r.startedAt)
+	if r.startedAt == 0 {
 		ran = 0
 	}
-	if r.percent >= minTrustedPercent && r.reported > r.started {
-		whole := scale(r.reported.Sub(r.started), 100/float64(r.percent))
+	if r.percent >= minTrustedPercent && r.reportedAt > r.startedAt {
+		whole := scale(r.reportedAt.Sub(r.startedAt), 100/float64(r.percent))
 		return max(0, whole-ran)
 	}
 	return max(0, r.step.step.Estimate-ran)
@@ -199,48 +199,48 @@
 
 // renew renews a worker's lease if that is due.
 func (d *Dispatcher) renew(now unit.Instant, w *worker) {
-	if w.holding || !w.needsRenewal() || w.Address == "" || now < w.nextHold {
+	if w.renewalInFlight || !w.needsRenewal() || w.Address == "" || now < w.nextRenewal {
 		return
 	}
-	if w.firstAsked == 0 {
-		w.firstAsked = now
+	if w.firstRenewalAt == 0 {
+		w.firstRenewalAt = now
 	}
-	o := Renew{Target: d.target(w), Told: w.tell(now)}
-	if len(w.runs) > 0 && w.heard(now) && d.grants(now) {
-		o.Until, w.renewalLapse = d.lease(now, w), d.lapseOf(now)
+	o := Renew{Target: d.target(w), Told: w.endsToAck(now)}
+	if len(w.runs) > 0 && w.answeredLately(now) && d.mayGrantLeases(now) {
+		o.Until, w.renewalLeaseExpiry = d.lease(now, w), d.maxLeaseExpiry(now)
 	}
-	if w.synced != 0 && w.seen == w.durable && len(w.runs) > 0 && w.heard(now) && !w.lastUnanswered && !w.needsPromptAnswer() && !w.hasForgettableEnds() {
+	if w.syncedAsOf != 0 && w.lastEndSeen == w.lastEndStored && len(w.runs) > 0 && w.answeredLately(now) && !w.renewalUnanswered && !w.needsPromptAnswer() && !w.hasForgettableEnds() {
 		o.Wait = renewalWait(d.config.MaxLease)
 		// After a renewal that grants no lease, the next one may grant one, and
 		// must be sent before a lease of 6 s has expired.
 		if w.hasMixedLoad() || o.Until == 0 {
 			o.Wait = min(o.Wait, mixedRenewWait)
 		}
-		if d.policy.MoveStalled && w.urgent() {
-			o.Wait = min(o.Wait, urgentWait)
+		if d.policy.MoveStalled && w.runsUrgentWork() {
+			o.Wait = min(o.Wait, urgentRenewWait)
 		}
-		if w.shielded() {
-			o.Wait = min(o.Wait, shieldedWait)
+		if w.hasIsolationReserve() {
+			o.Wait = min(o.Wait, isolationRenewWait)
 		}
 	}
-	if d.config.MostWaits > 0 && d.awaiting >= d.config.MostWaits {
+	if d.config.MostWaits > 0 && d.waitingRenewals >= d.config.MostWaits {
 		// Renewals to other workers use all the connections that may wait for
 		// news, so this worker is polled instead.
 		o.Wait = 0
 	}
 	if o.Wait > 0 {
-		w.waits = true
-		d.awaiting++
+		w.renewalWaits = true
+		d.waitingRenewals++
 	}
-	w.holding = true
+	w.renewalInFlight = true
 	d.orders.Renews = append(d.orders.Renews, o)
 }
 
-// heard reports whether the worker has answered recently, or was first asked
+// answeredLately reports whether the worker has answered recently, or was first asked
 // recently. Only then do orders extend its lease: a worker that never answers
 // would otherwise keep its lease indefinitely.
-func (w *worker) heard(now unit.Instant) bool {
-	return now.Sub(max(w.answered, w.firstAsked)) < unresponsiveAfter
+func (w *worker) answeredLately(now unit.Instant) bool {
+	return now.Sub(max(w.lastAnswerAt, w.firstRenewalAt)) < unresponsiveAfter
 }
 
 // needsRenewal reports whether the worker must be asked what runs there, or
@@ -249,14 +249,14 @@
 	if w.replaced {
 		return false
 	}
-	return len(w.runs) > 0 || w.durable > w.told || w.listed && !w.confirmed()
+	return len(w.runs) > 0 || w.lastEndStored > w.lastEndAcked || w.listed && !w.confirmed()
 }
 
 // renewalWait returns how long a renewal may wait for news under leases of this
 // length. After an answered renewal two in a row may be lost, of which the
 // second doesn't wait, before the lease expires.
 func renewalWait(lease time.Duration) time.Duration {
-	spare := scale(lease, leaseShare) - 2*renewLimit
+	spare := scale(lease, leaseShare) - 2*renewTimeout
 	return max(minRenewWait, min(renewWait, spare/2))
 }
 
@@ -264,20 +264,22 @@
 // forget, by this renewal or the next one. Such a renewal doesn't wait for
 // news: until it is answered, the worker's next incarnation may receive it
 // instead, and then gets no tasks for as long as orders may arrive late.
-func (w *worker) hasForgettableEnds() bool { return fleet.TellsStart(w.ID) && w.durable > w.told }
+func (w *worker) hasForgettableEnds() bool {
+	return fleet.TellsStart(w.ID) && w.lastEndStored > w.lastEndAcked
+}
 
 // needsPromptAnswer reports whether a renewal to the worker must be answered
 // without waiting for news.
 func (w *worker) needsPromptAnswer() bool {
-	if w.synced < w.pausedAt || !w.confirmed() {
+	if w.syncedAsOf < w.pausedAt || !w.confirmed() {
 		return true
 	}
 	for _, r := range w.runs {
-		if r.inherited != "" {
+		if r.inheritedFrom != "" {
 			return true
 		}
-		absenceCounts := r.started != 0 || r.stopDone != 0
-		if absenceCounts && r.missed != 0 || r.state == runStopping && r.stopDone != 0 && w.synced < r.stopDone {
+		absenceCounts := r.startedAt != 0 || r.stopConfirmedAt != 0
+		if absenceCounts && r.missingAt != 0 || r.state == runStopping && r.stopConfirmedAt != 0 && w.syncedAsOf < r.stopConfirmedAt {
 			return true
 		}
 	}
@@ -286,12 +288,12 @@
 
 // usable reports whether new tasks may be placed on a worker.
 func (w *worker) usable(now unit.Instant) bool {
-	return w.listed && !w.Draining && !w.held && !w.evacuated && w.confirmed() && now >= w.pausedUntil && w.healthy(now)
+	return w.listed && !w.Draining && !w.awaitingUpkeep && !w.evacuated && w.confirmed() && now >= w.pausedUntil && w.healthy(now)
 }
 
 // healthy reports whether a worker is idle, or answers.
 func (w *worker) healthy(now unit.Instant) bool {
-	return len(w.runs) == 0 || w.heard(now)
+	return len(w.runs) == 0 || w.answeredLately(now)
 }
 
 // nearData reports whether a worker is where the step's data is.
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -30,12 +30,12 @@
 	}
 	d.countPending(now)
 	candidates := d.candidates(now)
-	d.lastingWaits = d.giveWay(now, candidates)
-	d.claims = d.waitingClaims()
+	d.longRunningWaits = d.releaseGangRoom(now, candidates)
+	d.claimsWithoutStop = d.waitingClaims()
 	for _, c := range candidates {
 		allowed := d.startsLeft(len(c.waiting), c.step.step.Gang)
 		if allowed == 0 {
-			d.note(Note{Event: EventStartsBounded, Job: c.step.job.id, Why: fmt.Sprintf("%d starts under way", d.window.under)})
+			d.note(Note{Event: EventStartsBounded, Job: c.step.job.id, Why: fmt.Sprintf("%d starts under way", d.window.pendingStarts)})
 			return
 		}
 		c.waiting = c.waiting[:allowed]
@@ -70,9 +70,9 @@
 	if p == nil || d.unplaceable(now, &c, p) {
 		return false
 	}
-	c.possible = c.step.withoutRefused(p.withLabel(c.step.step.Label))
-	fits := c.elsewhere(now, c.step.permitted(now, c.possible))
-	if d.gangApart(now, &c) {
+	c.eligible = c.step.withoutRefused(p.withLabel(c.step.step.Label))
+	fits := c.withoutRecentFailures(now, c.step.permitted(now, c.eligible))
+	if d.isolatesGang(now, &c) {
 		return d.placeSuspectGang(now, c, fits)
 	}
 	if !c.step.step.Gang && !d.placeSuspects(now, &c, fits) {
@@ -181,10 +181,10 @@
 	need := s.step.Reserved()
 	for _, w := range fits {
 		free := w.free()
-		if !need.Fits(free) || !mayUseEmpty && w.empty() || s.full(w, 0) || w.onTrial() && len(w.runs) > 0 {
+		if !need.Fits(free) || !mayUseEmpty && w.empty() || s.full(w, 0) || w.onProbation() && len(w.runs) > 0 {
 			continue
 		}
-		left := leftover(free.Sub(need), w.Capacity) + d.emptyWorkerPenalty(w) + w.suspicion() + s.interferencePenalty(w)
+		left := leftover(free.Sub(need), w.Capacity) + d.emptyWorkerPenalty(w) + w.failureCost() + s.interferencePenalty(w)
 		if s.nearData(w) {
 			if best == nil || left < bestLeft {
 				best, bestLeft = w, left
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -43,7 +43,7 @@
 	for _, r := range d.racks {
 		*r = rackUse{}
 	}
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		w.pool, w.rackUse = nil, nil
 		if !w.usable(now) {
 			continue
@@ -130,9 +130,9 @@
 	return found
 }
 
-// recount makes a change after which a worker may be empty or no longer empty,
+// updateCounts makes a change after which a worker may be empty or no longer empty,
 // and updates the counts of the pass.
-func (w *worker) recount(change func()) {
+func (w *worker) updateCounts(change func()) {
 	before := w.empty()
 	change()
 	after := w.empty()
@@ -154,5 +154,5 @@
 	if s.claim != nil || s.job.spec.Priority == 0 || s.job.spec.Advice.Needed || s.step.Reserved().Fits(p.maxFree) {
 		return false
 	}
-	return c.late || d.claims >= maxWaitingClaims || !c.pressing(now)
+	return c.late || d.claimsWithoutStop >= maxWaitingClaims || !c.pressing(now)
 }
--- a/core/dispatch/preempt.go
+++ b/core/dispatch/preempt.go
@@ -47,18 +47,18 @@
 		return
 	}
 	chosen, ok := d.choosePreempted(now, c, fits)
-	if !ok && !s.step.Gang && now.Sub(s.triedFewer) >= fewerInterval {
-		s.triedFewer = now
+	if !ok && !s.step.Gang && now.Sub(s.partialTriedAt) >= fewerInterval {
+		s.partialTriedAt = now
 		chosen, ok = d.chooseFewer(now, c, fits)
 	}
 	if !ok {
-		d.reclaimable(now, c)
+		d.noteGuaranteeAtRisk(now, c)
 		return
 	}
 	for _, v := range chosen.victims {
-		d.stopRun(now, v, "makes room for job "+string(s.job.id))
+		d.stopWithGang(now, v, "makes room for job "+string(s.job.id))
 	}
-	d.keep(now, c, chosen.workers, claimTime, "work of lower priority is stopped")
+	d.claimRoom(now, c, chosen.workers, claimTime, "work of lower priority is stopped")
 }
 
 // choosePreempted finds room for all waiting tasks of a step by stopping
@@ -84,14 +84,14 @@
 // claimForGang reserves room for a gang where enough of it will be free
 // soonest, so that smaller work doesn't take it bit by bit.
 func (d *Dispatcher) claimForGang(now unit.Instant, c candidate, fits []*worker) {
-	if !d.policy.KeepGangRoom || d.lastingWaits[c.step.job.spec.Service] {
+	if !d.policy.KeepGangRoom || d.longRunningWaits[c.step.job.spec.Service] {
 		return
 	}
-	for horizon := minHorizon; d.claims < maxWaitingClaims && horizon <= maxHorizon; horizon *= 2 {
+	for horizon := minHorizon; d.claimsWithoutStop < maxWaitingClaims && horizon <= maxHorizon; horizon *= 2 {
 		chosen := d.chooseGang(now, c, fits, d.roomWithin(horizon))
 		if chosen.workers != nil {
-			d.claims++
-			d.keep(now, c, chosen.workers, horizon+claimTime, "other work there is expected to end soon")
+			d.claimsWithoutStop++
+			d.claimRoom(now, c, chosen.workers, horizon+claimTime, "other work there is expected to end soon")
 			return
 		}
 	}
@@ -133,7 +133,7 @@
 	}
 	costs := make(map[*run]float64, len(others))
 	for _, r := range others {
-		costs[r] = d.lossOf(now, r)
+		costs[r] = d.lostByStopping(now, r)
 	}
 	slices.SortStableFunc(others, func(a, b *run) int { return cmp.Compare(costs[a], costs[b]) })
 	victims, cost := pickVictims(others, costs, free, need)
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -87,7 +87,7 @@
 // counts a job as lost that waits 3 s then.
 func (d *Dispatcher) mustStartOne(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
 	s := c.step
-	return !s.job.busy() && s.waitedFor(now, relaxWait) && p.usage < maxRelaxUsage && s.roomFor(fits, 2)
+	return !s.job.hasRuns() && s.waitedFor(now, relaxWait) && p.usage < maxRelaxUsage && s.roomFor(fits, 2)
 }
 
 // withoutEmpty leaves out the empty workers.
--- a/core/dispatch/room.go
+++ b/core/dispatch/room.go
@@ -16,8 +16,8 @@
 	if old := r.worker.runs.get(r.task); old != nil {
 		d.release(old)
 	}
-	d.inPlace++
-	r.worker.recount(func() { r.worker.runs.put(r) })
+	d.placedRuns++
+	r.worker.updateCounts(func() { r.worker.runs.put(r) })
 	r.worker.used = r.worker.used.Add(r.taken())
 	if r.step != nil {
 		r.step.runs[r.task.Index] = r
@@ -29,11 +29,11 @@
 	if r.worker.runs.get(r.task) != r {
 		return
 	}
-	d.inPlace--
+	d.placedRuns--
 	// Its order may still be under way.
-	r.worker.grantedUntil = max(r.worker.grantedUntil, r.startLapse)
-	r.keepStray()
-	r.worker.recount(func() { r.worker.runs.remove(r.task) })
+	r.worker.grantedLeaseExpiry = max(r.worker.grantedLeaseExpiry, r.startLeaseExpiry)
+	r.recordLateStart()
+	r.worker.updateCounts(func() { r.worker.runs.remove(r.task) })
 	r.worker.used = r.worker.used.Sub(r.taken())
 	if r.step == nil {
 		return
@@ -42,21 +42,21 @@
 		delete(r.step.runs, r.task.Index)
 	}
 	js := r.step.job
-	if js.progress.Outcome != job.Open && !js.busy() {
+	if js.progress.Outcome != job.Open && !js.hasRuns() {
 		js.dropTasks()
-		d.mark(js)
+		d.markChanged(js)
 	}
 }
 
 // taken returns the capacity that a run takes of its worker, including what is
 // kept free beside it.
-func (r *run) taken() job.Resources { return r.need.Add(r.shield) }
+func (r *run) taken() job.Resources { return r.need.Add(r.isolationReserve) }
 
 // usage returns the fraction of a service's capacity in use, for the resource
 // of which most is free. Listed workers that accept no new tasks count.
 func (d *Dispatcher) usage(name id.Service) float64 {
 	var used, all job.Resources
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.Service == name && w.listed {
 			used, all = used.Add(w.used), all.Add(w.Capacity)
 		}
@@ -108,9 +108,9 @@
 	return amount / whole
 }
 
-// mostOn returns how many tasks of the step fit into this much room of one
+// maxTasksIn returns how many tasks of the step fit into this much room of one
 // worker.
-func (s *stepState) mostOn(room job.Resources) int {
+func (s *stepState) maxTasksIn(room job.Resources) int {
 	need, n := s.step.Reserved(), 0
 	for need.Fits(room) && n < s.step.Count && (s.step.MaxPerWorker == 0 || n < s.step.MaxPerWorker) {
 		room = room.Sub(need)
@@ -123,15 +123,15 @@
 // tasks.
 func (s *stepState) fitsIfEmpty(workers []*worker, n int) bool {
 	for _, w := range workers {
-		n -= s.mostOn(w.Capacity)
+		n -= s.maxTasksIn(w.Capacity)
 	}
 	return n <= 0
 }
 
-// overfull reports whether runs take more than a worker's capacity, because it
+// overcommitted reports whether runs take more than a worker's capacity, because it
 // has shrunk since they were placed. The capacity of a worker that isn't listed
 // is unknown.
-func (w *worker) overfull() bool { return w.listed && !w.used.Fits(w.Capacity) }
+func (w *worker) overcommitted() bool { return w.listed && !w.used.Fits(w.Capacity) }
 
 // free returns the capacity that neither runs nor reservations take. It is
 // negative if a newly discovered run, or a smaller capacity in the list, leaves
--- a/core/dispatch/stall.go
+++ b/core/dispatch/stall.go
@@ -33,9 +33,9 @@
 	// maxStallStops is how many runs of one task, or gang, are stopped for lack
 	// of progress. After that, the lack is assumed to be normal for the task.
 	maxStallStops = 2
-	// urgentWait replaces renewWait on a worker with an urgent run: progress is
+	// urgentRenewWait replaces renewWait on a worker with an urgent run: progress is
 	// only seen when answers arrive.
-	urgentWait = time.Second
+	urgentRenewWait = time.Second
 )
 
 // whyStalled is the reason logged when a run without progress is stopped.
@@ -45,10 +45,10 @@
 // the first progress, the time without it counts from the run's start.
 func (r *run) recordProgress(now unit.Instant, percent int) {
 	switch {
-	case r.advanced == 0 && percent == 0 && r.started != 0:
-		r.advanced = r.started
-	case r.advanced == 0, percent > r.percent:
-		r.advanced = now
+	case r.progressAt == 0 && percent == 0 && r.startedAt != 0:
+		r.progressAt = r.startedAt
+	case r.progressAt == 0, percent > r.percent:
+		r.progressAt = now
 	}
 	if percent > 0 && r.step != nil {
 		r.step.showsProgress = true
@@ -77,31 +77,31 @@
 // stopStalledRun stops one run that makes no progress, and suspends its worker.
 func (d *Dispatcher) stopStalledRun(now unit.Instant, r *run) {
 	s, w := r.step, r.worker
-	if s.stalls == nil {
-		s.stalls = map[int]int{}
+	if s.stallStops == nil {
+		s.stallStops = map[int]int{}
 	}
-	s.stalls[s.failureKey(r.task.Index)]++
+	s.stallStops[s.failureKey(r.task.Index)]++
 	s.noteFailure(now, r.task.Index, w)
-	w.streak = suspendAfterFailures
+	w.failureStreak = suspendAfterFailures
 	d.suspendFailing(now, w, "a task makes no progress there")
-	d.stopRun(now, r, whyStalled)
+	d.stopWithGang(now, r, whyStalled)
 }
 
 // stalled reports whether a run that its worker has just reported makes no
 // progress.
 func (d *Dispatcher) stalled(now unit.Instant, r *run) bool {
 	s := r.step
-	if s == nil || r.state != runRunning || r.reported != now || r.percent >= almostDone {
+	if s == nil || r.state != runRunning || r.reportedAt != now || r.percent >= almostDone {
 		return false
 	}
-	if s.step.LongRunning || r.fills() || s.stalls[s.failureKey(r.task.Index)] >= maxStallStops {
+	if s.step.LongRunning || r.bestEffort() || s.stallStops[s.failureKey(r.task.Index)] >= maxStallStops {
 		return false
 	}
 	since, working := s.workingSince(r)
 	if !working {
 		return false
 	}
-	stalledFor := now.Sub(max(since, r.advanced))
+	stalledFor := now.Sub(max(since, r.progressAt))
 	if stalledFor < max(s.stallLimit(), r.redoTime(since, d.config.SaveEvery)) {
 		return false
 	}
@@ -125,17 +125,17 @@
 // its gang, isn't running.
 func (s *stepState) workingSince(r *run) (unit.Instant, bool) {
 	if !s.step.Gang {
-		return r.started, r.started != 0
+		return r.startedAt, r.startedAt != 0
 	}
 	if len(s.runs) < s.step.Count {
 		return 0, false
 	}
 	var last unit.Instant
 	for _, m := range s.runs {
-		if m.state != runRunning || m.started == 0 {
+		if m.state != runRunning || m.startedAt == 0 {
 			return 0, false
 		}
-		last = max(last, m.started)
+		last = max(last, m.startedAt)
 	}
 	return last, true
 }
@@ -143,7 +143,7 @@
 // redoTime returns how long a new run would need to reach the progress of this
 // one.
 func (r *run) redoTime(since unit.Instant, saveEvery time.Duration) time.Duration {
-	worked := max(0, r.advanced.Sub(since))
+	worked := max(0, r.progressAt.Sub(since))
 	if r.step.step.Checkpointing {
 		return min(worked, saveEvery)
 	}
@@ -167,10 +167,10 @@
 func (w *worker) allStalled(now unit.Instant) bool {
 	working, shows := 0, false
 	for _, r := range w.runs {
-		if r.state != runRunning || r.reported != now {
+		if r.state != runRunning || r.reportedAt != now {
 			continue
 		}
-		if now.Sub(r.advanced) < urgentStallTime {
+		if now.Sub(r.progressAt) < urgentStallTime {
 			return false
 		}
 		working++
@@ -179,8 +179,8 @@
 	return working >= 2 && shows
 }
 
-// urgent reports whether an urgent run is at work on a worker.
-func (w *worker) urgent() bool {
+// runsUrgentWork reports whether an urgent run is at work on a worker.
+func (w *worker) runsUrgentWork() bool {
 	for _, r := range w.runs {
 		if r.step != nil && r.step.job.spec.Priority == 0 && !r.step.step.LongRunning && r.state == runRunning {
 			return true
--- a/core/dispatch/starved_test.go
+++ b/core/dispatch/starved_test.go
@@ -27,7 +27,7 @@
 	)
 	for _, trip := range []time.Duration{worldTrip, 300 * time.Millisecond} {
 		t.Run(trip.String(), func(t *testing.T) {
-			w := newFarWorld(t, workers, 0, trip)
+			w := newWorldWithTrip(t, workers, 0, trip)
 			w.Run(2 * time.Second)
 			for range 5 {
 				w.urgentSecond(urgentASecond)
@@ -51,7 +51,7 @@
 
 // urgentSecond runs the world for a second in which n urgent tasks arrive,
 // evenly spread.
-func (l *load) urgentSecond(n int) {
+func (l *loadWorld) urgentSecond(n int) {
 	for i := range n {
 		l.Plan(time.Duration(i)*time.Second/time.Duration(n), func() { l.submit(0, 1, 1, 500*time.Millisecond) })
 	}
@@ -59,7 +59,7 @@
 }
 
 // submitGang submits a job that is one gang.
-func (l *load) submitGang(priority, count, gpus int, takes time.Duration) {
+func (l *loadWorld) submitGang(priority, count, gpus int, takes time.Duration) {
 	l.submitStep(priority, takes, job.Step{
 		Count: count, Gang: true, Estimate: takes, Need: job.Resources{CPU: 1000 * job.MilliCPU(gpus), Memory: unit.GiB, Accelerators: gpus},
 	})
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -51,11 +51,11 @@
 	hasProgress bool
 	// open counts the steps that are not done.
 	open int
-	// seen is when this owner learned of the job.
-	seen unit.Instant
-	// blamed holds the workers on which a run of the job failed right after its
+	// knownSince is when this owner learned of the job.
+	knownSince unit.Instant
+	// failedAtOnceOn holds the workers on which a run of the job failed right after its
 	// start.
-	blamed []id.Worker
+	failedAtOnceOn []id.Worker
 	// guaranteeAtRisk is set once a note says that the customer's guarantee
 	// can't be met for the job.
 	guaranteeAtRisk bool
@@ -87,8 +87,8 @@
 	base int
 	// done counts the tasks that are done. counted is set once the job's count
 	// of open steps was decremented for the step.
-	done    int
-	counted bool
+	done        int
+	doneCounted bool
 	// failedRun is the last run of the gang that was counted as failed.
 	failedRun job.Run
 	// runs holds the runs of the step's tasks that occupy room on workers, by
@@ -99,20 +99,20 @@
 	waitingSince unit.Instant
 	// claim is the room that is reserved for the waiting tasks of the step.
 	claim *claim
-	// triedFewer is when room for only a part of the waiting tasks was last
+	// partialTriedAt is when room for only a part of the waiting tasks was last
 	// sought.
-	triedFewer unit.Instant
-	// failures holds the latest failure of each task by its index, and that of
+	partialTriedAt unit.Instant
+	// lastFailures holds the latest failure of each task by its index, and that of
 	// a gang under 0.
-	failures map[int]failure
+	lastFailures map[int]failure
 	// showsProgress is set once a run of the step has reported progress.
 	showsProgress bool
-	// stalls counts the runs of each task that were stopped because they made
+	// stallStops counts the runs of each task that were stopped because they made
 	// no progress, with the same keys as failures.
-	stalls map[int]int
-	// excused counts the crashes soon after a start that this owner didn't hold
+	stallStops map[int]int
+	// excusedCrashes counts the crashes soon after a start that this owner didn't hold
 	// against a task, by task index.
-	excused map[int]int
+	excusedCrashes map[int]int
 	// permits holds the answer of the advice service for each worker.
 	permits map[id.Worker]permit
 	// adviceInFlight is set while a question to the advice service about the
@@ -127,56 +127,56 @@
 	state  runState
 	worker *worker
 	need   job.Resources
-	// shield is room beside the run that is kept empty: what was free on its
+	// isolationReserve is room beside the run that is kept empty: what was free on its
 	// worker when a task suspected of crashing workers was placed there.
-	shield job.Resources
+	isolationReserve job.Resources
 	// step is nil if the job is no longer known; such a run is stopped.
 	step *stepState
-	// since is when the start order was first sent, or when this owner first
+	// knownSince is when the start order was first sent, or when this owner first
 	// learned of the run.
-	since unit.Instant
-	// started is when the worker confirmed the start; 0 before.
-	started    unit.Instant
+	knownSince unit.Instant
+	// startedAt is when the worker confirmed the start; 0 before.
+	startedAt  unit.Instant
 	checkpoint string
 	percent    int
-	// reported is when the worker last reported checkpoint and percent,
+	// reportedAt is when the worker last reported checkpoint and percent,
 	// advanced when percent last increased.
-	reported, advanced unit.Instant
+	reportedAt, progressAt unit.Instant
 	// load is the worker's load figure of the run: the tail latency of a
 	// serving task in milliseconds, the processor time in use of any other.
 	load int64
-	// slowed is the share of its full speed, in percent, that the run was last
+	// slowdownPercent is the share of its full speed, in percent, that the run was last
 	// ordered to give up to others; 0 at full speed.
-	slowed int
-	// stopAsked is when the last stop order was sent, stopDone when the worker
+	slowdownPercent int
+	// stopSentAt is when the last stop order was sent, stopDone when the worker
 	// confirmed a stop; 0 if it hasn't, or if the order is due again.
-	stopAsked unit.Instant
-	stopDone  unit.Instant
-	// missed is when a report arrived that didn't list the run; 0 if the latest
+	stopSentAt      unit.Instant
+	stopConfirmedAt unit.Instant
+	// missingAt is when a report arrived that didn't list the run; 0 if the latest
 	// report lists it.
-	missed unit.Instant
-	// asked is when the last start order was sent, orders how many were sent.
-	asked  unit.Instant
-	orders int
-	// startLapse is when the lease of a start order in flight has expired for
+	missingAt unit.Instant
+	// startSentAt is when the last start order was sent, orders how many were sent.
+	startSentAt unit.Instant
+	startOrders int
+	// startLeaseExpiry is when the lease of a start order in flight has expired for
 	// certain; 0 if none is in flight. lateStartLeaseExpiry is the same for
 	// unanswered start orders that the next incarnation under the worker's name
 	// may still carry out.
-	startLapse, lateStartLeaseExpiry unit.Instant
+	startLeaseExpiry, lateStartLeaseExpiry unit.Instant
 	// inFlight is set while an order for the run has no verdict.
 	inFlight bool
-	// unanswered is set once a start order has got no answer: the worker may
+	// startUnanswered is set once a start order has got no answer: the worker may
 	// carry it out seconds later.
-	unanswered bool
-	// resumed is set for a run that an earlier owner ordered; its start time
+	startUnanswered bool
+	// fromEarlierOwner is set for a run that an earlier owner ordered; its start time
 	// isn't known.
-	resumed bool
-	// inherited is the incarnation that the run was placed on, while it isn't
+	fromEarlierOwner bool
+	// inheritedFrom is the incarnation that the run was placed on, while it isn't
 	// known whether the next incarnation under the name has the run; else
 	// empty.
-	inherited id.Worker
-	// why is the reason, for the log, why the run is stopped.
-	why string
+	inheritedFrom id.Worker
+	// stopReason is the reason, for the log, why the run is stopped.
+	stopReason string
 }
 
 // apply applies an event to the run's state machine. It reports false and
@@ -203,24 +203,24 @@
 	// worker; nil if new tasks may not be placed on it.
 	pool    *pool
 	rackUse *rackUse
-	// held is set while the worker's machine is about to go down for
+	// awaitingUpkeep is set while the worker's machine is about to go down for
 	// maintenance, evacuated while its failure domain is evacuated.
-	held, evacuated bool
-	// raise is the raise number of the fence under which orders to the worker
+	awaitingUpkeep, evacuated bool
+	// fenceRevision is the raise number of the fence under which orders to the worker
 	// are sent; it never decreases. changeSent is set once an order that starts
 	// a run, grants a lease or lets the worker forget ends may have been sent
 	// under it.
-	raise      id.Raise
-	changeSent bool
-	// since is when this owner learned of the worker.
-	since unit.Instant
+	fenceRevision id.Raise
+	changeSent    bool
+	// knownSince is when this owner learned of the worker.
+	knownSince unit.Instant
 	// listed is set while the platform's list contains the worker.
 	listed bool
-	// leaves is when a draining worker may be gone; leavesAt is the least
+	// drainEndsAt is when a draining worker may be gone; leavesAt is the least
 	// reading of the worker's own clock at that time, or 0 if its entry has no
 	// clock.
-	leaves   unit.Instant
-	leavesAt fleet.Clock
+	drainEndsAt   unit.Instant
+	drainEndClock fleet.Clock
 	// used is the part of the capacity that runs take, reserved the part that
 	// claims take.
 	used, reserved job.Resources
@@ -228,71 +228,71 @@
 	// clockAt is the earliest time at which the worker's clock can have shown
 	// Clock.
 	clockAt unit.Instant
-	// answered is when its last answer arrived, firstAsked when this owner's
+	// lastAnswerAt is when its last answer arrived, firstAsked when this owner's
 	// first renewal was sent; 0 for never.
-	answered, firstAsked unit.Instant
-	// seen is the sequence number of the last end that was taken in, durable
+	lastAnswerAt, firstRenewalAt unit.Instant
+	// lastEndSeen is the sequence number of the last end that was taken in, durable
 	// that of the last end whose record is in the store, told that of the last
 	// end that the worker was told to forget.
-	seen, durable, told uint64
+	lastEndSeen, lastEndStored, lastEndAcked uint64
 	// pacedAt is when the speed of the runs that use spare capacity was last
 	// changed.
 	pacedAt unit.Instant
-	// synced is when the latest renewal was sent that the worker answered under
+	// syncedAsOf is when the latest renewal was sent that the worker answered under
 	// the present epoch; 0 if there is none that counts. toldClock is the
 	// worker's clock in that answer, 0 if it had none.
-	synced    unit.Instant
-	toldClock fleet.Clock
+	syncedAsOf  unit.Instant
+	syncedClock fleet.Clock
 	// syncRequestedAt is when a new report was last requested; answers to
 	// renewals that were sent before don't count.
 	syncRequestedAt unit.Instant
-	// holding is set while a renewal is in flight, waits if that renewal waits
+	// renewalInFlight is set while a renewal is in flight, waits if that renewal waits
 	// at the worker for a report. nextHold is when the next renewal is due.
-	holding  bool
-	waits    bool
-	nextHold unit.Instant
-	// askedInVain is set if the last completed renewal got no answer and its
+	renewalInFlight bool
+	renewalWaits    bool
+	nextRenewal     unit.Instant
+	// renewalFailed is set if the last completed renewal got no answer and its
 	// failure was handled in time. One that is handled late proves nothing:
 	// this host may have been frozen meanwhile.
-	askedInVain bool
-	// lostAt is when a renewal first got no answer after the worker's last
+	renewalFailed bool
+	// firstLossAt is when a renewal first got no answer after the worker's last
 	// answer; 0 if none did.
-	lostAt unit.Instant
-	// lastUnanswered is set if the last renewal got no answer. The next one
+	firstLossAt unit.Instant
+	// renewalUnanswered is set if the last renewal got no answer. The next one
 	// doesn't wait for a report, so that its loss is noticed 2 s earlier.
-	lastUnanswered bool
-	// strays holds the start orders of runs that are over, of which a copy
+	renewalUnanswered bool
+	// lateStarts holds the start orders of runs that are over, of which a copy
 	// recently got no answer. toldStray is when the last unanswered renewal was
 	// sent that told the worker to forget ends; 0 for never. The next
 	// incarnation under the name may carry out either. strayUntil is when every
 	// lease has expired there for certain that an unanswered order may grant.
-	strays                []strayStart
-	toldStray, strayUntil unit.Instant
+	lateStarts                 []lateStart
+	lateAckAt, lateLeaseExpiry unit.Instant
 	// pausedUntil is until when the worker gets no new tasks, pausedAt when
 	// that was decided.
 	pausedAt, pausedUntil unit.Instant
-	// contested is when a rival incarnation, at the worker's address or of its
+	// rivalSeenAt is when a rival incarnation, at the worker's address or of its
 	// machine, was last listed; 0 if there is none. replaced is set once a
 	// rival has answered in the worker's place, until the worker is listed
 	// again.
-	contested unit.Instant
-	replaced  bool
-	// grantedUntil is when every lease that may have been granted has expired
+	rivalSeenAt unit.Instant
+	replaced    bool
+	// grantedLeaseExpiry is when every lease that may have been granted has expired
 	// for certain, renewalLapse the same for the renewal in flight; 0 if that
 	// grants none.
-	grantedUntil, renewalLapse unit.Instant
-	// streak counts the failed runs of different jobs since the last success;
+	grantedLeaseExpiry, renewalLeaseExpiry unit.Instant
+	// failureStreak counts the failed runs of different jobs since the last success;
 	// lastFailed is the job of the latest one.
-	streak     int
-	lastFailed id.Job
+	failureStreak int
+	lastFailedJob id.Job
 }
 
 // sorted returns a copy of the worker's runs, for loops that change the set.
 func (w *worker) sorted() runSet { return slices.Clone(w.runs) }
 
-// together returns the states of the tasks that start and end together with the
+// startGroup returns the states of the tasks that start and end together with the
 // one at index: its whole gang, or the task alone. The job must have progress.
-func (s *stepState) together(index int) []job.TaskState {
+func (s *stepState) startGroup(index int) []job.TaskState {
 	tasks := s.job.progress.Tasks[s.base : s.base+s.step.Count]
 	if s.step.Gang {
 		return tasks
@@ -300,8 +300,8 @@
 	return tasks[index : index+1]
 }
 
-// busy reports whether a run of the job still occupies room.
-func (js *jobState) busy() bool {
+// hasRuns reports whether a run of the job still occupies room.
+func (js *jobState) hasRuns() bool {
 	for _, s := range js.steps {
 		if len(s.runs) > 0 {
 			return true
--- a/core/dispatch/stop.go
+++ b/core/dispatch/stop.go
@@ -31,10 +31,10 @@
 		// as a whole; its workers list the other members' ends without a stop.
 		d.stopAll(now, js, why)
 	}
-	if !js.busy() {
+	if !js.hasRuns() {
 		js.dropTasks()
 	}
-	d.mark(js)
+	d.markChanged(js)
 	d.noteJob(EventJobEnded, now, js, why, js.spec.LongestChain())
 }
 
@@ -60,7 +60,7 @@
 	if r.state == runStopping || r.state == runGone {
 		return
 	}
-	r.why = why
+	r.stopReason = why
 	ordered := r.state == runOrdered
 	if !r.apply(evStop) {
 		return
@@ -70,7 +70,7 @@
 		d.release(r)
 		return
 	}
-	d.noteRun(EventTaskStop, r, why, now.Sub(r.since))
+	d.noteRun(EventTaskStop, r, why, now.Sub(r.knownSince))
 	d.orderStop(now, r)
 }
 
@@ -90,21 +90,21 @@
 		if r.checkpoint != "" {
 			d.keepCheckpoint(r.step, r.task.Index, r.checkpoint)
 		}
-		d.mark(js)
+		d.markChanged(js)
 	}
 }
 
 // keepCheckpoint sets the checkpoint of a task, or of all members of a gang,
 // which have to start from the same one.
 func (d *Dispatcher) keepCheckpoint(s *stepState, index int, checkpoint string) {
-	tasks := s.together(index)
+	tasks := s.startGroup(index)
 	for i := range tasks {
 		tasks[i].Checkpoint = checkpoint
 	}
 }
 
-// lose gives up a run and stops the rest of its gang.
-func (d *Dispatcher) lose(now unit.Instant, r *run, why string) {
+// loseWithGang gives up a run and stops the rest of its gang.
+func (d *Dispatcher) loseWithGang(now unit.Instant, r *run, why string) {
 	d.requeue(r)
 	d.release(r)
 	if r.step != nil && r.step.step.Gang && r.step.done < r.step.step.Count {
@@ -112,8 +112,8 @@
 	}
 }
 
-// stopRun stops a run together with its gang.
-func (d *Dispatcher) stopRun(now unit.Instant, r *run, why string) {
+// stopWithGang stops a run together with its gang.
+func (d *Dispatcher) stopWithGang(now unit.Instant, r *run, why string) {
 	if r.step != nil && r.step.step.Gang {
 		d.stopStep(now, r.step, why)
 		return
--- a/core/dispatch/suspect.go
+++ b/core/dispatch/suspect.go
@@ -25,10 +25,10 @@
 	// task, unless one more crash would fail its job. There may be no such
 	// worker in a service where every worker starts a task each second.
 	isolationMaxWait = 5 * time.Second
-	// shieldedWait is how long a renewal may wait for news on a worker where
+	// isolationRenewWait is how long a renewal may wait for news on a worker where
 	// room is kept free beside a suspect; the answer shows that the worker has
 	// not crashed. The cost is a renewal every 100 ms for some 400 ms.
-	shieldedWait = 100 * time.Millisecond
+	isolationRenewWait = 100 * time.Millisecond
 	// steadyWorkerAge is how long a worker must be known to be preferred for
 	// suspects. A worker that has just crashed by its own fault may crash
 	// again, and has the most room.
@@ -78,11 +78,11 @@
 // placeSuspectGang does the same for a gang, whose members may share workers.
 func (d *Dispatcher) placeSuspectGang(now unit.Instant, c candidate, fits []*worker) bool {
 	for _, tier := range c.step.isolationTiers(now, 0, fits) {
-		chosen := d.chooseGang(now, c, tier.workers, d.plainRoom)
+		chosen := d.chooseGang(now, c, tier.workers, d.freeRoom)
 		if chosen.workers == nil {
 			continue
 		}
-		d.placeOn(c, chosen.workers)
+		d.placeOnWorkers(c, chosen.workers)
 		for _, i := range c.waiting {
 			d.isolate(c.step.runs[i], tier.why)
 		}
@@ -91,9 +91,9 @@
 	return false
 }
 
-// gangApart reports whether a candidate is a gang that is to be started apart
+// isolatesGang reports whether a candidate is a gang that is to be started apart
 // from other tasks.
-func (d *Dispatcher) gangApart(now unit.Instant, c *candidate) bool {
+func (d *Dispatcher) isolatesGang(now unit.Instant, c *candidate) bool {
 	return c.step.step.Gang && d.suspect(c.step, 0) && c.step.waitedSinceCrash(now, 0) < isolationMaxWait
 }
 
@@ -110,7 +110,7 @@
 	var steady, empty, settled []*worker
 	for _, w := range fits {
 		switch {
-		case w.empty() && now.Sub(w.since) >= steadyWorkerAge:
+		case w.empty() && now.Sub(w.knownSince) >= steadyWorkerAge:
 			steady = append(steady, w)
 		case w.empty():
 			empty = append(empty, w)
@@ -129,7 +129,7 @@
 // that they aren't blamed for a crash.
 func (w *worker) runsSettled() bool {
 	for _, r := range w.runs {
-		if r.workedFor() < settledAfter {
+		if r.confirmedRuntime() < earlyCrashTime {
 			return false
 		}
 	}
@@ -139,7 +139,7 @@
 // waitedSinceCrash returns how long ago this owner learned of a suspect's last
 // crash, or of its job if that was later.
 func (s *stepState) waitedSinceCrash(now unit.Instant, index int) time.Duration {
-	return now.Sub(max(s.job.seen, s.failures[s.failureKey(index)].at))
+	return now.Sub(max(s.job.knownSince, s.lastFailures[s.failureKey(index)].at))
 }
 
 // isolate reserves the free room of a worker beside a run that was just placed
@@ -153,15 +153,15 @@
 // records it in the run's shield.
 func (r *run) setIsolationReserve() {
 	free := r.worker.free()
-	r.shield = job.Resources{CPU: max(0, free.CPU), Memory: max(0, free.Memory), Accelerators: max(0, free.Accelerators)}
-	r.worker.used = r.worker.used.Add(r.shield)
+	r.isolationReserve = job.Resources{CPU: max(0, free.CPU), Memory: max(0, free.Memory), Accelerators: max(0, free.Accelerators)}
+	r.worker.used = r.worker.used.Add(r.isolationReserve)
 }
 
-// reshield adjusts the room reserved beside suspects on a worker whose capacity
+// updateIsolationReserves adjusts the room reserved beside suspects on a worker whose capacity
 // or use has changed.
-func (w *worker) reshield() {
+func (w *worker) updateIsolationReserves() {
 	for _, r := range w.runs {
-		if r.shield != (job.Resources{}) {
+		if r.isolationReserve != (job.Resources{}) {
 			r.dropIsolationReserve()
 			r.setIsolationReserve()
 		}
@@ -170,14 +170,14 @@
 
 // dropIsolationReserve releases the room that is reserved beside a run.
 func (r *run) dropIsolationReserve() {
-	r.worker.used = r.worker.used.Sub(r.shield)
-	r.shield = job.Resources{}
+	r.worker.used = r.worker.used.Sub(r.isolationReserve)
+	r.isolationReserve = job.Resources{}
 }
 
-// shielded reports whether room is reserved beside some run of the worker.
-func (w *worker) shielded() bool {
+// hasIsolationReserve reports whether room is reserved beside some run of the worker.
+func (w *worker) hasIsolationReserve() bool {
 	for _, r := range w.runs {
-		if r.shield != (job.Resources{}) {
+		if r.isolationReserve != (job.Resources{}) {
 			return true
 		}
 	}
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -33,9 +33,9 @@
 	// finished is set once the operator was informed that the wave has
 	// finished.
 	finished bool
-	// carried holds, by machine, when the owner learned that the order to take
+	// carriedAt holds, by machine, when the owner learned that the order to take
 	// it down was carried out.
-	carried map[id.Machine]unit.Instant
+	carriedAt map[id.Machine]unit.Instant
 	// retryAt holds, by machine, when an order that got no answer is due to
 	// be repeated.
 	retryAt map[id.Machine]unit.Instant
@@ -50,7 +50,7 @@
 	if d.waves[w.Number] != nil {
 		return
 	}
-	x := &wave{number: w.Number, retryAt: map[id.Machine]unit.Instant{}, carried: map[id.Machine]unit.Instant{}, unansweredAt: map[id.Machine]unit.Instant{}}
+	x := &wave{number: w.Number, retryAt: map[id.Machine]unit.Instant{}, carriedAt: map[id.Machine]unit.Instant{}, unansweredAt: map[id.Machine]unit.Instant{}}
 	rec, known := d.table.Wave(w.Number)
 	if !known {
 		rec.Seen, x.changed = wall, true
@@ -66,19 +66,19 @@
 	d.note(Note{Event: EventWaveSeen, Why: fmt.Sprintf("wave %d: %d machines, %d begun", w.Number, len(w.Machines), len(rec.Begun)), Estimate: w.Within})
 }
 
-// maintain advances the waves. A new owner first waits, since the previous one
+// advanceWaves advances the waves. A new owner first waits, since the previous one
 // may have ordered a machine down a moment ago.
-func (d *Dispatcher) maintain(now unit.Instant) {
+func (d *Dispatcher) advanceWaves(now unit.Instant) {
 	if len(d.waves) == 0 {
 		return
 	}
 	for _, n := range slices.Sorted(maps.Keys(d.waves)) {
-		if d.grants(now) && now.Sub(d.began) >= d.config.Handover {
+		if d.mayGrantLeases(now) && now.Sub(d.firstPassAt) >= d.config.Handover {
 			d.advanceWave(now, d.waves[n])
 		}
 	}
-	for _, w := range d.order {
-		w.held = d.heldForUpkeep(w.Machine)
+	for _, w := range d.workersByID {
+		w.awaitingUpkeep = d.heldForUpkeep(w.Machine)
 	}
 }
 
@@ -112,7 +112,7 @@
 	if x.plan.Finished() && !x.finished {
 		x.finished = true
 		d.orders.Reports = append(d.orders.Reports, WaveReport{Wave: x.number, Finished: true})
-		d.note(Note{Event: EventWaveFinished, Why: fmt.Sprintf("wave %d", x.number), Age: d.wall.Sub(x.record.Seen)})
+		d.note(Note{Event: EventWaveFinished, Why: fmt.Sprintf("wave %d", x.number), Age: d.wallTime.Sub(x.record.Seen)})
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	cost, runs := 0.0, withStep(w.sorted())
 	for _, r := range runs {
-		cost += d.lossOf(now, r)
+		cost += d.lostByStopping(now, r)
 	}
 	return cost, mayStopAll(runs...)
 }
@@ -155,7 +155,7 @@
 	}
 	for _, r := range withStep(w.sorted()) {
 		if r.state != runStopping && mayStopAll(r) {
-			d.stopRun(now, r, "its machine goes down for maintenance")
+			d.stopWithGang(now, r, "its machine goes down for maintenance")
 		}
 	}
 }
@@ -180,7 +180,7 @@
 		x.plan.Carried(now, m)
 		x.record.Begun = append(x.record.Begun, m)
 		x.changed = true
-		x.carried[m] = now
+		x.carriedAt[m] = now
 		d.unconfirmLives(now, m)
 	case fleet.Fenced:
 		d.fenced = true
--- a/core/dispatch/window.go
+++ b/core/dispatch/window.go
@@ -42,16 +42,16 @@
 	size float64
 	// reduced is when the size was last reduced.
 	reduced unit.Instant
-	// under counts the starts under way in this pass.
-	under int
+	// pendingStarts counts the starts under way in this pass.
+	pendingStarts int
 }
 
 func newWindow() window { return window{size: initialWindow} }
 
-// answered adapts the window when a worker has started a task on an order of
+// noteAnswer adapts the window when a worker has started a task on an order of
 // this age. Orders without an answer don't count, since their worker may be
 // partitioned.
-func (w *window) answered(now unit.Instant, age time.Duration) {
+func (w *window) noteAnswer(now unit.Instant, age time.Duration) {
 	if age < slowAnswer {
 		w.size = min(maxWindow, w.size+1)
 		return
@@ -66,7 +66,7 @@
 // its members fit into the window, or until no start was under way, it would
 // never start beside 20 urgent tasks a second, nor would anything behind it.
 func (w *window) available(tasks int, gang bool) int {
-	free := int(w.size) - w.under
+	free := int(w.size) - w.pendingStarts
 	switch {
 	case free <= 0:
 		return 0
@@ -89,16 +89,16 @@
 // no answer, it counts while its worker answers others, since the order is
 // repeated.
 func (r *run) pending(now unit.Instant) bool {
-	return r.state == runOrdered || r.state == runStarting && (r.inFlight || now.Sub(r.worker.answered) < answeredRecently)
+	return r.state == runOrdered || r.state == runStarting && (r.inFlight || now.Sub(r.worker.lastAnswerAt) < answeredRecently)
 }
 
 // countPending counts the starts under way.
 func (d *Dispatcher) countPending(now unit.Instant) {
-	d.window.under = 0
-	for _, w := range d.order {
+	d.window.pendingStarts = 0
+	for _, w := range d.workersByID {
 		for _, r := range w.runs {
 			if r.pending(now) {
-				d.window.under++
+				d.window.pendingStarts++
 			}
 		}
 	}
--- a/core/dispatch/world_test.go
+++ b/core/dispatch/world_test.go
@@ -30,8 +30,8 @@
 	workersPerRack = 12
 )
 
-// load submits jobs to a world.
-type load struct {
+// loadWorld submits jobs to a world.
+type loadWorld struct {
 	*world.World
 	tb     testing.TB
 	random *rand.Rand
@@ -42,12 +42,12 @@
 
 // newWorld returns a world with idle workers. Its owner sends its orders one at
 // a time, each taking the time sending.
-func newWorld(tb testing.TB, workers int, sending time.Duration) *load {
-	return newFarWorld(tb, workers, sending, worldTrip)
+func newWorld(tb testing.TB, workers int, sending time.Duration) *loadWorld {
+	return newWorldWithTrip(tb, workers, sending, worldTrip)
 }
 
-// newFarWorld is newWorld with the given round trip of orders.
-func newFarWorld(tb testing.TB, workers int, sending, trip time.Duration) *load {
+// newWorldWithTrip is newWorld with the given round trip of orders.
+func newWorldWithTrip(tb testing.TB, workers int, sending, trip time.Duration) *loadWorld {
 	s := world.Setup{
 		Make: func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
 			return dispatch.New(config, policy.New(), e, t)
@@ -68,21 +68,21 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return &load{World: w, tb: tb, random: rand.New(rand.NewPCG(1, 2))}
+	return &loadWorld{World: w, tb: tb, random: rand.New(rand.NewPCG(1, 2))}
 }
 
 // jobName returns the name of the Nth job.
 func jobName(n int) id.Job { return id.Job(fmt.Sprintf("%016x", n)) }
 
 // submit submits a job of equal tasks.
-func (l *load) submit(priority, count, gpus int, takes time.Duration) {
+func (l *loadWorld) submit(priority, count, gpus int, takes time.Duration) {
 	l.submitStep(priority, takes, job.Step{
 		Count: count, Estimate: takes, Need: job.Resources{CPU: 1000 * job.MilliCPU(gpus), Memory: unit.GiB, Accelerators: gpus},
 	})
 }
 
 // submitStep submits a job of one step whose tasks all take the same time.
-func (l *load) submitStep(priority int, takes time.Duration, step job.Step) {
+func (l *loadWorld) submitStep(priority int, takes time.Duration, step job.Step) {
 	l.jobs++
 	l.accepted += step.Count
 	j := world.Job{
@@ -101,7 +101,7 @@
 }
 
 // check reports the invariants that were violated as test errors.
-func (l *load) check() {
+func (l *loadWorld) check() {
 	for _, v := range l.Violations() {
 		l.tb.Error(v)
 	}
@@ -110,7 +110,7 @@
 // submitMix submits a second's jobs of three kinds: many small urgent ones,
 // some wide ones of large tasks, and some very wide ones of small tasks. Scale
 // is 1 for 350 workers.
-func (l *load) submitMix(scale float64) {
+func (l *loadWorld) submitMix(scale float64) {
 	kinds := []struct {
 		rate            float64
 		priority, count int
