--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -103,10 +103,10 @@
 		return
 	}
 	s := c.step
-	a := Ask{Step: s.name(), Workers: workers, Adviser: by, Takes: advice.Takes(len(workers))}
+	a := Ask{Step: s.name(), Workers: workers, Adviser: by, AnswerTime: advice.Takes(len(workers))}
 	d.advice.advisers[by].busy, s.adviceInFlight = true, true
 	d.orders.Asks = append(d.orders.Asks, a)
-	d.noteJob(EventAdviceAsked, now, s.job, fmt.Sprintf("step %s: %d workers", a.Step, len(workers)), a.Takes)
+	d.noteJob(EventAdviceAsked, now, s.job, fmt.Sprintf("step %s: %d workers", a.Step, len(workers)), a.AnswerTime)
 }
 
 // workersToAsk returns the workers to ask about: as many as are likely to be
@@ -200,5 +200,5 @@
 	d.advice.updateYield(len(res.Ask.Workers), len(res.Permits))
 	s.takePermits(now, res)
 	why := fmt.Sprintf("step %s: %d of %d workers allowed", res.Ask.Step, len(res.Permits), len(res.Ask.Workers))
-	d.note(Note{Event: EventAdviceTaken, Job: s.job.id, Why: why, Estimate: res.Valid, Age: now.Sub(res.Sent)})
+	d.note(Note{Event: EventAdviceTaken, Job: s.job.id, Why: why, Estimate: res.ValidFor, Age: now.Sub(res.Sent)})
 }
--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -178,7 +178,7 @@
 	w.renewalFailed = false
 	if w.renewalUnanswered || res.Verdict == fleet.Unreachable {
 		w.renewalFailed = now.Sub(res.Sent) <= res.Renew.Wait+renewTimeout+maxResultDelay
-		w.changeSent = w.changeSent || w.renewalUnanswered && (res.Renew.Until != 0 || res.Renew.Told > 0)
+		w.changeSent = w.changeSent || w.renewalUnanswered && (res.Renew.Until != 0 || res.Renew.AckedEnd > 0)
 		d.raiseAfterLoss(w)
 		if w.firstLossAt == 0 {
 			w.firstLossAt = now
@@ -194,7 +194,7 @@
 	if w.renewalUnanswered && res.Renew.Until != 0 {
 		d.noteUnansweredLease(w, res.Sent)
 	}
-	if w.renewalUnanswered && res.Renew.Told > 0 {
+	if w.renewalUnanswered && res.Renew.AckedEnd > 0 {
 		w.lateAckAt = res.Sent
 	}
 }
@@ -215,7 +215,7 @@
 	if !d.applyVerdict(now, w, res.Renew.Target, res.Verdict, res.Report.Clock) || res.Verdict != fleet.Carried {
 		return
 	}
-	w.lastEndAcked, w.firstLossAt = max(w.lastEndAcked, res.Renew.Told), 0
+	w.lastEndAcked, w.firstLossAt = max(w.lastEndAcked, res.Renew.AckedEnd), 0
 	if res.Sent > w.syncRequestedAt {
 		w.syncedAsOf, w.syncedClock = res.Sent, res.Report.Clock
 	}
--- a/core/dispatch/assure_test.go
+++ b/core/dispatch/assure_test.go
@@ -14,12 +14,12 @@
 // second, until the next assurance.
 func TestPlacesNothingWithoutGrants(t *testing.T) {
 	s := newScript(t)
-	s.d.Assure(s.now)
+	s.d.ConfirmSoleOwner(s.now)
 	s.run("worker w1\npass\n> renew w1 told 0\nrenew w1 carried\npass 4s\njob j1")
 	for range 10 {
 		s.run("pass 10ms\nwrite\nwrite")
 	}
-	s.d.Assure(s.now)
+	s.d.ConfirmSoleOwner(s.now)
 	s.run("pass 10ms\n> renew w1 told 0\nwrite\n> start j1.0.0.0 run 1 on w1")
 }
 
@@ -31,9 +31,9 @@
 // taken down as many machines as the wave allows.
 func TestTakesNothingDownWithoutGrants(t *testing.T) {
 	s := newScript(t)
-	s.d.Assure(s.now)
+	s.d.ConfirmSoleOwner(s.now)
 	s.run("worker w1 machine=m1\npass\n> renew w1 told 0\nrenew w1 carried\nwave 1 60s 1 m1\n> report wave 1 finished false\npass 10ms\nwrite\npass 4s")
-	s.d.Assure(s.now)
+	s.d.ConfirmSoleOwner(s.now)
 	s.run("pass 10ms\n> upkeep m1 of wave 1")
 }
 
@@ -49,7 +49,7 @@
 func TestGrantsSoonAfterAssurance(t *testing.T) {
 	s := newScript(t)
 	s.run("lease 6s")
-	s.d.Assure(s.now)
+	s.d.ConfirmSoleOwner(s.now)
 	s.run("worker w1\npass\n> renew w1 told 0\nrenew w1 carried\njob j1 lasts\npass 10ms\n> renew w1 told 0\nwrite\n> start j1.0.0.0 run 1 on w1")
 	s.run("start j1.0.0.0 carried\nrenew w1 carried run j1.0.0.0 1 100")
 	assured, granted := s.now, s.now
@@ -60,7 +60,7 @@
 		// The last assurance is 1 s after the start, the next one when the
 		// outage is over.
 		if elapsed <= time.Second || elapsed >= 6050*time.Millisecond {
-			s.d.Assure(s.now)
+			s.d.ConfirmSoleOwner(s.now)
 		}
 		s.d.Pass(s.now, s.now)
 		s.collect()
@@ -88,10 +88,10 @@
 // to start, and the failure was counted against the worker.
 func TestPatienceCountsOrders(t *testing.T) {
 	s := newScript(t)
-	s.d.Assure(s.now)
+	s.d.ConfirmSoleOwner(s.now)
 	s.run("worker w1\npass\n> renew w1 told 0\nrenew w1 carried\npass 2900ms\njob j1\npass 10ms\n> renew w1 told 0\nwrite\n> start j1.0.0.0 run 1 on w1")
 	s.run("start j1.0.0.0 unknown\npass 500ms\nrenew w1 carried\npass 10ms\n> renew w1 told 0\npass 2s\nrenew w1 carried")
 	s.run("pass 10ms\n> renew w1 told 0\npass 1500ms\nrenew w1 carried")
-	s.d.Assure(s.now)
+	s.d.ConfirmSoleOwner(s.now)
 	s.run("pass 10ms\n> start j1.0.0.0 run 1 on w1\n> renew w1 told 0")
 }
--- a/core/dispatch/commands_test.go
+++ b/core/dispatch/commands_test.go
@@ -67,9 +67,9 @@
 		s.takeOver()
 	case "informed":
 		s.informed = s.now.Add(-duration(s.t, f[1]))
-		s.d.Inform(s.informed)
+		s.d.ConfirmEvacuations(s.informed)
 	case "upkeep":
-		s.d.Upkept(s.now, dispatch.UpkeepResult{Upkeep: s.upkeeps[f[1]], Verdict: verdict(s.t, f[2])})
+		s.d.UpkeepAnswered(s.now, dispatch.UpkeepResult{Upkeep: s.upkeeps[f[1]], Verdict: verdict(s.t, f[2])})
 	case "mostwaits":
 		s.mostWaits = number(s.t, f[1])
 		s.takeOver()
@@ -202,7 +202,7 @@
 func (s *script) advised(f []string, o opts) {
 	ask := s.asks[0]
 	s.asks = s.asks[1:]
-	res := dispatch.AskResult{Ask: ask, Verdict: verdict(s.t, f[1]), Valid: o.duration("valid"), Sent: s.asked}
+	res := dispatch.AskResult{Ask: ask, Verdict: verdict(s.t, f[1]), ValidFor: o.duration("valid"), Sent: s.asked}
 	for _, w := range ask.Workers {
 		if ticket := o.text(string(w), ""); ticket != "" {
 			res.Permits = append(res.Permits, dispatch.Permit{Worker: w, Ticket: ticket})
--- a/core/dispatch/config.go
+++ b/core/dispatch/config.go
@@ -7,22 +7,22 @@
 type Config struct {
 	// MaxLease is the longest lease that a worker grants.
 	MaxLease time.Duration
-	// MostWaits is the maximum number of renewals that wait at workers for a
+	// MaxWaitingRenewals is the maximum number of renewals that wait at workers for a
 	// report at a time; each takes up a connection and memory of the owner. 0
 	// means no limit.
-	MostWaits int
+	MaxWaitingRenewals int
 	// StopTime is the longest time that a worker may take to stop a task.
 	StopTime time.Duration
-	// SaveEvery is the run time of a task between two checkpoints.
-	SaveEvery time.Duration
-	// KeepEnded is how long the state of an ended job must be kept.
-	KeepEnded time.Duration
-	// Handover is how long a new owner sends no maintenance orders to machines
+	// CheckpointInterval is the run time of a task between two checkpoints.
+	CheckpointInterval time.Duration
+	// EndedRetention is how long the state of an ended job must be kept.
+	EndedRetention time.Duration
+	// HandoverDelay is how long a new owner sends no maintenance orders to machines
 	// after the previous owner may have sent one.
-	Handover time.Duration
-	// Away is how long a machine is down for its maintenance.
-	Away time.Duration
-	// Evacuation is how long after the operator has evacuated a failure domain
+	HandoverDelay time.Duration
+	// MaintenanceTime is how long a machine is down for its maintenance.
+	MaintenanceTime time.Duration
+	// EvacuationLimit is how long after the operator has evacuated a failure domain
 	// a task may still start there; 0 where operators don't evacuate.
-	Evacuation time.Duration
+	EvacuationLimit time.Duration
 }
--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -78,7 +78,7 @@
 // the meantime isn't counted against it.
 func (d *Dispatcher) startRefused(s Start) {
 	w := d.targetWorker(s.Target)
-	if w == nil || s.Unsure {
+	if w == nil || s.MayHaveStarted {
 		return
 	}
 	if r := w.run(s.Task, s.Run); r != nil {
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -107,16 +107,16 @@
 	}
 }
 
-// Assure records that no other host was the owner at a time.
-func (d *Dispatcher) Assure(at unit.Instant) { d.soleOwnerAt = max(d.soleOwnerAt, at) }
+// ConfirmSoleOwner records that no other host was the owner at a time.
+func (d *Dispatcher) ConfirmSoleOwner(at unit.Instant) { d.soleOwnerAt = max(d.soleOwnerAt, at) }
 
 // Fenced reports whether this owner must give way: a worker has seen a later
 // epoch, or the fence can't be raised any more.
 func (d *Dispatcher) Fenced() bool { return d.fenced }
 
-// InPlace returns the number of runs that occupy room on workers, as far as is
+// PlacedRuns returns the number of runs that occupy room on workers, as far as is
 // known.
-func (d *Dispatcher) InPlace() int { return d.placedRuns }
+func (d *Dispatcher) PlacedRuns() int { return d.placedRuns }
 
 // Take returns the orders that may be sent at once.
 func (d *Dispatcher) Take() Orders {
@@ -199,7 +199,7 @@
 // of a pass would grow with every incarnation that the owner has ever known.
 func (d *Dispatcher) forgetGone(now unit.Instant) {
 	d.workersByID = slices.DeleteFunc(d.workersByID, func(w *worker) bool {
-		gone := w.gone(now, d.config.KeepEnded)
+		gone := w.gone(now, d.config.EndedRetention)
 		if gone {
 			delete(d.workers, w.ID)
 		}
--- a/core/dispatch/evacuation.go
+++ b/core/dispatch/evacuation.go
@@ -25,20 +25,22 @@
 // platform's client gives up on an order after 0.8 s.
 const maxStartLatency = time.Second
 
-// NewsAge returns the maximum age of the owner's knowledge of evacuations when
+// MaxEvacuationAge returns the maximum age of the owner's knowledge of evacuations when
 // an order to start is sent.
-func (c Config) NewsAge() time.Duration { return max(0, c.Evacuation-maxStartLatency) }
+func (c Config) MaxEvacuationAge() time.Duration { return max(0, c.EvacuationLimit-maxStartLatency) }
 
-// Inform sets the time as of which the owner knows all evacuations that the
+// ConfirmEvacuations sets the time as of which the owner knows all evacuations that the
 // operator has asked for.
-func (d *Dispatcher) Inform(at unit.Instant) { d.evacuationsKnownAt = max(d.evacuationsKnownAt, at) }
+func (d *Dispatcher) ConfirmEvacuations(at unit.Instant) {
+	d.evacuationsKnownAt = max(d.evacuationsKnownAt, at)
+}
 
 // StartRules determine which orders to start may be sent.
 type StartRules struct {
 	// Evacuated holds the failure domains where no task may start.
 	Evacuated []id.Domain
-	// Until is when the rules expire; after that no order to start may be sent.
-	Until unit.Instant
+	// ValidUntil is when the rules expire; after that no order to start may be sent.
+	ValidUntil unit.Instant
 }
 
 // StartRules returns the current rules. They also apply to orders that are
@@ -46,20 +48,20 @@
 func (d *Dispatcher) StartRules() StartRules {
 	until := unit.Instant(math.MaxInt64)
 	switch {
-	case d.config.Evacuation == 0:
+	case d.config.EvacuationLimit == 0:
 	case d.evacuationsKnownAt == 0:
 		until = 0
 	default:
-		until = d.evacuationsKnownAt.Add(d.config.NewsAge())
+		until = d.evacuationsKnownAt.Add(d.config.MaxEvacuationAge())
 	}
-	return StartRules{Evacuated: d.evacuated, Until: until}
+	return StartRules{Evacuated: d.evacuated, ValidUntil: until}
 }
 
-// Forbid returns why an order to start may not be sent to a failure domain, or
+// DenialReason returns why an order to start may not be sent to a failure domain, or
 // an empty string if it may.
-func (r StartRules) Forbid(now unit.Instant, domain id.Domain) string {
+func (r StartRules) DenialReason(now unit.Instant, domain id.Domain) string {
 	switch {
-	case now > r.Until:
+	case now > r.ValidUntil:
 		return "the operator's records were read too long ago"
 	case slices.Contains(r.Evacuated, domain):
 		return whyEvacuated
@@ -74,7 +76,7 @@
 
 // knowsEvacuations reports whether the knowledge of evacuations is recent
 // enough for orders to start.
-func (d *Dispatcher) knowsEvacuations(now unit.Instant) bool { return now <= d.StartRules().Until }
+func (d *Dispatcher) knowsEvacuations(now unit.Instant) bool { return now <= d.StartRules().ValidUntil }
 
 // noteStartsWithheld logs when starts are withheld because the operator's records were
 // not read recently, and when they resume.
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -30,7 +30,7 @@
 // minutes, with few raises left for each worker.
 func testFenceOutlastsOutage(t *testing.T, verdict fleet.Verdict) {
 	const workers, raisesEach, outage = 48, 12, 10 * time.Minute
-	c := Config{MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, SaveEvery: time.Second, KeepEnded: 2 * time.Minute}
+	c := Config{MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, CheckpointInterval: time.Second, EndedRetention: 2 * time.Minute}
 	f := &failingFleet{t: t, d: New(c, policy.New(), 1, jobtable.New()), now: unit.At(time.Unix(1000, 0)), verdict: fleet.Carried}
 	step := job.Step{Count: workers, Need: job.Resources{Accelerators: 8}, Estimate: time.Hour}
 	spec := job.Spec{Queue: "queue", Service: "svc", MaxAttempts: 4, Steps: []job.Step{step}}
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -186,7 +186,7 @@
 	d.orders.Starts = append(d.orders.Starts, Start{
 		Target: d.target(r.worker), Domain: r.worker.Domain, Task: r.task, Run: r.number, Text: s.job.spec.Text,
 		Checkpoint: s.job.progress.Tasks[s.base+r.task.Index].Checkpoint, Ticket: s.permits[r.worker.ID].ticket,
-		Until: d.lease(now, r.worker), Unsure: r.startUnanswered || r.fromEarlierOwner,
+		Until: d.lease(now, r.worker), MayHaveStarted: r.startUnanswered || r.fromEarlierOwner,
 	})
 }
 
--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -179,7 +179,7 @@
 	d.expired = now
 	kept := d.ended[:0]
 	for _, js := range d.ended {
-		if !js.forgettable() || len(d.forget) >= forgetBatch || now.Sub(js.progress.Ended) <= d.config.KeepEnded {
+		if !js.forgettable() || len(d.forget) >= forgetBatch || now.Sub(js.progress.Ended) <= d.config.EndedRetention {
 			kept = append(kept, js)
 			continue
 		}
--- a/core/dispatch/lives_internal_test.go
+++ b/core/dispatch/lives_internal_test.go
@@ -24,7 +24,7 @@
 // 0.013 ms with their first incarnations and 0.68 ms after 40 more of each.
 func TestForgetsEarlierLives(t *testing.T) {
 	const workers, incarnations = 48, 20
-	c := Config{MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, SaveEvery: time.Second, KeepEnded: 2 * time.Minute}
+	c := Config{MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, CheckpointInterval: time.Second, EndedRetention: 2 * time.Minute}
 	d := New(c, policy.New(), 1, jobtable.New())
 	now := unit.At(time.Unix(1000, 0))
 	for incarnation := range incarnations {
--- a/core/dispatch/loss.go
+++ b/core/dispatch/loss.go
@@ -41,12 +41,12 @@
 // stopped.
 func (d *Dispatcher) lostByStopping(now unit.Instant, r *run) float64 {
 	if !r.step.step.Gang {
-		return r.unsaved(now, d.config.SaveEvery)
+		return r.unsaved(now, d.config.CheckpointInterval)
 	}
 	sum := 0.0
 	for i := range r.step.step.Count { // a fixed order makes the floating-point sum the same on every host
 		if m := r.step.runs[i]; m != nil {
-			sum += m.unsaved(now, d.config.SaveEvery)
+			sum += m.unsaved(now, d.config.CheckpointInterval)
 		}
 	}
 	return sum
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -9,9 +9,9 @@
 // of a machine is learned from the list of workers or from the platform's list
 // of machines, and may be unknown for a while.
 
-// MachinesWanted reports whether a wave includes machines whose present
+// NeedsMachineList reports whether a wave includes machines whose present
 // incarnation isn't known.
-func (d *Dispatcher) MachinesWanted() bool {
+func (d *Dispatcher) NeedsMachineList() bool {
 	for _, x := range d.waves {
 		for _, m := range x.plan.Open() {
 			if d.lifeOn(m) == nil {
--- a/core/dispatch/message.go
+++ b/core/dispatch/message.go
@@ -30,9 +30,9 @@
 	Ticket string
 	// Until is when the lease of all runs on the worker ends, by its clock.
 	Until fleet.Clock
-	// Unsure is set if an earlier copy of the start order may have been carried
+	// MayHaveStarted is set if an earlier copy of the start order may have been carried
 	// out.
-	Unsure bool
+	MayHaveStarted bool
 }
 
 // StartResult is the result of a Start.
@@ -77,8 +77,8 @@
 	// Until is the new end of the lease, by the worker's clock; 0 leaves the
 	// lease unchanged.
 	Until fleet.Clock
-	// Told is the sequence number of the last end that the worker may forget.
-	Told uint64
+	// AckedEnd is the sequence number of the last end that the worker may forget.
+	AckedEnd uint64
 	// Wait is how long the worker may delay its answer until a run ends.
 	Wait time.Duration
 }
@@ -99,8 +99,8 @@
 	Workers []id.Worker
 	// Adviser is the index of the host that asks, from 0.
 	Adviser int
-	// Takes is how long the service needs to answer.
-	Takes time.Duration
+	// AnswerTime is how long the service needs to answer.
+	AnswerTime time.Duration
 }
 
 // Permit is the advice service's permission to run a step on one incarnation of
@@ -116,10 +116,10 @@
 	Ask     Ask
 	Verdict fleet.Verdict
 	Permits []Permit
-	// Valid is how long the permits are valid from the answer on, Sent when the
+	// ValidFor is how long the permits are valid from the answer on, Sent when the
 	// question was sent.
-	Valid time.Duration
-	Sent  unit.Instant
+	ValidFor time.Duration
+	Sent     unit.Instant
 }
 
 // Upkeep orders a machine to be taken down for its maintenance. Everything that
--- a/core/dispatch/orders_test.go
+++ b/core/dispatch/orders_test.go
@@ -23,7 +23,7 @@
 	for _, x := range o.Renews {
 		s.renews[string(x.Worker)] = x
 		s.sent[string(x.Worker)] = s.now
-		s.lines = append(s.lines, fmt.Sprintf("renew %s told %d", x.Worker, x.Told))
+		s.lines = append(s.lines, fmt.Sprintf("renew %s told %d", x.Worker, x.AckedEnd))
 		s.waits[string(x.Worker)] = x.Wait
 	}
 	for _, x := range o.Paces {
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -205,7 +205,7 @@
 	if w.firstRenewalAt == 0 {
 		w.firstRenewalAt = now
 	}
-	o := Renew{Target: d.target(w), Told: w.endsToAck(now)}
+	o := Renew{Target: d.target(w), AckedEnd: w.endsToAck(now)}
 	if len(w.runs) > 0 && w.answeredLately(now) && d.mayGrantLeases(now) {
 		o.Until, w.renewalLeaseExpiry = d.lease(now, w), d.maxLeaseExpiry(now)
 	}
@@ -223,7 +223,7 @@
 			o.Wait = min(o.Wait, isolationRenewWait)
 		}
 	}
-	if d.config.MostWaits > 0 && d.waitingRenewals >= d.config.MostWaits {
+	if d.config.MaxWaitingRenewals > 0 && d.waitingRenewals >= d.config.MaxWaitingRenewals {
 		// Renewals to other workers use all the connections that may wait for
 		// news, so this worker is polled instead.
 		o.Wait = 0
--- a/core/dispatch/permit.go
+++ b/core/dispatch/permit.go
@@ -37,7 +37,7 @@
 	}
 	// The tickets are valid from when they were issued, which is not before the
 	// question was sent.
-	until := max(res.Sent, now.Add(-res.Ask.Takes)).Add(res.Valid)
+	until := max(res.Sent, now.Add(-res.Ask.AnswerTime)).Add(res.ValidFor)
 	for _, p := range res.Permits {
 		s.permits[p.Worker] = permit{allowed: true, ticket: p.Ticket, until: until}
 	}
--- a/core/dispatch/script_test.go
+++ b/core/dispatch/script_test.go
@@ -120,8 +120,8 @@
 }
 
 var config = dispatch.Config{
-	MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, SaveEvery: time.Second, KeepEnded: 2 * time.Minute,
-	Handover: 3 * time.Second, Away: 2 * time.Second,
+	MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, CheckpointInterval: time.Second, EndedRetention: 2 * time.Minute,
+	HandoverDelay: 3 * time.Second, MaintenanceTime: 2 * time.Second,
 }
 
 func newScript(t *testing.T) *script {
@@ -141,7 +141,7 @@
 	if s.lease > 0 {
 		c.MaxLease = s.lease
 	}
-	c.Evacuation, c.MostWaits = s.evacuation, s.mostWaits
+	c.EvacuationLimit, c.MaxWaitingRenewals = s.evacuation, s.mostWaits
 	s.d = dispatch.New(c, s.policy, s.epoch, s.table)
 	s.d.SetAdvisers(1)
 	for _, j := range s.table.Jobs() {
@@ -154,7 +154,7 @@
 		s.d.List(s.now, s.workers[name])
 	}
 	s.d.Evacuate(s.evacuated)
-	s.d.Inform(s.informed)
+	s.d.ConfirmEvacuations(s.informed)
 	for _, w := range s.waves {
 		s.d.SetWave(s.now, s.now.Add(s.ahead), w)
 	}
--- a/core/dispatch/stall.go
+++ b/core/dispatch/stall.go
@@ -102,7 +102,7 @@
 		return false
 	}
 	stalledFor := now.Sub(max(since, r.progressAt))
-	if stalledFor < max(s.stallLimit(), r.redoTime(since, d.config.SaveEvery)) {
+	if stalledFor < max(s.stallLimit(), r.redoTime(since, d.config.CheckpointInterval)) {
 		return false
 	}
 	if s.step.Gang {
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -56,7 +56,7 @@
 		rec.Seen, x.changed = wall, true
 	}
 	x.record = jobtable.Wave{Seen: rec.Seen, Begun: slices.Clone(rec.Begun)}
-	x.plan = upkeep.New(w, now.Add(-wall.Sub(rec.Seen)), d.config.Away)
+	x.plan = upkeep.New(w, now.Add(-wall.Sub(rec.Seen)), d.config.MaintenanceTime)
 	for _, m := range rec.Begun {
 		x.plan.Drop(m)
 	}
@@ -73,7 +73,7 @@
 		return
 	}
 	for _, n := range slices.Sorted(maps.Keys(d.waves)) {
-		if d.mayGrantLeases(now) && now.Sub(d.firstPassAt) >= d.config.Handover {
+		if d.mayGrantLeases(now) && now.Sub(d.firstPassAt) >= d.config.HandoverDelay {
 			d.advanceWave(now, d.waves[n])
 		}
 	}
@@ -167,8 +167,8 @@
 	d.note(Note{Event: EventUpkeepOrdered, Why: fmt.Sprintf("machine %s of wave %d", m, x.number)})
 }
 
-// Upkept processes the result of an order to take a machine down.
-func (d *Dispatcher) Upkept(now unit.Instant, res UpkeepResult) {
+// UpkeepAnswered processes the result of an order to take a machine down.
+func (d *Dispatcher) UpkeepAnswered(now unit.Instant, res UpkeepResult) {
 	x := d.waves[res.Upkeep.Wave]
 	if x == nil || res.Upkeep.Epoch != d.epoch {
 		return
--- a/core/world/check_internal_test.go
+++ b/core/world/check_internal_test.go
@@ -95,7 +95,7 @@
 		c.w.byIncarnation[id.Worker(f[1])].endIncarnation(100*time.Millisecond, sameID)
 	case "told":
 		m := c.w.byIncarnation[id.Worker(f[1])]
-		m.renew(dispatch.Renew{Told: m.lastSeq, Until: fleet.Clock(time.Hour)}, func(fleet.Report) {})
+		m.renew(dispatch.Renew{AckedEnd: m.lastSeq, Until: fleet.Clock(time.Hour)}, func(fleet.Report) {})
 	case "run":
 		c.w.Run(c.duration(f[1]))
 	case "shown":
--- a/core/world/evacuation.go
+++ b/core/world/evacuation.go
@@ -75,7 +75,7 @@
 		}
 		o.enqueueEvent(func(o *owner) {
 			o.dispatcher.Evacuate(domains)
-			o.dispatcher.Inform(readAt)
+			o.dispatcher.ConfirmEvacuations(readAt)
 		})
 	})
 	w.Plan(w.setup.Times.Poll, o.pollOperator)
--- a/core/world/evacuation_test.go
+++ b/core/world/evacuation_test.go
@@ -34,7 +34,7 @@
 		s.Workers[i].Domain = id.Domain(fmt.Sprintf("d%d", i*3/len(s.Workers)))
 	}
 	c := config
-	c.Evacuation = evacuationBound
+	c.EvacuationLimit = evacuationBound
 	s.Make = func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher { return dispatch.New(c, policy.New(), e, t) }
 	s.Evacuation, s.Times.Poll = evacuationBound, 700*time.Millisecond
 }
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -319,7 +319,7 @@
 	m.extendLease(o.Until)
 	// A sequence number that this incarnation has not issued yet comes from
 	// another one and acknowledges no ends here, as on the users' workers.
-	for o.Told <= m.lastSeq && len(m.ends) > 0 && m.ends[0].Seq <= o.Told {
+	for o.AckedEnd <= m.lastSeq && len(m.ends) > 0 && m.ends[0].Seq <= o.AckedEnd {
 		m.world.checkAcknowledged(m.ends[0])
 		m.ends = m.ends[1:]
 	}
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -265,7 +265,7 @@
 func (o *owner) sendOrders() {
 	orders := o.dispatcher.Take()
 	for _, x := range orders.Starts {
-		mayLeave := func() bool { return o.dispatcher.StartRules().Forbid(o.world.now, x.Domain) == "" }
+		mayLeave := func() bool { return o.dispatcher.StartRules().DenialReason(o.world.now, x.Domain) == "" }
 		o.sendOrder(x.Target, mayLeave, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.Clock) {
 			o.dispatcher.Started(o.world.now, dispatch.StartResult{Start: x, Verdict: v, Clock: c})
 		})
--- a/core/world/script_test.go
+++ b/core/world/script_test.go
@@ -145,8 +145,8 @@
 
 // config is the configuration of the dispatcher under test.
 var config = dispatch.Config{
-	MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, SaveEvery: time.Second, KeepEnded: 2 * time.Minute,
-	Handover: 3 * time.Second, Away: 2 * time.Second,
+	MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, CheckpointInterval: time.Second, EndedRetention: 2 * time.Minute,
+	HandoverDelay: 3 * time.Second, MaintenanceTime: 2 * time.Second,
 }
 
 // setup returns a site of workers with 8 accelerators each, 4 to a rack.
@@ -155,7 +155,7 @@
 		Make: func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
 			return dispatch.New(config, policy.New(), e, t)
 		},
-		SaveEvery: config.SaveEvery, Seed: 7,
+		SaveEvery: config.CheckpointInterval, Seed: 7,
 		Times: world.Times{
 			Trip: 4 * time.Millisecond, Append: 8 * time.Millisecond, AppendGap: time.Millisecond, Read: 5 * time.Millisecond,
 			Timeout: 800 * time.Millisecond, PassEvery: 5 * time.Millisecond, IdleEvery: 200 * time.Millisecond, PassShare: 3,
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -164,8 +164,8 @@
 func (h *Host) takeOver(now unit.Instant, epoch id.Epoch) {
 	ctx, cancel := context.WithCancel(context.Background())
 	config := h.settings.Workers
-	config.MostWaits = maxWaitingRenewals(h.settings)
-	boxes := newOutboxes(config.MostWaits)
+	config.MaxWaitingRenewals = maxWaitingRenewals(h.settings)
+	boxes := newOutboxes(config.MaxWaitingRenewals)
 	cancelAll := func() {
 		cancel()
 		boxes.close()
--- a/internal/entry/evacuations.go
+++ b/internal/entry/evacuations.go
@@ -86,7 +86,7 @@
 // setOperatorReadTime passes the time of the newest read of the operator's
 // records to the dispatcher and to the goroutines that send orders.
 func (o *owner) setOperatorReadTime() {
-	o.core.Inform(o.host.operatorReadAt)
+	o.core.ConfirmEvacuations(o.host.operatorReadAt)
 	o.setStartRules()
 }
 
@@ -100,7 +100,7 @@
 // queued for a while. If the order may no longer be sent, held returns the
 // order's result and true, else false.
 func (o *owner) held(s dispatch.Start) (dispatch.StartResult, bool) {
-	why := o.startRules.Load().Forbid(o.host.now(), s.Domain)
+	why := o.startRules.Load().DenialReason(o.host.now(), s.Domain)
 	if why == "" {
 		return dispatch.StartResult{}, false
 	}
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -55,7 +55,7 @@
 // records.
 func (h *Host) waitOfOperator() time.Duration {
 	wait := max(minOperatorWait, h.settings.ConfigBound/2-operatorRetryMargin)
-	if age := h.settings.Workers.NewsAge(); age > 0 && h.metrics.owning.Load() {
+	if age := h.settings.Workers.MaxEvacuationAge(); age > 0 && h.metrics.owning.Load() {
 		return min(wait, age/operatorReads)
 	}
 	return wait
--- a/internal/entry/operator_internal_test.go
+++ b/internal/entry/operator_internal_test.go
@@ -25,7 +25,7 @@
 			}
 			times = append(times, d)
 		}
-		h := &Host{metrics: newMetrics(), settings: settings.Site{ConfigBound: times[0], Workers: dispatch.Config{Evacuation: times[1]}}}
+		h := &Host{metrics: newMetrics(), settings: settings.Site{ConfigBound: times[0], Workers: dispatch.Config{EvacuationLimit: times[1]}}}
 		owning, err := strconv.ParseBool(f[2])
 		if err != nil {
 			t.Fatal(err)
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -190,14 +190,14 @@
 func (o *owner) askAdvice(ctx context.Context, q dispatch.Ask) (fleet.Verdict, event) {
 	sent := o.host.now()
 	v, permits, valid := o.host.advice.Ask(ctx, q)
-	res := dispatch.AskResult{Ask: q, Verdict: v, Permits: permits, Valid: valid, Sent: sent}
+	res := dispatch.AskResult{Ask: q, Verdict: v, Permits: permits, ValidFor: valid, Sent: sent}
 	return v, func(now unit.Instant) { o.core.Advised(now, res) }
 }
 
 // takeDown orders a machine to be taken down.
 func (o *owner) takeDown(ctx context.Context, u dispatch.Upkeep) (fleet.Verdict, event) {
 	v := o.host.machines.Upkeep(ctx, u)
-	return v, func(now unit.Instant) { o.core.Upkept(now, dispatch.UpkeepResult{Upkeep: u, Verdict: v}) }
+	return v, func(now unit.Instant) { o.core.UpkeepAnswered(now, dispatch.UpkeepResult{Upkeep: u, Verdict: v}) }
 }
 
 // send makes one call, counts it by its verdict, and passes its result to the
--- a/internal/entry/orders_internal_test.go
+++ b/internal/entry/orders_internal_test.go
@@ -158,7 +158,7 @@
 		}
 		o.enqueueOrders(t.Context(), orders)
 		synctest.Wait()
-		o.startRules.Store(&dispatch.StartRules{Evacuated: []id.Domain{"a"}, Until: math.MaxInt64})
+		o.startRules.Store(&dispatch.StartRules{Evacuated: []id.Domain{"a"}, ValidUntil: math.MaxInt64})
 		workers.release()
 		synctest.Wait()
 		for worker, want := range map[string]int{"worker-0": 0, "worker-1": 1} {
@@ -166,7 +166,7 @@
 				t.Errorf("%d starts are in flight to %s, want %d", got, worker, want)
 			}
 		}
-		o.startRules.Store(&dispatch.StartRules{Until: o.host.now() - 1})
+		o.startRules.Store(&dispatch.StartRules{ValidUntil: o.host.now() - 1})
 		o.enqueueOrders(t.Context(), dispatch.Orders{Starts: []dispatch.Start{{Target: target(2), Domain: "c"}}})
 		synctest.Wait()
 		if got := workers.at("/run-start worker-2"); got != 0 {
@@ -187,7 +187,7 @@
 	o := &owner{
 		host: h, boxes: boxes, cancel: boxes.close, listed: map[id.WorkerName]id.Worker{}, rejected: map[id.WorkerName]uint64{},
 	}
-	o.startRules.Store(&dispatch.StartRules{Until: math.MaxInt64})
+	o.startRules.Store(&dispatch.StartRules{ValidUntil: math.MaxInt64})
 	return o
 }
 
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -156,11 +156,11 @@
 // pass runs one scheduling pass and sends the resulting orders.
 func (o *owner) pass(ctx context.Context, now unit.Instant) {
 	o.core.SetAdvisers(o.host.advicePath.Ways())
-	o.core.Assure(o.host.assured)
+	o.core.ConfirmSoleOwner(o.host.assured)
 	o.core.Pass(now, unit.At(time.Now()))
 	o.flush(ctx)
 	o.sendOrders(ctx)
-	o.host.metrics.inPlace.Store(int64(o.core.InPlace()))
+	o.host.metrics.inPlace.Store(int64(o.core.PlacedRuns()))
 	o.logDecisions()
 	if o.core.Fenced() {
 		o.host.stepDown("a worker has seen a later epoch")
@@ -267,7 +267,7 @@
 		return
 	}
 	o.host.assure(w.sent) // if another host had claimed later, the append would have been fenced
-	o.core.Assure(o.host.assured)
+	o.core.ConfirmSoleOwner(o.host.assured)
 	o.core.Committed(now, b)
 	o.sendOrders(ctx)
 	o.flush(ctx)
--- a/internal/entry/site_test.go
+++ b/internal/entry/site_test.go
@@ -123,8 +123,8 @@
 		Memory: 512 * unit.MiB, Descriptors: 1024, Cores: s.cores[n], Link: 1000, Grace: 3 * time.Second,
 		Policy: policy.New(),
 		Workers: dispatch.Config{
-			MaxLease: s.lease, StopTime: 200 * time.Millisecond, SaveEvery: time.Second, KeepEnded: time.Minute,
-			Handover: 100 * time.Millisecond, Away: 100 * time.Millisecond, Evacuation: 5 * time.Second,
+			MaxLease: s.lease, StopTime: 200 * time.Millisecond, CheckpointInterval: time.Second, EndedRetention: time.Minute,
+			HandoverDelay: 100 * time.Millisecond, MaintenanceTime: 100 * time.Millisecond, EvacuationLimit: 5 * time.Second,
 		},
 	}, clock, s.logs.log.With(zap.Int("host", n)))
 	if err != nil {
--- a/internal/entry/suspend_internal_test.go
+++ b/internal/entry/suspend_internal_test.go
@@ -50,7 +50,7 @@
 		pass := func() dispatch.Orders {
 			time.Sleep(200 * time.Millisecond)
 			o.host.noteSuspension()
-			o.core.Assure(o.host.assured)
+			o.core.ConfirmSoleOwner(o.host.assured)
 			o.core.Pass(o.host.now(), o.host.now())
 			return o.core.Take()
 		}
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -194,7 +194,7 @@
 	p := f.Section("prices")
 	s.Prices = Prices{Waste: p.Number("waste", 0, 0, maxFactor), Start: p.Number("start", 0, 0, maxFactor)}
 	s.World = readWorld(f, c)
-	s.World.SaveEvery = s.Bounds.SaveEvery
+	s.World.SaveEvery = s.Bounds.CheckpointInterval
 	s.World.Times.Stop = f.Section("workers").Duration("stop", s.Bounds.StopTime, 0, time.Minute)
 	for _, k := range f.Sections("kind") {
 		s.Kinds = append(s.Kinds, readKind(k, c))
@@ -209,9 +209,9 @@
 		return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == kind })
 	}
 	if hasFault(world.Evacuate) {
-		s.World.Evacuation = s.Bounds.Evacuation
+		s.World.Evacuation = s.Bounds.EvacuationLimit
 	} else {
-		s.Bounds.Evacuation = 0 // without such faults, no operator evacuates failure domains
+		s.Bounds.EvacuationLimit = 0 // without such faults, no operator evacuates failure domains
 	}
 	if hasFault(world.Reborn) {
 		s.World.TellStart, s.World.Times.MaxLease = true, s.Bounds.MaxLease
@@ -256,14 +256,14 @@
 // readBounds reads the configuration of the dispatchers.
 func readBounds(b *inifile.Section) dispatch.Config {
 	return dispatch.Config{
-		MaxLease:  b.Duration("max_lease", 10*time.Second, time.Second, maxTime),
-		StopTime:  b.Duration("stop", time.Second, time.Millisecond, time.Minute),
-		SaveEvery: b.Duration("save", time.Second, time.Millisecond, maxTime),
-		KeepEnded: b.Duration("keep_ended", 2*time.Minute, time.Second, maxTime),
-		Handover:  b.Duration("handover", 3*time.Second, time.Millisecond, time.Minute),
-		Away:      b.Duration("away", 2*time.Second, time.Millisecond, time.Hour),
+		MaxLease:           b.Duration("max_lease", 10*time.Second, time.Second, maxTime),
+		StopTime:           b.Duration("stop", time.Second, time.Millisecond, time.Minute),
+		CheckpointInterval: b.Duration("save", time.Second, time.Millisecond, maxTime),
+		EndedRetention:     b.Duration("keep_ended", 2*time.Minute, time.Second, maxTime),
+		HandoverDelay:      b.Duration("handover", 3*time.Second, time.Millisecond, time.Minute),
+		MaintenanceTime:    b.Duration("away", 2*time.Second, time.Millisecond, time.Hour),
 
-		Evacuation: b.Duration("evacuation", evacuationDelay, evacuationDelay/5, time.Minute),
+		EvacuationLimit: b.Duration("evacuation", evacuationDelay, evacuationDelay/5, time.Minute),
 	}
 }
 
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -109,15 +109,15 @@
 // how long ended jobs are kept.
 func readWorkerConfig(workers, machines *inifile.Section) dispatch.Config {
 	return dispatch.Config{
-		MaxLease:  workers.Duration("max_lease", 10*time.Second, time.Second, maxPeriod),
-		StopTime:  workers.Duration("stop", time.Second, time.Millisecond, time.Minute),
-		SaveEvery: workers.Duration("save", time.Second, time.Millisecond, maxPeriod),
-		KeepEnded: workers.Duration("keep_ended", 2*time.Minute, time.Second, maxPeriod),
-		Handover:  machines.Duration("handover", 3*time.Second, time.Millisecond, time.Minute),
-		Away:      machines.Duration("away", 2*time.Second, time.Millisecond, time.Hour),
+		MaxLease:           workers.Duration("max_lease", 10*time.Second, time.Second, maxPeriod),
+		StopTime:           workers.Duration("stop", time.Second, time.Millisecond, time.Minute),
+		CheckpointInterval: workers.Duration("save", time.Second, time.Millisecond, maxPeriod),
+		EndedRetention:     workers.Duration("keep_ended", 2*time.Minute, time.Second, maxPeriod),
+		HandoverDelay:      machines.Duration("handover", 3*time.Second, time.Millisecond, time.Minute),
+		MaintenanceTime:    machines.Duration("away", 2*time.Second, time.Millisecond, time.Hour),
 		// Without a bound, starts don't depend on up-to-date evacuation records:
 		// otherwise a host that can't read these records would start no tasks.
-		Evacuation: workers.Duration("evacuation", 0, minEvacuation, time.Minute),
+		EvacuationLimit: workers.Duration("evacuation", 0, minEvacuation, time.Minute),
 	}
 }
 
--- a/internal/settings/site_test.go
+++ b/internal/settings/site_test.go
@@ -32,9 +32,9 @@
 			s, err := settings.LoadSite(name)
 			switch want, _ := time.ParseDuration(f[1]); {
 			case f[1] == "refused" && err == nil:
-				t.Errorf("got %s, want an error", s.Workers.Evacuation)
-			case f[1] != "refused" && (err != nil || s.Workers.Evacuation != want):
-				t.Errorf("got %s, %v; want %s", s.Workers.Evacuation, err, want)
+				t.Errorf("got %s, want an error", s.Workers.EvacuationLimit)
+			case f[1] != "refused" && (err != nil || s.Workers.EvacuationLimit != want):
+				t.Errorf("got %s, %v; want %s", s.Workers.EvacuationLimit, err, want)
 			}
 		})
 	})
--- a/internal/sitedemo/sitedemo.go
+++ b/internal/sitedemo/sitedemo.go
@@ -140,7 +140,7 @@
 		Metrics: "127.0.0.1:0", Store: store, Partitions: 12, LeastTTL: time.Second, Grace: 3 * time.Second,
 		Memory: 512 * unit.MiB, Descriptors: 1024, Cores: 1, Link: 1000,
 		Policy:  policy.New(),
-		Workers: dispatch.Config{MaxLease: 2 * time.Second, StopTime: 200 * time.Millisecond, SaveEvery: time.Second, KeepEnded: time.Minute},
+		Workers: dispatch.Config{MaxLease: 2 * time.Second, StopTime: 200 * time.Millisecond, CheckpointInterval: time.Second, EndedRetention: time.Minute},
 	}, clock, zap.NewNop())
 	if err != nil {
 		return err
