--- a/cmd/curlewsill/cmd/demo.go
+++ b/cmd/curlewsill/cmd/demo.go
@@ -45,7 +45,7 @@
 	fmt.Fprintf(w, "\nsite %s\n\nrequests\n", r.Site)
 	showLoad(w, r.Requests)
 	fmt.Fprintf(w, "\ngangs\n%d started, %d started again although marked once\n", r.Started, r.Twice)
-	for _, st := range config.Sorted(r.Jobs) {
+	for _, st := range config.SortedKeys(r.Jobs) {
 		fmt.Fprintf(w, "%d %s\n", r.Jobs[st], st)
 	}
 	fmt.Fprintf(w, "fragmentation %.3f\n", r.Fragmentation)
--- a/cmd/curlewsill/cmd/drain.go
+++ b/cmd/curlewsill/cmd/drain.go
@@ -41,7 +41,7 @@
 func (c *drainCmd) changes(v node.View) ([]config.Change, error) {
 	remaining := slices.Clone(c.Args.Workers)
 	var out []config.Change
-	for _, k := range config.Sorted(v.Config.Racks) {
+	for _, k := range config.SortedKeys(v.Config.Racks) {
 		r := v.Config.Racks[k]
 		r.Workers = slices.Clone(r.Workers)
 		changed := false
--- a/cmd/curlewsill/cmd/show.go
+++ b/cmd/curlewsill/cmd/show.go
@@ -34,7 +34,7 @@
 func customersCmd(e *env) *showCmd {
 	return &showCmd{env: e, part: func(v node.View) any { return v.Config.Customers }, text: func(w *tabwriter.Writer, v node.View) {
 		fmt.Fprintln(w, "CUSTOMER\tWEIGHT\tQUOTA")
-		for _, k := range config.Sorted(v.Config.Customers) {
+		for _, k := range config.SortedKeys(v.Config.Customers) {
 			c := v.Config.Customers[k]
 			fmt.Fprintf(w, "%s\t%d\t%d\n", c.ID, c.Weight, c.Quota)
 		}
@@ -44,7 +44,7 @@
 func guaranteesCmd(e *env) *showCmd {
 	return &showCmd{env: e, part: func(v node.View) any { return v.Config.Guarantees }, text: func(w *tabwriter.Writer, v node.View) {
 		fmt.Fprintln(w, "GUARANTEE\tCUSTOMER\tSIZE\tCOUNT")
-		for _, k := range config.Sorted(v.Config.Guarantees) {
+		for _, k := range config.SortedKeys(v.Config.Guarantees) {
 			g := v.Config.Guarantees[k]
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", g.ID, g.Customer, g.Size, g.Count)
 		}
@@ -54,7 +54,7 @@
 func workersCmd(e *env) *showCmd {
 	return &showCmd{env: e, part: func(v node.View) any { return v.Config.Racks }, text: func(w *tabwriter.Writer, v node.View) {
 		fmt.Fprintln(w, "WORKER\tRACK\tDOMAIN\tACCELERATORS\tCORES\tMEMORY\tDRAINED")
-		for _, k := range config.Sorted(v.Config.Racks) {
+		for _, k := range config.SortedKeys(v.Config.Racks) {
 			r := v.Config.Racks[k]
 			for _, x := range r.Workers {
 				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%dGiB\t%t\n",
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -83,17 +83,17 @@
 }
 
 func (c Config) check() error {
-	for _, k := range Sorted(c.Customers) {
+	for _, k := range SortedKeys(c.Customers) {
 		if err := c.Customers[k].check(); err != nil {
 			return err
 		}
 	}
-	for _, k := range Sorted(c.Guarantees) {
+	for _, k := range SortedKeys(c.Guarantees) {
 		if err := c.checkGuarantee(c.Guarantees[k]); err != nil {
 			return err
 		}
 	}
-	for _, k := range Sorted(c.Services) {
+	for _, k := range SortedKeys(c.Services) {
 		if err := c.Services[k].check(); err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 
 func (c Config) checkRacks() error {
 	seen := map[id.Worker]id.Rack{}
-	for _, k := range Sorted(c.Racks) {
+	for _, k := range SortedKeys(c.Racks) {
 		r := c.Racks[k]
 		if r.ID == "" || len(r.Workers) == 0 {
 			return fmt.Errorf("%w: rack %q: id or workers are empty", ErrInvalid, r.ID)
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// Sorted returns the keys of m in ascending order. All code that makes decisions
+// SortedKeys returns the keys of m in ascending order. All code that makes decisions
 // iterates over maps in this order, so that every host makes the same decisions.
-func Sorted[K cmp.Ordered, V any](m map[K]V) []K {
+func SortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/core/config/object.go
+++ b/core/config/object.go
@@ -62,8 +62,8 @@
 	return n
 }
 
-// Span returns the block of accelerators of the worker at index i.
-func (r Rack) Span(i int) block.Block {
+// WorkerBlock returns the block of accelerators of the worker at index i.
+func (r Rack) WorkerBlock(i int) block.Block {
 	start := 0
 	for _, w := range r.Workers[:i] {
 		start += w.Accelerators
--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -103,7 +103,7 @@
 		return
 	}
 	s := c.step
-	a := Ask{Step: s.name(), Workers: workers, Adviser: by, AnswerTime: advice.Takes(len(workers))}
+	a := Ask{Step: s.name(), Workers: workers, Adviser: by, AnswerTime: advice.ResponseTime(len(workers))}
 	d.advice.advisers[by].busy, s.adviceInFlight = true, true
 	d.orders.Asks = append(d.orders.Asks, a)
 	d.noteJob(EventAdviceAsked, now, s.job, fmt.Sprintf("step %s: %d workers", a.Step, len(workers)), a.AnswerTime)
@@ -130,7 +130,7 @@
 		}
 		expected += max(yield, minYield) * float64(s.maxTasksIn(room))
 		enough := expected >= float64(len(c.waiting)+askSpare)
-		if enough && advice.Takes(len(out)+1) > 2*advice.Decide {
+		if enough && advice.ResponseTime(len(out)+1) > 2*advice.BaseTime {
 			break
 		}
 	}
@@ -188,7 +188,7 @@
 	if s != nil {
 		s.adviceInFlight = false
 	}
-	if res.Verdict != fleet.Carried {
+	if res.Verdict != fleet.CarriedOut {
 		by.fail(now)
 		d.note(Note{Event: EventAdviceMissed, Job: res.Ask.Step.Job, Why: res.Verdict.String(), Age: now.Sub(res.Sent)})
 		return
--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -27,7 +27,7 @@
 }
 
 // run returns the worker's run of a task with a run number, or nil.
-func (w *worker) run(t job.Task, number job.Run) *run {
+func (w *worker) run(t job.TaskID, number job.RunNumber) *run {
 	r := w.runs.get(t)
 	if r == nil || r.number != number {
 		return nil
@@ -36,7 +36,7 @@
 }
 
 // recordAnswer records that a worker has answered, and its clock.
-func (d *Dispatcher) recordAnswer(now unit.Instant, w *worker, c fleet.Clock) {
+func (d *Dispatcher) recordAnswer(now unit.Instant, w *worker, c fleet.ClockReading) {
 	w.lastAnswerAt = now
 	if c > 0 && c >= w.Clock {
 		w.Clock, w.clockAt = c, now
@@ -45,7 +45,7 @@
 
 // applyVerdict handles what a verdict says of the worker itself. It reports
 // whether the worker answered under this epoch.
-func (d *Dispatcher) applyVerdict(now unit.Instant, w *worker, t Target, v fleet.Verdict, c fleet.Clock) bool {
+func (d *Dispatcher) applyVerdict(now unit.Instant, w *worker, t Target, v fleet.Verdict, c fleet.ClockReading) bool {
 	switch v {
 	case fleet.Unknown, fleet.Unreachable:
 		return false
@@ -69,13 +69,13 @@
 
 // runAnswer handles the answer to an order for a run. It returns the run, or
 // nil if the run or its worker isn't known any more.
-func (d *Dispatcher) runAnswer(now unit.Instant, t Target, v fleet.Verdict, c fleet.Clock, task job.Task, number job.Run) *run {
+func (d *Dispatcher) runAnswer(now unit.Instant, t Target, v fleet.Verdict, c fleet.ClockReading, task job.TaskID, number job.RunNumber) *run {
 	w := d.targetWorker(t)
 	if w == nil {
 		return nil
 	}
 	// Any other answer doesn't show which incarnation under the name sent it.
-	if v == fleet.Replaced || v == fleet.Fenced || !fleet.TellsStart(w.ID) {
+	if v == fleet.Replaced || v == fleet.Fenced || !fleet.HasStart(w.ID) {
 		d.applyVerdict(now, w, t, v, c)
 	}
 	return w.run(task, number)
@@ -83,7 +83,7 @@
 
 // Started handles the result of a start order.
 func (d *Dispatcher) Started(now unit.Instant, res StartResult) {
-	if res.Verdict != fleet.Carried && res.Verdict != fleet.Unknown && res.Verdict != fleet.Stale {
+	if res.Verdict != fleet.CarriedOut && res.Verdict != fleet.Unknown && res.Verdict != fleet.Stale {
 		d.startRefused(res.Start)
 	}
 	r := d.runAnswer(now, res.Start.Target, res.Verdict, res.Clock, res.Start.Task, res.Start.Run)
@@ -94,7 +94,7 @@
 	r.worker.recordGrant(r.startLeaseExpiry, res.Verdict)
 	r.startLeaseExpiry = 0
 	switch res.Verdict {
-	case fleet.Carried:
+	case fleet.CarriedOut:
 		if r.apply(evStarted) && r.startedAt == 0 {
 			r.startedAt = now
 		}
@@ -102,7 +102,7 @@
 	case fleet.Unknown:
 		r.startUnanswered = true
 		r.lateStartLeaseExpiry = d.noteUnansweredLease(r.worker, r.startSentAt)
-	case fleet.Unreachable, fleet.Replaced, fleet.Fenced, fleet.Expired:
+	case fleet.Unreachable, fleet.Replaced, fleet.Fenced, fleet.LeaseExpired:
 		// The order is repeated by resend, or the worker was given up above.
 	case fleet.Stale:
 		d.handleStaleStart(now, r)
@@ -156,7 +156,7 @@
 	}
 	r.inFlight = false
 	// Any other answer means that nothing was done; resend repeats the order.
-	done := res.Verdict == fleet.Carried || res.Verdict == fleet.Stale
+	done := res.Verdict == fleet.CarriedOut || res.Verdict == fleet.Stale
 	if done && r.stopConfirmedAt == 0 {
 		r.stopConfirmedAt = now
 		// A renewal that doesn't wait then shows whether the run was ever
@@ -212,7 +212,7 @@
 		}
 		return
 	}
-	if !d.applyVerdict(now, w, res.Renew.Target, res.Verdict, res.Report.Clock) || res.Verdict != fleet.Carried {
+	if !d.applyVerdict(now, w, res.Renew.Target, res.Verdict, res.Report.Clock) || res.Verdict != fleet.CarriedOut {
 		return
 	}
 	w.lastEndAcked, w.firstLossAt = max(w.lastEndAcked, res.Renew.AckedEnd), 0
@@ -220,7 +220,7 @@
 		w.syncedAsOf, w.syncedClock = res.Sent, res.Report.Clock
 	}
 	d.resolveContest(now, w)
-	ended := map[job.Task]bool{}
+	ended := map[job.TaskID]bool{}
 	for _, e := range res.Report.Ended {
 		ended[e.Task] = true
 		if e.Seq > w.lastEndSeen {
@@ -228,7 +228,7 @@
 			d.runEnded(now, w, e)
 		}
 	}
-	if w.replaced && fleet.TellsStart(w.ID) {
+	if w.replaced && fleet.HasStart(w.ID) {
 		return // it answered before the next incarnation did: the runs that it lists are over
 	}
 	d.reconcile(now, w, res, ended)
--- a/core/dispatch/candidate.go
+++ b/core/dispatch/candidate.go
@@ -117,7 +117,7 @@
 	if len(c.waiting) == 0 {
 		return candidate{}, false
 	}
-	allowed := scale(js.spec.LongestChain(), js.spec.Stretch) + js.spec.Target
+	allowed := scale(js.spec.CriticalPath(), js.spec.DeadlineFactor) + js.spec.DeadlineExtra
 	c.deadline = due.Add(allowed)
 	c.late = now > due.Add(lateFactor*allowed)
 	if s.step.LongRunning {
--- a/core/dispatch/check.go
+++ b/core/dispatch/check.go
@@ -25,7 +25,7 @@
 	if t.Phase != job.Placed || t.Run != r.number || t.Worker != r.worker.ID {
 		return "the record of the task has another placement"
 	}
-	if t.Failed >= js.spec.MaxAttempts && !s.step.LongRunning {
+	if t.Failures >= js.spec.MaxAttempts && !s.step.LongRunning {
 		return "the task has no attempts left"
 	}
 	if s.pastCrashLimit(r.task.Index) {
--- a/core/dispatch/commands_test.go
+++ b/core/dispatch/commands_test.go
@@ -28,7 +28,7 @@
 		s.addJob(id.Job(f[1]), o)
 	case "replaced":
 		// A host that starts reading now sees only the last spec.
-		s.apply([]jobtable.Record{s.table.ForgetRecords(id.Job(f[1]))[0]})
+		s.apply([]jobtable.Record{s.table.DeleteRecords(id.Job(f[1]))[0]})
 		s.writeSpec(id.Job(f[1]), o)
 	case "cancel":
 		s.apply([]jobtable.Record{s.table.CancelRecord(id.Job(f[1]))})
@@ -93,7 +93,7 @@
 		ID: id.Worker(name), Machine: id.Machine(o.text("machine", "")), Address: o.text("address", name),
 		Service: id.Service(o.text("service", "svc")), Domain: id.Domain(o.text("domain", "d1")), Rack: id.Rack(o.text("rack", "r1")),
 		Labels:   []string{"a", o.text("rack", "r1")},
-		Capacity: job.Resources{CPU: 64000, Memory: 256 * unit.GiB, Accelerators: o.number("gpus", 8)}, Clock: fleet.Clock(time.Hour),
+		Capacity: job.Resources{CPU: 64000, Memory: 256 * unit.GiB, Accelerators: o.number("gpus", 8)}, Clock: fleet.ClockReading(time.Hour),
 	}
 	if r := o.duration("draining"); r > 0 {
 		l.Draining, l.Remaining = true, r
@@ -125,7 +125,7 @@
 
 // checkState checks a job's outcome in the store's records.
 func (s *script) checkState(name id.Job, want string) {
-	got := [...]string{"open", "completed", "failed", "cancelled"}[s.table.Get(name).Resumed().Outcome]
+	got := [...]string{"open", "completed", "failed", "cancelled"}[s.table.Get(name).ResumeProgress().Outcome]
 	if got != want {
 		s.t.Errorf("job %s is %s, want %s", name, got, want)
 	}
@@ -135,7 +135,7 @@
 func (s *script) checkCrashes(name id.Job, want []string) {
 	var got []string
 	for _, c := range s.table.Get(name).Progress.Crashes {
-		got = append(got, strconv.Itoa(c.All))
+		got = append(got, strconv.Itoa(c.Total))
 	}
 	if !slices.Equal(got, want) {
 		s.t.Errorf("job %s has the counts %v, want %v", name, got, want)
@@ -144,7 +144,7 @@
 
 // wave requests a wave of maintenance.
 func (s *script) wave(f []string) {
-	w := upkeep.Wave{Number: id.Wave(number(s.t, f[1])), Within: duration(s.t, f[2]), Most: number(s.t, f[3])}
+	w := upkeep.Wave{Number: id.Wave(number(s.t, f[1])), MaxDuration: duration(s.t, f[2]), MaxDown: number(s.t, f[3])}
 	for _, m := range f[4:] {
 		w.Machines = append(w.Machines, id.Machine(m))
 	}
@@ -173,18 +173,18 @@
 		Count: o.number("count", 1), Need: job.Resources{CPU: 1000, Memory: unit.GiB, Accelerators: o.number("gpus", 1)},
 		Estimate: max(time.Second, o.duration("estimate")), Gang: o.has("gang"), SameRack: o.has("samerack"), Checkpointing: o.has("saves"),
 		LongRunning: o.has("lasts"), Label: o.text("label", ""), DataRack: o.text("data", ""), MaxPerWorker: o.number("apart", 0),
-		TargetLatency: o.duration("target"), Fills: o.has("fills"), MayMiss: o.number("maymiss", 0),
+		TargetLatency: o.duration("target"), UsesIdleCPU: o.has("fills"), MaxUnavailable: o.number("maymiss", 0),
 	}
 	spec := job.Spec{
 		Customer: "c", Queue: "q", Service: id.Service(o.text("service", "svc")), Priority: o.number("priority", 1),
-		Stretch: 3, Target: time.Second, Text: "x", Steps: []job.Step{step}, Accepted: s.now,
+		DeadlineFactor: 3, DeadlineExtra: time.Second, Payload: "x", Steps: []job.Step{step}, Accepted: s.now,
 	}
 	spec.MaxAttempts = o.number("attempts", 2)
 	spec.Accepted = spec.Accepted.Add(o.duration("ahead"))
 	if r := o.number("rounds", 0); r > 0 {
-		spec.Rounds, spec.First, spec.Interval = r, s.now.Add(o.duration("first")), o.duration("interval")
+		spec.Rounds, spec.FirstDue, spec.Interval = r, s.now.Add(o.duration("first")), o.duration("interval")
 	}
-	spec.Advice = job.Advice{Needed: o.has("advice"), Decide: 100 * time.Millisecond, Each: time.Millisecond}
+	spec.Advice = job.Advice{Needed: o.has("advice"), BaseTime: 100 * time.Millisecond, TimePerWorker: time.Millisecond}
 	if o.has("twosteps") {
 		second := step
 		second.DependsOn = []int{0}
@@ -215,7 +215,7 @@
 // specifies.
 func (s *script) renewed(f []string) {
 	res := dispatch.RenewResult{Renew: s.renews[f[1]], Sent: s.sent[f[1]], Verdict: verdict(s.t, f[2])}
-	res.Report.Clock = fleet.Clock(time.Hour) + fleet.Clock(s.now-unit.At(time.Unix(1000, 0)))
+	res.Report.Clock = fleet.ClockReading(time.Hour) + fleet.ClockReading(s.now-unit.At(time.Unix(1000, 0)))
 	for i := 3; i < len(f); {
 		switch f[i] {
 		case "by":
@@ -223,7 +223,7 @@
 			i += 2
 		case "run":
 			percent, load, _ := strings.Cut(f[i+3], ":")
-			x := fleet.Running{Task: task(s.t, f[i+1]), Run: job.Run(number(s.t, f[i+2])), Percent: number(s.t, percent)}
+			x := fleet.Running{Task: task(s.t, f[i+1]), Run: job.RunNumber(number(s.t, f[i+2])), Percent: number(s.t, percent)}
 			if load != "" {
 				x.Load = int64(number(s.t, load))
 			}
@@ -233,9 +233,9 @@
 			res.Report.MoreEnds = true
 			i++
 		case "end":
-			e := fleet.End{Seq: uint64(number(s.t, f[i+1])), Task: task(s.t, f[i+2]), Run: job.Run(number(s.t, f[i+3]))}
+			e := fleet.End{Seq: uint64(number(s.t, f[i+1])), Task: task(s.t, f[i+2]), Run: job.RunNumber(number(s.t, f[i+3]))}
 			how, saved, _ := strings.Cut(f[i+4], ":")
-			e.How = fleet.How(slices.Index([]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}, how))
+			e.Reason = fleet.EndReason(slices.Index([]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}, how))
 			e.Checkpoint = saved
 			res.Report.Ended = append(res.Report.Ended, e)
 			i += 5
--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -92,8 +92,8 @@
 		}
 		r.step.noteExcused(r.task.Index)
 	}
-	c.All--
-	c.AtOnce = max(0, c.AtOnce-1)
+	c.Total--
+	c.Early = max(0, c.Early-1)
 	d.markChanged(r.step.job)
 	d.noteRun(EventCrashExcused, r, fmt.Sprintf("%d workers crashed together, which suggests a common cause", crashes), r.confirmedRuntime())
 }
--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -69,7 +69,7 @@
 	if w.syncedAsOf == 0 || w.syncedClock == 0 {
 		return false
 	}
-	return w.syncedClock+fleet.Clock(at.Sub(w.syncedAsOf)) < w.drainEndClock
+	return w.syncedClock+fleet.ClockReading(at.Sub(w.syncedAsOf)) < w.drainEndClock
 }
 
 // startRefused processes the result that an order to start was refused by whoever
@@ -113,7 +113,7 @@
 // crashedRepeatedly reports whether workers crashed under earlier runs of the
 // task so often that the task is a possible cause.
 func (r *run) crashedRepeatedly() bool {
-	return r.mayCauseCrash() && r.step.anyCrashCount(r.task.Index, func(c job.CrashCount) bool { return c.All >= minRepeatedCrashes })
+	return r.mayCauseCrash() && r.step.anyCrashCount(r.task.Index, func(c job.CrashCount) bool { return c.Total >= minRepeatedCrashes })
 }
 
 // confirmedRuntime returns how long after the run's start its worker last answered; 0
@@ -154,20 +154,20 @@
 		return false // the previous owner has counted it
 	}
 	c.Run, c.Worker = r.number, r.worker.ID
-	c.All++
-	c.AtOnce++
+	c.Total++
+	c.Early++
 	if r.confirmedRuntime() >= earlyCrashTime {
-		c.AtOnce = 0
+		c.Early = 0
 	}
 	s.noteFailure(now, r.task.Index, r.worker)
 	d.markChanged(s.job)
-	d.noteRun(EventCrashCounted, r, fmt.Sprintf("%d of %d at once, %d of %d in all", c.AtOnce, maxEarlyCrashes, c.All, maxCrashes), r.confirmedRuntime())
+	d.noteRun(EventCrashCounted, r, fmt.Sprintf("%d of %d at once, %d of %d in all", c.Early, maxEarlyCrashes, c.Total, maxCrashes), r.confirmedRuntime())
 	return true
 }
 
 // retractCrash takes back the counted crash of a worker under a run; why is the
 // evidence against it, for the log.
-func (d *Dispatcher) retractCrash(w id.Worker, t job.Task, number job.Run, why string) {
+func (d *Dispatcher) retractCrash(w id.Worker, t job.TaskID, number job.RunNumber, why string) {
 	s := d.stepOfTask(t)
 	if s == nil {
 		return
@@ -177,9 +177,9 @@
 		return
 	}
 	c.Worker = ""
-	c.All--
-	c.AtOnce = max(0, c.AtOnce-1)
-	if c.All <= 0 {
+	c.Total--
+	c.Early = max(0, c.Early-1)
+	if c.Total <= 0 {
 		s.dropCrash(s.base + t.Index)
 	}
 	delete(s.lastFailures, s.failureKey(t.Index))
@@ -208,7 +208,7 @@
 	for _, s := range js.steps {
 		for i := range s.step.Count {
 			if c := s.crashCount(i); c != nil && beyondCrashLimit(*c) && s.waitedSinceCrash(now, i) >= commonCause {
-				return c.All, true
+				return c.Total, true
 			}
 		}
 	}
@@ -224,12 +224,12 @@
 // lastCrashEarly reports whether the latest crash under a task came soon after
 // its start. needsOwnWorker reports whether there were so many in total that
 // its worker takes no other tasks while it runs.
-func lastCrashEarly(c job.CrashCount) bool { return c.AtOnce > 0 }
-func needsOwnWorker(c job.CrashCount) bool { return c.All >= isolateAfterCrashes }
+func lastCrashEarly(c job.CrashCount) bool { return c.Early > 0 }
+func needsOwnWorker(c job.CrashCount) bool { return c.Total >= isolateAfterCrashes }
 
 // beyondCrashLimit reports whether a task has reached its limit of crashes.
 func beyondCrashLimit(c job.CrashCount) bool {
-	return c.AtOnce >= maxEarlyCrashes || c.All >= maxCrashes
+	return c.Early >= maxEarlyCrashes || c.Total >= maxCrashes
 }
 
 // clearSuspicion updates the crash counts of a task whose run a worker has just
--- a/core/dispatch/crashcount.go
+++ b/core/dispatch/crashcount.go
@@ -36,7 +36,7 @@
 	all := s.job.progress.Crashes
 	for i := range all {
 		if s.startsWith(index, all[i].Task) {
-			all[i].AtOnce = 0
+			all[i].Early = 0
 		}
 	}
 }
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -79,7 +79,7 @@
 	fenced  bool
 	// lastFenceRevision is the last raise number that was assigned to a worker's fence; it
 	// never decreases.
-	lastFenceRevision id.Raise
+	lastFenceRevision id.FenceRevision
 	// soleOwnerAt is the latest time as of which no other host was the owner; 0
 	// if nothing reports that, as in a model without other hosts: leases are
 	// granted then.
@@ -162,7 +162,7 @@
 	if l.Draining {
 		w.drainEndsAt, w.drainEndClock = now.Add(l.Remaining), 0
 		if listedClock > 0 {
-			w.drainEndClock = listedClock + fleet.Clock(l.Remaining)
+			w.drainEndClock = listedClock + fleet.ClockReading(l.Remaining)
 		}
 	}
 	d.contest(now, w)
--- a/core/dispatch/fence.go
+++ b/core/dispatch/fence.go
@@ -15,10 +15,10 @@
 // raiseFence raises the fence of orders to a worker. An owner that has used up
 // its raises gives way to the next epoch.
 func (d *Dispatcher) raiseFence(w *worker) {
-	if !fleet.TellsStart(w.ID) {
+	if !fleet.HasStart(w.ID) {
 		return
 	}
-	if d.lastFenceRevision == id.MostRaises {
+	if d.lastFenceRevision == id.MaxFenceRevision {
 		d.note(Note{Event: EventOwnerFenced, Worker: w.ID, Why: "the fence can't be raised any more"})
 		d.fenced = true
 		return
@@ -52,5 +52,5 @@
 
 // fence returns the present fence of orders to a worker.
 func (d *Dispatcher) fence(w *worker) fleet.Fence {
-	return fleet.Fence{Epoch: d.epoch, Raise: w.fenceRevision}
+	return fleet.Fence{Epoch: d.epoch, Revision: w.fenceRevision}
 }
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -31,7 +31,7 @@
 func testFenceOutlastsOutage(t *testing.T, verdict fleet.Verdict) {
 	const workers, raisesEach, outage = 48, 12, 10 * time.Minute
 	c := Config{MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, CheckpointInterval: time.Second, EndedRetention: 2 * time.Minute}
-	f := &failingFleet{t: t, d: New(c, policy.New(), 1, jobtable.New()), now: unit.At(time.Unix(1000, 0)), verdict: fleet.Carried}
+	f := &failingFleet{t: t, d: New(c, policy.New(), 1, jobtable.New()), now: unit.At(time.Unix(1000, 0)), verdict: fleet.CarriedOut}
 	step := job.Step{Count: workers, Need: job.Resources{Accelerators: 8}, Estimate: time.Hour}
 	spec := job.Spec{Queue: "queue", Service: "svc", MaxAttempts: 4, Steps: []job.Step{step}}
 	f.d.AddJob(f.now, "j1", &jobtable.Entry{Spec: &spec})
@@ -45,7 +45,7 @@
 	if got := f.d.placedRuns; got != workers {
 		t.Fatalf("%d tasks are in place before the outage, want %d", got, workers)
 	}
-	f.d.lastFenceRevision = id.MostRaises - raisesEach*workers
+	f.d.lastFenceRevision = id.MaxFenceRevision - raisesEach*workers
 	f.verdict = verdict
 	f.run(outage)
 	if f.d.Fenced() {
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -20,7 +20,7 @@
 		}
 	}
 	for _, name := range d.forget {
-		b.Jobs = append(b.Jobs, d.table.ForgetRecords(name)...)
+		b.Jobs = append(b.Jobs, d.table.DeleteRecords(name)...)
 	}
 	d.changed, d.forget = nil, nil
 	records, err := d.waveRecords()
@@ -49,7 +49,7 @@
 // the job as a new one.
 func (d *Dispatcher) record(b *Batch, js *jobState) error {
 	ended := js.progress.Outcome != job.Open
-	if ended && js.summary < summaryEnding || js.summary == summaryNone && js.progress.Began() {
+	if ended && js.summary < summaryEnding || js.summary == summaryNone && js.progress.Started() {
 		r, err := d.table.SummaryRecord(js.id, jobtable.Summary{Outcome: js.progress.Outcome, Ended: js.progress.Ended})
 		if err != nil {
 			return err
@@ -184,7 +184,7 @@
 	r.worker.changeSent = true
 	s := r.step
 	d.orders.Starts = append(d.orders.Starts, Start{
-		Target: d.target(r.worker), Domain: r.worker.Domain, Task: r.task, Run: r.number, Text: s.job.spec.Text,
+		Target: d.target(r.worker), Domain: r.worker.Domain, Task: r.task, Run: r.number, Text: s.job.spec.Payload,
 		Checkpoint: s.job.progress.Tasks[s.base+r.task.Index].Checkpoint, Ticket: s.permits[r.worker.ID].ticket,
 		Until: d.lease(now, r.worker), MayHaveStarted: r.startUnanswered || r.fromEarlierOwner,
 	})
@@ -198,10 +198,10 @@
 
 // place assigns a task to a worker and returns the run. The start order is sent
 // after the next batch.
-func (d *Dispatcher) place(s *stepState, index int, w *worker, number job.Run) *run {
+func (d *Dispatcher) place(s *stepState, index int, w *worker, number job.RunNumber) *run {
 	js := s.job
 	if len(js.progress.Tasks) == 0 {
-		js.progress.Tasks = make([]job.TaskState, js.spec.RoundCount()*js.spec.Width())
+		js.progress.Tasks = make([]job.TaskState, js.spec.RoundCount()*js.spec.TasksPerRound())
 	}
 	t := &js.progress.Tasks[s.base+index]
 	t.Phase, t.Run, t.Worker = job.Placed, number, w.ID
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -102,7 +102,7 @@
 // immediately.
 func (d *Dispatcher) countFailures(now unit.Instant, r *run, e fleet.End) {
 	w := r.worker
-	switch e.How {
+	switch e.Reason {
 	case fleet.EndDone:
 		w.failureStreak, w.lastFailedJob = 0, ""
 	case fleet.EndFailed:
@@ -111,7 +111,7 @@
 			w.failureStreak = suspendAfterFailures
 		}
 		d.suspendFailing(now, w, "a task failed at once, or tasks of several jobs in a row")
-	case fleet.EndStopped, fleet.EndLapsed, fleet.EndBroken, fleet.EndAlone:
+	case fleet.EndStopped, fleet.EndLeaseExpired, fleet.EndGangBroken, fleet.EndGangTimeout:
 	}
 }
 
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -32,8 +32,8 @@
 // lateStart is an order to start a run that has ended, with a copy that got no
 // answer.
 type lateStart struct {
-	task   job.Task
-	number job.Run
+	task   job.TaskID
+	number job.RunNumber
 	// asked is when the last copy was sent.
 	asked unit.Instant
 }
@@ -61,7 +61,7 @@
 // when the order is carried out. It returns 0 if there can't be such an
 // incarnation.
 func (d *Dispatcher) noteUnansweredLease(w *worker, sent unit.Instant) unit.Instant {
-	if !fleet.TellsStart(w.ID) {
+	if !fleet.HasStart(w.ID) {
 		return 0
 	}
 	until := d.maxLeaseExpiry(sent.Add(maxOrderDelay))
@@ -185,7 +185,7 @@
 // be carried out.
 func (r *run) recordLateStart() {
 	w := r.worker
-	if !r.startUnanswered && r.startLeaseExpiry == 0 || !fleet.TellsStart(w.ID) {
+	if !r.startUnanswered && r.startLeaseExpiry == 0 || !fleet.HasStart(w.ID) {
 		return
 	}
 	w.lateStarts = slices.DeleteFunc(w.lateStarts, func(s lateStart) bool { return r.startSentAt.Sub(s.asked) > maxOrderDelay })
@@ -201,7 +201,7 @@
 // first.
 func (w *worker) endsToAck(now unit.Instant) uint64 {
 	switch {
-	case !fleet.TellsStart(w.ID):
+	case !fleet.HasStart(w.ID):
 		return w.lastEndStored
 	case w.lastEndAcked >= w.lastEndStored || w.renewalUnanswered || now.Sub(w.lastAnswerAt) > maxAnswerAgeForAck:
 		return 0
--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -47,7 +47,7 @@
 	if js.spec.Priority == 0 && len(js.progress.Tasks) == 0 {
 		d.noteArrival(now, js.spec)
 	}
-	if js.summary == summaryNone && js.progress.Began() {
+	if js.summary == summaryNone && js.progress.Started() {
 		d.markChanged(js)
 	}
 	if e.Cancelled {
@@ -57,7 +57,7 @@
 
 // newJobState returns a job with all its steps, without runs.
 func newJobState(now unit.Instant, name id.Job, e *jobtable.Entry) *jobState {
-	p := e.Resumed()
+	p := e.ResumeProgress()
 	p.Tasks, p.Crashes = slices.Clone(p.Tasks), slices.Clone(p.Crashes)
 	js := &jobState{id: name, spec: e.Spec, progress: p, knownSince: now, summary: summaryOf(e), hasProgress: len(p.Tasks) > 0}
 	base := 0
@@ -77,7 +77,7 @@
 // which began to read later, has read only the replacement.
 func (js *jobState) progressMatchesSpec() bool {
 	n := len(js.progress.Tasks)
-	return n == 0 || n == js.spec.RoundCount()*js.spec.Width()
+	return n == 0 || n == js.spec.RoundCount()*js.spec.TasksPerRound()
 }
 
 // resumeEnded continues a job that ended under an earlier owner: it stops what
--- a/core/dispatch/lasting.go
+++ b/core/dispatch/lasting.go
@@ -36,7 +36,7 @@
 
 // bounded reports whether the step's customer limits how many of its tasks may
 // be unavailable.
-func (s *stepState) bounded() bool { return s.step.LongRunning && s.step.MayMiss > 0 }
+func (s *stepState) bounded() bool { return s.step.LongRunning && s.step.MaxUnavailable > 0 }
 
 // mayStopAll reports whether the runs may be stopped together, each with its
 // gang, without making more tasks of a step unavailable than its customer
@@ -57,7 +57,7 @@
 		}
 	}
 	for s, n := range stopping {
-		if s.unavailable()+n > s.step.MayMiss {
+		if s.unavailable()+n > s.step.MaxUnavailable {
 			return false
 		}
 	}
--- a/core/dispatch/lease.go
+++ b/core/dispatch/lease.go
@@ -54,8 +54,8 @@
 }
 
 // lease returns the end of a lease granted now, by the worker's clock.
-func (d *Dispatcher) lease(now unit.Instant, w *worker) fleet.Clock {
-	return w.clock(now) + fleet.Clock(d.config.MaxLease)
+func (d *Dispatcher) lease(now unit.Instant, w *worker) fleet.ClockReading {
+	return w.clock(now) + fleet.ClockReading(d.config.MaxLease)
 }
 
 // leaseExpiry returns when every lease on the worker has expired for certain: those
@@ -84,7 +84,7 @@
 }
 
 // clock returns a reading that the worker's clock has reached for certain.
-func (w *worker) clock(now unit.Instant) fleet.Clock {
+func (w *worker) clock(now unit.Instant) fleet.ClockReading {
 	passed := float64(now.Sub(w.clockAt)) / clockDrift
-	return w.Clock + fleet.Clock(passed)
+	return w.Clock + fleet.ClockReading(passed)
 }
--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -65,7 +65,7 @@
 		n.Why += ", " + string(next.ID)
 	}
 	d.note(n)
-	if w.crashed(now, e) && (next == nil || fleet.TellsStart(w.ID)) {
+	if w.crashed(now, e) && (next == nil || fleet.HasStart(w.ID)) {
 		d.countCrashes(now, w)
 	}
 	if next != nil {
--- a/core/dispatch/lives_internal_test.go
+++ b/core/dispatch/lives_internal_test.go
@@ -38,7 +38,7 @@
 		for _, o := range d.Take().Renews {
 			v := fleet.Unreachable // earlier incarnations don't answer
 			if strings.HasSuffix(string(o.Worker), fmt.Sprintf("-%d", incarnation)) {
-				v = fleet.Carried
+				v = fleet.CarriedOut
 			}
 			d.Renewed(now, RenewResult{Renew: o, Sent: now, Verdict: v})
 		}
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -13,7 +13,7 @@
 // incarnation isn't known.
 func (d *Dispatcher) NeedsMachineList() bool {
 	for _, x := range d.waves {
-		for _, m := range x.plan.Open() {
+		for _, m := range x.plan.Unfinished() {
 			if d.lifeOn(m) == nil {
 				return true
 			}
@@ -81,7 +81,7 @@
 	}
 	for _, x := range d.waves {
 		if at := x.carriedAt[w.Machine]; at != 0 && w.syncedAsOf > at {
-			x.plan.Back(w.Machine)
+			x.plan.MarkDone(w.Machine)
 		}
 	}
 }
--- a/core/dispatch/message.go
+++ b/core/dispatch/message.go
@@ -22,14 +22,14 @@
 	Target
 	// Domain is the failure domain of the worker.
 	Domain     id.Domain
-	Task       job.Task
-	Run        job.Run
+	Task       job.TaskID
+	Run        job.RunNumber
 	Text       string
 	Checkpoint string
 	// Ticket is the permit of the advice service; empty if none is needed.
 	Ticket string
 	// Until is when the lease of all runs on the worker ends, by its clock.
-	Until fleet.Clock
+	Until fleet.ClockReading
 	// MayHaveStarted is set if an earlier copy of the start order may have been carried
 	// out.
 	MayHaveStarted bool
@@ -39,28 +39,28 @@
 type StartResult struct {
 	Start   Start
 	Verdict fleet.Verdict
-	Clock   fleet.Clock
+	Clock   fleet.ClockReading
 }
 
 // Stop orders a worker to end a run.
 type Stop struct {
 	Target
-	Task job.Task
-	Run  job.Run
+	Task job.TaskID
+	Run  job.RunNumber
 }
 
 // StopResult is the result of a Stop.
 type StopResult struct {
 	Stop    Stop
 	Verdict fleet.Verdict
-	Clock   fleet.Clock
+	Clock   fleet.ClockReading
 }
 
 // Pace orders a worker to set the speed of a run, in percent of its full speed.
 type Pace struct {
 	Target
-	Task    job.Task
-	Run     job.Run
+	Task    job.TaskID
+	Run     job.RunNumber
 	Percent int
 }
 
@@ -68,7 +68,7 @@
 type PaceResult struct {
 	Pace    Pace
 	Verdict fleet.Verdict
-	Clock   fleet.Clock
+	Clock   fleet.ClockReading
 }
 
 // Renew renews the lease of all runs on a worker and asks for a report of them.
@@ -76,7 +76,7 @@
 	Target
 	// Until is the new end of the lease, by the worker's clock; 0 leaves the
 	// lease unchanged.
-	Until fleet.Clock
+	Until fleet.ClockReading
 	// AckedEnd is the sequence number of the last end that the worker may forget.
 	AckedEnd uint64
 	// Wait is how long the worker may delay its answer until a run ends.
--- a/core/dispatch/note.go
+++ b/core/dispatch/note.go
@@ -126,9 +126,9 @@
 type Note struct {
 	Event  Event
 	Job    id.Job
-	Task   job.Task
+	Task   job.TaskID
 	Worker id.Worker
-	Run    job.Run
+	Run    job.RunNumber
 	Why    string
 	// Estimate is the customer's estimate of the run time concerned, if the
 	// event doesn't say otherwise.
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -13,7 +13,7 @@
 // runEnded processes the end of a run that a worker reports.
 func (d *Dispatcher) runEnded(now unit.Instant, w *worker, e fleet.End) {
 	r := w.run(e.Task, e.Run)
-	n := Note{Event: EventTaskEnded, Job: e.Task.Job, Task: e.Task, Worker: w.ID, Run: e.Run, Why: e.How.String()}
+	n := Note{Event: EventTaskEnded, Job: e.Task.Job, Task: e.Task, Worker: w.ID, Run: e.Run, Why: e.Reason.String()}
 	if r == nil {
 		n.Event = EventUnknownEnd
 		d.note(n)
@@ -34,13 +34,13 @@
 		return
 	}
 	d.countFailures(now, r, e)
-	switch e.How {
+	switch e.Reason {
 	case fleet.EndDone:
 		d.runSucceeded(now, r)
 	case fleet.EndFailed:
 		d.runFailed(now, r)
-	case fleet.EndStopped, fleet.EndLapsed, fleet.EndBroken, fleet.EndAlone:
-		d.loseWithGang(now, r, e.How.String())
+	case fleet.EndStopped, fleet.EndLeaseExpired, fleet.EndGangBroken, fleet.EndGangTimeout:
+		d.loseWithGang(now, r, e.Reason.String())
 	}
 }
 
@@ -62,7 +62,7 @@
 // done twice.
 func (d *Dispatcher) successAfterLoss(now unit.Instant, e fleet.End) {
 	s := d.stepOfTask(e.Task)
-	if e.How != fleet.EndDone || s == nil || s.job.progress.Outcome != job.Open {
+	if e.Reason != fleet.EndDone || s == nil || s.job.progress.Outcome != job.Open {
 		return
 	}
 	js := s.job
@@ -126,8 +126,8 @@
 	worst := 0
 	tasks := s.startGroup(r.task.Index)
 	for i := range tasks {
-		tasks[i].Failed++
-		worst = max(worst, tasks[i].Failed)
+		tasks[i].Failures++
+		worst = max(worst, tasks[i].Failures)
 	}
 	d.markChanged(js)
 	d.loseWithGang(now, r, "failed")
@@ -150,8 +150,8 @@
 
 // reconcile compares the runs that a worker reports with those that are placed on
 // it.
-func (d *Dispatcher) reconcile(now unit.Instant, w *worker, res RenewResult, ended map[job.Task]bool) {
-	listed := map[job.Task]bool{}
+func (d *Dispatcher) reconcile(now unit.Instant, w *worker, res RenewResult, ended map[job.TaskID]bool) {
+	listed := map[job.TaskID]bool{}
 	for _, x := range res.Report.Running {
 		listed[x.Task] = true
 		r := w.runs.get(x.Task)
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -41,7 +41,7 @@
 
 // bestEffort reports whether a run is best-effort: it uses only capacity that others
 // leave idle.
-func (r *run) bestEffort() bool { return r.step != nil && r.step.step.Fills }
+func (r *run) bestEffort() bool { return r.step != nil && r.step.step.UsesIdleCPU }
 
 // isServing reports whether a run serves requests with a target latency.
 func (r *run) isServing() bool { return r.step != nil && r.step.step.TargetLatency > 0 }
@@ -60,12 +60,12 @@
 // each run there that a task of the step would interfere with, or that would
 // interfere with it.
 func (s *stepState) interferencePenalty(w *worker) float64 {
-	if !s.step.Fills && s.step.TargetLatency == 0 {
+	if !s.step.UsesIdleCPU && s.step.TargetLatency == 0 {
 		return 0
 	}
 	n := 0
 	for _, r := range w.runs {
-		if s.step.Fills && r.isServing() || s.step.TargetLatency > 0 && r.bestEffort() {
+		if s.step.UsesIdleCPU && r.isServing() || s.step.TargetLatency > 0 && r.bestEffort() {
 			n++
 		}
 	}
@@ -131,7 +131,7 @@
 // wasn't carried out, the speed is decided anew.
 func (d *Dispatcher) Paced(now unit.Instant, res PaceResult) {
 	r := d.runAnswer(now, res.Pace.Target, res.Verdict, res.Clock, res.Pace.Task, res.Pace.Run)
-	if r == nil || res.Verdict == fleet.Carried {
+	if r == nil || res.Verdict == fleet.CarriedOut {
 		return
 	}
 	// The worker may run it at the old speed or at the new one. A speed between
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -265,7 +265,7 @@
 // news: until it is answered, the worker's next incarnation may receive it
 // instead, and then gets no tasks for as long as orders may arrive late.
 func (w *worker) hasForgettableEnds() bool {
-	return fleet.TellsStart(w.ID) && w.lastEndStored > w.lastEndAcked
+	return fleet.HasStart(w.ID) && w.lastEndStored > w.lastEndAcked
 }
 
 // needsPromptAnswer reports whether a renewal to the worker must be answered
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -157,7 +157,7 @@
 }
 
 // nextRun returns the number of a task's next run. A gang's members share it.
-func (s *stepState) nextRun(index int) job.Run {
+func (s *stepState) nextRun(index int) job.RunNumber {
 	tasks := s.job.progress.Tasks
 	if len(tasks) == 0 {
 		return 1
@@ -165,7 +165,7 @@
 	if !s.step.Gang {
 		return tasks[s.base+index].Run + 1
 	}
-	last := job.Run(0)
+	last := job.RunNumber(0)
 	for i := range s.step.Count {
 		last = max(last, tasks[s.base+i].Run)
 	}
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -103,5 +103,5 @@
 
 // pressing reports whether a job has to start now to be completed in time.
 func (c *candidate) pressing(now unit.Instant) bool {
-	return now.Add(scale(c.step.job.spec.LongestChain(), estimateFactor)) > c.deadline
+	return now.Add(scale(c.step.job.spec.CriticalPath(), estimateFactor)) > c.deadline
 }
--- a/core/dispatch/runset.go
+++ b/core/dispatch/runset.go
@@ -14,12 +14,12 @@
 
 // find returns the index of a task's run and true, or the index at which to
 // insert it and false.
-func (s runSet) find(t job.Task) (int, bool) {
-	return slices.BinarySearchFunc(s, t, func(r *run, t job.Task) int { return compareTasks(r.task, t) })
+func (s runSet) find(t job.TaskID) (int, bool) {
+	return slices.BinarySearchFunc(s, t, func(r *run, t job.TaskID) int { return compareTasks(r.task, t) })
 }
 
 // get returns the run of a task, or nil.
-func (s runSet) get(t job.Task) *run {
+func (s runSet) get(t job.TaskID) *run {
 	at, ok := s.find(t)
 	if !ok {
 		return nil
@@ -38,14 +38,14 @@
 }
 
 // remove removes the run of a task, if there is one.
-func (s *runSet) remove(t job.Task) {
+func (s *runSet) remove(t job.TaskID) {
 	if at, ok := s.find(t); ok {
 		*s = slices.Delete(*s, at, at+1)
 	}
 }
 
 // compareTasks orders tasks by job, round, step and index.
-func compareTasks(a, b job.Task) int {
+func compareTasks(a, b job.TaskID) int {
 	return cmp.Or(
 		cmp.Compare(a.Job, b.Job), cmp.Compare(a.Round, b.Round), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index),
 	)
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -90,7 +90,7 @@
 	done        int
 	doneCounted bool
 	// failedRun is the last run of the gang that was counted as failed.
-	failedRun job.Run
+	failedRun job.RunNumber
 	// runs holds the runs of the step's tasks that occupy room on workers, by
 	// task index.
 	runs map[int]*run
@@ -122,8 +122,8 @@
 
 // run is one run of a task that occupies room on a worker.
 type run struct {
-	task   job.Task
-	number job.Run
+	task   job.TaskID
+	number job.RunNumber
 	state  runState
 	worker *worker
 	need   job.Resources
@@ -210,7 +210,7 @@
 	// are sent; it never decreases. changeSent is set once an order that starts
 	// a run, grants a lease or lets the worker forget ends may have been sent
 	// under it.
-	fenceRevision id.Raise
+	fenceRevision id.FenceRevision
 	changeSent    bool
 	// knownSince is when this owner learned of the worker.
 	knownSince unit.Instant
@@ -220,7 +220,7 @@
 	// reading of the worker's own clock at that time, or 0 if its entry has no
 	// clock.
 	drainEndsAt   unit.Instant
-	drainEndClock fleet.Clock
+	drainEndClock fleet.ClockReading
 	// used is the part of the capacity that runs take, reserved the part that
 	// claims take.
 	used, reserved job.Resources
@@ -242,7 +242,7 @@
 	// the present epoch; 0 if there is none that counts. toldClock is the
 	// worker's clock in that answer, 0 if it had none.
 	syncedAsOf  unit.Instant
-	syncedClock fleet.Clock
+	syncedClock fleet.ClockReading
 	// syncRequestedAt is when a new report was last requested; answers to
 	// renewals that were sent before don't count.
 	syncRequestedAt unit.Instant
@@ -311,7 +311,7 @@
 }
 
 // stepOf returns the step of a task, or nil if the job has no such task.
-func (js *jobState) stepOf(t job.Task) *stepState {
+func (js *jobState) stepOf(t job.TaskID) *stepState {
 	if _, ok := js.spec.Index(t); !ok {
 		return nil
 	}
@@ -320,7 +320,7 @@
 
 // stepOfTask returns the step of a task, or nil if the job isn't known or has
 // no such task.
-func (d *Dispatcher) stepOfTask(t job.Task) *stepState {
+func (d *Dispatcher) stepOfTask(t job.TaskID) *stepState {
 	js := d.jobs[t.Job]
 	if js == nil {
 		return nil
@@ -329,6 +329,6 @@
 }
 
 // task returns the name of the step's task with the given index.
-func (s *stepState) task(i int) job.Task {
-	return job.Task{Job: s.job.id, Round: s.round, Step: s.index, Index: i}
+func (s *stepState) task(i int) job.TaskID {
+	return job.TaskID{Job: s.job.id, Round: s.round, Step: s.index, Index: i}
 }
--- a/core/dispatch/stop.go
+++ b/core/dispatch/stop.go
@@ -35,7 +35,7 @@
 		js.dropTasks()
 	}
 	d.markChanged(js)
-	d.noteJob(EventJobEnded, now, js, why, js.spec.LongestChain())
+	d.noteJob(EventJobEnded, now, js, why, js.spec.CriticalPath())
 }
 
 // stopAll stops all runs of a job.
--- a/core/dispatch/unheeded_test.go
+++ b/core/dispatch/unheeded_test.go
@@ -34,7 +34,7 @@
 			s.d.Stopped(s.now, dispatch.StopResult{Stop: x, Verdict: fleet.Unknown})
 		}
 		for _, x := range o.Renews {
-			s.d.Renewed(s.now, dispatch.RenewResult{Renew: x, Sent: s.now, Verdict: fleet.Carried})
+			s.d.Renewed(s.now, dispatch.RenewResult{Renew: x, Sent: s.now, Verdict: fleet.CarriedOut})
 		}
 	}
 	t.Error("the task wasn't started elsewhere within 40 s")
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -53,17 +53,17 @@
 	x := &wave{number: w.Number, retryAt: map[id.Machine]unit.Instant{}, carriedAt: map[id.Machine]unit.Instant{}, unansweredAt: map[id.Machine]unit.Instant{}}
 	rec, known := d.table.Wave(w.Number)
 	if !known {
-		rec.Seen, x.changed = wall, true
+		rec.FirstSeen, x.changed = wall, true
 	}
-	x.record = jobtable.Wave{Seen: rec.Seen, Begun: slices.Clone(rec.Begun)}
-	x.plan = upkeep.New(w, now.Add(-wall.Sub(rec.Seen)), d.config.MaintenanceTime)
-	for _, m := range rec.Begun {
-		x.plan.Drop(m)
+	x.record = jobtable.Wave{FirstSeen: rec.FirstSeen, Started: slices.Clone(rec.Started)}
+	x.plan = upkeep.New(w, now.Add(-wall.Sub(rec.FirstSeen)), d.config.MaintenanceTime)
+	for _, m := range rec.Started {
+		x.plan.Exclude(m)
 	}
 	d.waves[w.Number] = x
 	x.finished = x.plan.Finished()
 	d.orders.Reports = append(d.orders.Reports, WaveReport{Wave: w.Number, Finished: x.finished})
-	d.note(Note{Event: EventWaveSeen, Why: fmt.Sprintf("wave %d: %d machines, %d begun", w.Number, len(w.Machines), len(rec.Begun)), Estimate: w.Within})
+	d.note(Note{Event: EventWaveSeen, Why: fmt.Sprintf("wave %d: %d machines, %d begun", w.Number, len(w.Machines), len(rec.Started)), Estimate: w.MaxDuration})
 }
 
 // advanceWaves advances the waves. A new owner first waits, since the previous one
@@ -86,7 +86,7 @@
 // wave.
 func (d *Dispatcher) heldForUpkeep(m id.Machine) bool {
 	for _, x := range d.waves {
-		if x.plan.Held(m) {
+		if x.plan.BlocksNewTasks(m) {
 			return true
 		}
 	}
@@ -95,8 +95,8 @@
 
 // advanceWave selects machines to empty, and orders down those that are empty.
 func (d *Dispatcher) advanceWave(now unit.Instant, x *wave) {
-	x.plan.Settle(now)
-	chosen := x.plan.Choose(now, func(m id.Machine) (float64, bool) { return d.emptyingCost(now, m) })
+	x.plan.CompleteOverdue(now)
+	chosen := x.plan.StartEmptying(now, func(m id.Machine) (float64, bool) { return d.emptyingCost(now, m) })
 	for _, m := range chosen {
 		d.note(Note{Event: EventUpkeepBegins, Why: fmt.Sprintf("machine %s of wave %d is emptied", m, x.number)})
 	}
@@ -112,7 +112,7 @@
 	if x.plan.Finished() && !x.finished {
 		x.finished = true
 		d.orders.Reports = append(d.orders.Reports, WaveReport{Wave: x.number, Finished: true})
-		d.note(Note{Event: EventWaveFinished, Why: fmt.Sprintf("wave %d", x.number), Age: d.wallTime.Sub(x.record.Seen)})
+		d.note(Note{Event: EventWaveFinished, Why: fmt.Sprintf("wave %d", x.number), Age: d.wallTime.Sub(x.record.FirstSeen)})
 	}
 }
 
@@ -145,12 +145,12 @@
 		return // the next incarnation will be emptied
 	}
 	if len(w.runs) == 0 {
-		if x.plan.Order(now, m) {
+		if x.plan.MarkOrdered(now, m) {
 			d.orderDown(x, m)
 		}
 		return
 	}
-	if !x.plan.Hurry(now, m) {
+	if !x.plan.EmptyingOverdue(now, m) {
 		return
 	}
 	for _, r := range withStep(w.sorted()) {
@@ -176,23 +176,23 @@
 	m := res.Upkeep.Machine
 	d.note(Note{Event: EventUpkeepAnswered, Why: fmt.Sprintf("machine %s of wave %d: %s", m, x.number, res.Verdict)})
 	switch res.Verdict {
-	case fleet.Carried:
-		x.plan.Carried(now, m)
-		x.record.Begun = append(x.record.Begun, m)
+	case fleet.CarriedOut:
+		x.plan.MarkDown(now, m)
+		x.record.Started = append(x.record.Started, m)
 		x.changed = true
 		x.carriedAt[m] = now
 		d.unconfirmLives(now, m)
 	case fleet.Fenced:
 		d.fenced = true
 	case fleet.Stale, fleet.Invalid:
-		x.plan.Drop(m)
+		x.plan.Exclude(m)
 	case fleet.Busy, fleet.Unreachable:
 		if at := x.unansweredAt[m]; at != 0 && now.Sub(at) < unansweredFor {
 			x.retryAt[m] = now.Add(upkeepRetry) // the unanswered order may have taken it down: it counts as down
 			return
 		}
-		x.plan.Refused(now, m)
-	case fleet.Unknown, fleet.Expired, fleet.NoRoom, fleet.NoTicket, fleet.Replaced:
+		x.plan.MarkRefused(now, m)
+	case fleet.Unknown, fleet.LeaseExpired, fleet.NoRoom, fleet.NoTicket, fleet.Replaced:
 		x.retryAt[m], x.unansweredAt[m] = now.Add(upkeepRetry), now
 	}
 }
--- a/core/dispatch/words_test.go
+++ b/core/dispatch/words_test.go
@@ -23,12 +23,12 @@
 }
 
 // task parses a task's name, JOB.ROUND.STEP.INDEX.
-func task(t *testing.T, name string) job.Task {
+func task(t *testing.T, name string) job.TaskID {
 	p := strings.Split(name, ".")
 	if len(p) != 4 {
 		t.Fatalf("invalid task name %q", name)
 	}
-	return job.Task{Job: id.Job(p[0]), Round: number(t, p[1]), Step: number(t, p[2]), Index: number(t, p[3])}
+	return job.TaskID{Job: id.Job(p[0]), Round: number(t, p[1]), Step: number(t, p[2]), Index: number(t, p[3])}
 }
 
 func number(t *testing.T, s string) int {
--- a/core/dispatch/world_test.go
+++ b/core/dispatch/world_test.go
@@ -88,7 +88,7 @@
 	j := world.Job{
 		Name: jobName(l.jobs),
 		Spec: job.Spec{
-			Customer: "c", Queue: "q", Service: "svc", Priority: priority, MaxAttempts: 3, Stretch: 3, Target: time.Second,
+			Customer: "c", Queue: "q", Service: "svc", Priority: priority, MaxAttempts: 3, DeadlineFactor: 3, DeadlineExtra: time.Second,
 			Steps: []job.Step{step},
 		},
 	}
--- a/core/fake/worker/worker.go
+++ b/core/fake/worker/worker.go
@@ -39,7 +39,7 @@
 // Hooks are callbacks of a worker. Each may be nil.
 type Hooks struct {
 	// Plan returns how a task will behave. By default it exits after a second.
-	Plan func(worker.Want) Run
+	Plan func(worker.WantedTask) Run
 	// Started is called when the gate of a task opens, and Ended when a task
 	// ends.
 	Started func(id.Job, id.Lease)
@@ -53,7 +53,7 @@
 }
 
 type task struct {
-	want  worker.Want
+	want  worker.WantedTask
 	state worker.TaskState
 	// leaseEnd is when the lease expires, and runEnd when the task exits or
 	// crashes.
@@ -88,7 +88,7 @@
 // worker needs a new incarnation number.
 func New(w id.Worker, accelerators int, incarnation uint64, h Hooks) *Worker {
 	if h.Plan == nil {
-		h.Plan = func(worker.Want) Run { return Run{For: time.Second} }
+		h.Plan = func(worker.WantedTask) Run { return Run{For: time.Second} }
 	}
 	freeMask := uint64(1)<<accelerators - 1
 	return &Worker{id: w, incarnation: incarnation, hooks: h, freeMask: freeMask, tasks: map[taskKey]*task{}}
@@ -196,7 +196,7 @@
 // protocol allows, and returns its state: it creates the task if the sync
 // allows that and the accelerators are free, extends its lease, and opens its
 // gate.
-func (w *Worker) reconcileTask(t worker.Want) worker.Task {
+func (w *Worker) reconcileTask(t worker.WantedTask) worker.Task {
 	n := taskKey{t.Job, t.Lease}
 	held, ok := w.tasks[n]
 	switch {
@@ -205,7 +205,7 @@
 	case !ok && t.Mask&^w.freeMask != 0:
 		return w.taskReport(n, worker.Denied, 0)
 	case !ok:
-		held = &task{want: t, state: taskChart.Start(), leaseEnd: w.clock + worker.GatedTerm}
+		held = &task{want: t, state: taskChart.Start(), leaseEnd: w.clock + worker.GatedLeaseDuration}
 		w.tasks[n] = held
 		w.freeMask &^= t.Mask
 	}
@@ -258,7 +258,7 @@
 			out[n.job] = true
 		}
 	}
-	return config.Sorted(out)
+	return config.SortedKeys(out)
 }
 
 // sortedKeys returns the keys of all tasks, ordered by job and lease.
--- a/core/fleet/fence.go
+++ b/core/fleet/fence.go
@@ -7,12 +7,12 @@
 // worker so that the worker rejects orders that were sent before and are not
 // answered yet.
 type Fence struct {
-	Epoch id.Epoch
-	Raise id.Raise
+	Epoch    id.Epoch
+	Revision id.FenceRevision
 }
 
 // Below reports whether f is lower than o, so that a worker that has seen o
 // rejects an order with f.
 func (f Fence) Below(o Fence) bool {
-	return f.Epoch < o.Epoch || f.Epoch == o.Epoch && f.Raise < o.Raise
+	return f.Epoch < o.Epoch || f.Epoch == o.Epoch && f.Revision < o.Revision
 }
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -18,8 +18,8 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// Clock is a reading of a worker's own monotonic clock.
-type Clock time.Duration
+// ClockReading is a reading of a worker's own monotonic clock.
+type ClockReading time.Duration
 
 // Listing is the entry of a worker in the platform's list of servers.
 type Listing struct {
@@ -38,7 +38,7 @@
 	// which they stay up, counted from when the entry was written.
 	Draining  bool
 	Remaining time.Duration
-	Clock     Clock
+	Clock     ClockReading
 }
 
 // Verdict is the result of an order.
@@ -49,17 +49,17 @@
 	// Unknown orders got no answer. They may have been carried out, or may
 	// still be carried out seconds later.
 	Unknown Verdict = iota
-	// Carried orders were carried out, or had no effect because the worker was
+	// CarriedOut orders were carried out, or had no effect because the worker was
 	// in the requested state already.
-	Carried
+	CarriedOut
 	// Fenced orders had a fence below one that the worker has seen.
 	Fenced
 	// Stale orders name a run whose number is not above that of a run that was
 	// stopped or has ended on the worker, or a machine that doesn't belong to
 	// the maintenance wave.
 	Stale
-	// Expired orders had a lease that had expired by the worker's clock.
-	Expired
+	// LeaseExpired orders had a lease that had expired by the worker's clock.
+	LeaseExpired
 	// NoRoom means that the worker lacks free resources for the task.
 	NoRoom
 	// NoTicket means that the ticket of the advice service was missing or had
@@ -84,36 +84,36 @@
 // String returns the verdict's name for logs.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// How is the way in which a run has ended.
-type How int
+// EndReason is the way in which a run has ended.
+type EndReason int
 
 // The ends of a run.
 const (
 	// EndDone is success.
-	EndDone How = iota
+	EndDone EndReason = iota
 	// EndFailed is a failure caused by the task or by the worker; it counts as
 	// an attempt.
 	EndFailed
 	// EndStopped is a stop that was ordered.
 	EndStopped
-	// EndLapsed is the expiry of the lease.
-	EndLapsed
-	// EndBroken is the loss of another member of the gang.
-	EndBroken
-	// EndAlone is a timeout while waiting for the other members of the gang.
-	EndAlone
+	// EndLeaseExpired is the expiry of the lease.
+	EndLeaseExpired
+	// EndGangBroken is the loss of another member of the gang.
+	EndGangBroken
+	// EndGangTimeout is a timeout while waiting for the other members of the gang.
+	EndGangTimeout
 )
 
 // howNames are the names of the ends in logs.
 var howNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
 
 // String returns the name of the end for logs.
-func (h How) String() string { return howNames[h] }
+func (h EndReason) String() string { return howNames[h] }
 
 // Running is one run that a worker reports as running.
 type Running struct {
-	Task       job.Task
-	Run        job.Run
+	Task       job.TaskID
+	Run        job.RunNumber
 	Checkpoint string
 	// Percent is the completed part of the work. For a long-running task it is
 	// 100 while the task works in full.
@@ -127,9 +127,9 @@
 type End struct {
 	// Seq numbers the ends within one incarnation of the worker, from 1.
 	Seq        uint64
-	Task       job.Task
-	Run        job.Run
-	How        How
+	Task       job.TaskID
+	Run        job.RunNumber
+	Reason     EndReason
 	Checkpoint string
 }
 
@@ -138,7 +138,7 @@
 	// Life is the incarnation that answered; empty if the answer doesn't
 	// contain it.
 	Life    id.Worker
-	Clock   Clock
+	Clock   ClockReading
 	Running []Running
 	// Ended holds, in order of Seq, the ends that the owner has not acknowledged
 	// yet; only the first of them if MoreEnds is set.
--- a/core/fleet/life.go
+++ b/core/fleet/life.go
@@ -11,16 +11,16 @@
 // in an id. Worker names must not contain it.
 const startSeparator = "@"
 
-// Start is the start time of an incarnation of a worker in milliseconds since
+// StartTime is the start time of an incarnation of a worker in milliseconds since
 // the Unix epoch, by the worker's wall clock. The clock may be set back between
 // two incarnations: different start times mean different incarnations, but a
 // later start time doesn't imply a later incarnation.
-type Start int64
+type StartTime int64
 
 // Life returns the id of the incarnation that a worker started under its name
 // at a time. A worker that doesn't report its start time has its name as its
 // id, and never restarts under the same name.
-func Life(name id.WorkerName, started Start) id.Worker {
+func Life(name id.WorkerName, started StartTime) id.Worker {
 	return id.Worker(string(name) + startSeparator + strconv.FormatInt(int64(started), 10))
 }
 
@@ -30,9 +30,9 @@
 	return id.WorkerName(name)
 }
 
-// TellsStart reports whether an incarnation's id contains its start time. If so,
+// HasStart reports whether an incarnation's id contains its start time. If so,
 // there may be earlier and later incarnations of the same name.
-func TellsStart(w id.Worker) bool { return strings.Contains(string(w), startSeparator) }
+func HasStart(w id.Worker) bool { return strings.Contains(string(w), startSeparator) }
 
-// MayName reports whether a worker name is valid as a part of incarnation ids.
-func MayName(name string) bool { return !strings.Contains(name, startSeparator) }
+// ValidWorkerName reports whether a worker name is valid as a part of incarnation ids.
+func ValidWorkerName(name string) bool { return !strings.Contains(name, startSeparator) }
--- a/core/gang/gang.go
+++ b/core/gang/gang.go
@@ -126,7 +126,7 @@
 	}
 	for i := range g.Members {
 		g.Members[i].heard = now
-		g.Members[i].lapse = now.Add(worker.GatedTerm + Margin)
+		g.Members[i].lapse = now.Add(worker.GatedLeaseDuration + Margin)
 	}
 	return g
 }
@@ -280,9 +280,9 @@
 // it should hold none. A renewal counts from the worker's last answer, by the
 // worker's own clock, so a delay of the message that carries it doesn't extend
 // the lease.
-func (g *Gang) Want(now unit.Instant, w id.Worker) (worker.Want, bool) {
+func (g *Gang) Want(now unit.Instant, w id.Worker) (worker.WantedTask, bool) {
 	if g.State == Stopping || g.State == Released {
-		return worker.Want{}, false
+		return worker.WantedTask{}, false
 	}
 	renew := g.renewable(now)
 	for i := range g.Members {
@@ -290,7 +290,7 @@
 		if m.Worker != w || m.State.Ended() && m.State != "" {
 			continue
 		}
-		t := worker.Want{
+		t := worker.WantedTask{
 			Job: g.Job.ID, Lease: g.Lease, Mask: m.Mask,
 			Create: g.State == Asking, Open: g.State == Open,
 			Cores: g.Job.Cores, Memory: g.Job.Memory,
@@ -302,7 +302,7 @@
 		}
 		return t, true
 	}
-	return worker.Want{}, false
+	return worker.WantedTask{}, false
 }
 
 // Silent reports whether an open gang has a member that still runs and has not
--- a/core/id/id.go
+++ b/core/id/id.go
@@ -56,18 +56,18 @@
 	// offset of the record that made the host the owner: a larger epoch always
 	// supersedes a smaller one.
 	Epoch uint64
-	// Raise is the number of times that an owner has raised the fence of its
+	// FenceRevision is the number of times that an owner has raised the fence of its
 	// orders to workers.
-	Raise uint64
+	FenceRevision uint64
 	// Seq is the sequence number of a message or batch of one writer. Numbers start
 	// at 1 and are never reused.
 	Seq uint64
 )
 
-// RaiseBits is the number of bits of a Raise, and MostRaises is the largest Raise.
+// FenceRevisionBits is the number of bits of a Raise, and MostRaises is the largest Raise.
 // Epochs differ by at least 1 << RaiseBits, so that the sum of an epoch and a Raise
 // is below the next owner's epoch.
 const (
-	RaiseBits  = 19
-	MostRaises = 1<<RaiseBits - 1
+	FenceRevisionBits = 19
+	MaxFenceRevision  = 1<<FenceRevisionBits - 1
 )
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -111,7 +111,7 @@
 		live[inv.Racks[i].ID] = inv.Racks[i].Live
 	}
 	inv.Racks, inv.rackIndex = nil, map[id.Rack]int{}
-	for _, k := range config.Sorted(c.Racks) {
+	for _, k := range config.SortedKeys(c.Racks) {
 		inv.rackIndex[k] = len(inv.Racks)
 		usable := state.Usable(c, k)
 		inv.Racks = append(inv.Racks, Rack{ID: k, Config: c.Racks[k], Usable: usable, Live: live[k] & usable})
@@ -318,7 +318,7 @@
 		rooms[i] = witness.Room{Rack: r.ID, Free: usable(r) &^ (r.Firm | r.reservedFirm)}
 	}
 	var needs []witness.Need
-	for _, k := range config.Sorted(c.Guarantees) {
+	for _, k := range config.SortedKeys(c.Guarantees) {
 		g := c.Guarantees[k]
 		for i := range g.Count {
 			cell := record.Cell{Guarantee: k, Index: i}
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -66,26 +66,26 @@
 	// MaxPerWorker is the largest number of the step's tasks on one worker; 0
 	// for no limit.
 	MaxPerWorker int
-	// Duplicates permits several copies of a task to run at the same time.
-	Duplicates bool
+	// AllowDuplicates permits several copies of a task to run at the same time.
+	AllowDuplicates bool
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool
-	// MayMiss is the largest number of tasks of a long-running step that may
+	// MaxUnavailable is the largest number of tasks of a long-running step that may
 	// be unavailable at a time; 0 for no limit.
-	MayMiss int
+	MaxUnavailable int
 	// Image names the program that the tasks run.
 	Image string
 	// TargetLatency is the tail latency that tasks which serve requests are to
 	// stay below; 0 for tasks that serve no requests.
 	TargetLatency time.Duration
-	// Fills marks tasks that use only CPU time which other tasks leave idle.
-	Fills bool
+	// UsesIdleCPU marks tasks that use only CPU time which other tasks leave idle.
+	UsesIdleCPU bool
 }
 
 // Reserved returns the resources that a task of the step reserves on a worker.
 // A step with Fills set reserves no CPU.
 func (s *Step) Reserved() Resources {
-	if !s.Fills {
+	if !s.UsesIdleCPU {
 		return s.Need
 	}
 	r := s.Need
@@ -98,13 +98,15 @@
 type Advice struct {
 	_      struct{} `cbor:",toarray"`
 	Needed bool
-	// Decide is the fixed part of the service's response time. Each is added
+	// BaseTime is the fixed part of the service's response time. Each is added
 	// for each worker that a request asks about.
-	Decide, Each time.Duration
+	BaseTime, TimePerWorker time.Duration
 }
 
-// Takes returns the service's response time for a request about n workers.
-func (a Advice) Takes(n int) time.Duration { return a.Decide + time.Duration(n)*a.Each }
+// ResponseTime returns the service's response time for a request about n workers.
+func (a Advice) ResponseTime(n int) time.Duration {
+	return a.BaseTime + time.Duration(n)*a.TimePerWorker
+}
 
 // Spec is the specification of a job as it was accepted.
 type Spec struct {
@@ -116,17 +118,17 @@
 	Service     id.Service
 	Priority    int
 	MaxAttempts int
-	// Stretch and Target set the time in which the job should be completed:
+	// DeadlineFactor and Target set the time in which the job should be completed:
 	// Stretch times the result of LongestChain, plus Target.
-	Stretch float64
-	Target  time.Duration
-	Advice  Advice
-	// Text is the payload of every task.
-	Text  string
-	Steps []Step
-	// First is when round 0 is due, and Interval is the time between two rounds.
+	DeadlineFactor float64
+	DeadlineExtra  time.Duration
+	Advice         Advice
+	// Payload is the payload of every task.
+	Payload string
+	Steps   []Step
+	// FirstDue is when round 0 is due, and Interval is the time between two rounds.
 	// Both are used only if Rounds is above 0.
-	First    unit.Instant
+	FirstDue unit.Instant
 	Interval time.Duration
 	Rounds   int
 	// Accepted is when an entry host accepted the job.
@@ -136,8 +138,8 @@
 // RoundCount returns the number of rounds: 1 for a job that is not repeated.
 func (s *Spec) RoundCount() int { return max(1, s.Rounds) }
 
-// Width returns the number of tasks of one round.
-func (s *Spec) Width() int {
+// TasksPerRound returns the number of tasks of one round.
+func (s *Spec) TasksPerRound() int {
 	n := 0
 	for i := range s.Steps {
 		n += s.Steps[i].Count
@@ -145,9 +147,9 @@
 	return n
 }
 
-// LongestChain returns the estimated run time of the longest chain of
+// CriticalPath returns the estimated run time of the longest chain of
 // dependent steps, the critical path of a round.
-func (s *Spec) LongestChain() time.Duration {
+func (s *Spec) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(s.Steps))
 	var longest time.Duration
 	for i := range s.Steps {
@@ -168,25 +170,25 @@
 	if s.Rounds == 0 {
 		return s.Accepted
 	}
-	return s.First.Add(time.Duration(round) * s.Interval)
+	return s.FirstDue.Add(time.Duration(round) * s.Interval)
 }
 
 // Index returns the position of a task in Progress.Tasks, or false if the job
 // has no such task.
-func (s *Spec) Index(t Task) (int, bool) {
+func (s *Spec) Index(t TaskID) (int, bool) {
 	if t.Round < 0 || t.Round >= s.RoundCount() || t.Step < 0 || t.Step >= len(s.Steps) ||
 		t.Index < 0 || t.Index >= s.Steps[t.Step].Count {
 		return 0, false
 	}
-	pos := t.Round * s.Width()
+	pos := t.Round * s.TasksPerRound()
 	for i := range t.Step {
 		pos += s.Steps[i].Count
 	}
 	return pos + t.Index, true
 }
 
-// Task identifies one task.
-type Task struct {
+// TaskID identifies one task.
+type TaskID struct {
 	Job   id.Job
 	Round int
 	Step  int
@@ -194,7 +196,7 @@
 }
 
 // String returns the task's name for logs.
-func (t Task) String() string { return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Round, t.Step, t.Index) }
+func (t TaskID) String() string { return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Round, t.Step, t.Index) }
 
 // StepID identifies one step of one round of a job.
 type StepID struct {
@@ -206,9 +208,9 @@
 // String returns the step's name for logs.
 func (s StepID) String() string { return fmt.Sprintf("%s.%d.%d", s.Job, s.Round, s.Step) }
 
-// Run is the number of a run of one task. Each start of the task begins a new
+// RunNumber is the number of a run of one task. Each start of the task begins a new
 // run; the first one has the number 1.
-type Run int
+type RunNumber int
 
 // Phase is the scheduling phase of a task.
 type Phase int
@@ -228,9 +230,9 @@
 type TaskState struct {
 	Phase Phase
 	// Run is the newest run that was ordered, 0 for none; it never decreases.
-	Run Run
-	// Failed is the number of runs that failed.
-	Failed int
+	Run RunNumber
+	// Failures is the number of runs that failed.
+	Failures int
 	// Worker is the worker of a placed task. For a waiting task it is the worker
 	// on which the last run failed, or empty if that run ended otherwise.
 	Worker id.Worker
@@ -248,13 +250,13 @@
 	// Run is the newest run whose crash was counted, and Worker the incarnation
 	// that crashed. They ensure that each crash is counted once, also if several
 	// owners detect it or one owner detects it repeatedly.
-	Run    Run
+	Run    RunNumber
 	Worker id.Worker
-	// AtOnce is the number of newest consecutive crashes that each happened
+	// Early is the number of newest consecutive crashes that each happened
 	// soon after the start of the run. It is at most All.
-	AtOnce int
-	// All is the number of crashes since a run last worked for a long time.
-	All int
+	Early int
+	// Total is the number of crashes since a run last worked for a long time.
+	Total int
 }
 
 // Outcome is how a job ended, or Open if it has not ended.
@@ -281,9 +283,9 @@
 	Crashes []CrashCount
 }
 
-// Began reports whether a start of any task of the job was ever ordered, or the
+// Started reports whether a start of any task of the job was ever ordered, or the
 // job has ended.
-func (p *Progress) Began() bool {
+func (p *Progress) Started() bool {
 	for i := range p.Tasks {
 		if p.Tasks[i].Run > 0 {
 			return true
--- a/core/jobtable/jobtable.go
+++ b/core/jobtable/jobtable.go
@@ -49,9 +49,9 @@
 // a nil entry.
 func (e *Entry) Ended() bool { return e != nil && e.Summary != nil && e.Summary.Outcome != job.Open }
 
-// Resumed returns the progress from which a new owner continues the job. An
+// ResumeProgress returns the progress from which a new owner continues the job. An
 // outcome in Summary takes precedence over the one in Progress.
-func (e *Entry) Resumed() job.Progress {
+func (e *Entry) ResumeProgress() job.Progress {
 	p := e.Progress
 	if e.Ended() {
 		p.Outcome, p.Ended = e.Summary.Outcome, e.Summary.Ended
@@ -91,9 +91,9 @@
 	}
 }
 
-// Next returns the offset of the first record of the job log that was not
+// NextOffset returns the offset of the first record of the job log that was not
 // applied.
-func (t *Table) Next() id.Offset { return t.next }
+func (t *Table) NextOffset() id.Offset { return t.next }
 
 // Advance records that all records before an offset were applied. Next never
 // decreases.
@@ -115,9 +115,9 @@
 // Jobs returns the names of all jobs in ascending order.
 func (t *Table) Jobs() []id.Job { return slices.Sorted(maps.Keys(t.jobs)) }
 
-// Waiting returns the number of accepted jobs of a queue that are not cancelled
+// QueuedCount returns the number of accepted jobs of a queue that are not cancelled
 // and of which no task was placed yet.
-func (t *Table) Waiting(q id.Queue) int {
+func (t *Table) QueuedCount(q id.Queue) int {
 	n := 0
 	for _, e := range t.jobs {
 		if e.Spec != nil && e.Spec.Queue == q && !e.Cancelled && e.Summary == nil {
@@ -127,10 +127,10 @@
 	return n
 }
 
-// Former reports whether the job log has progress of jobs. Hosts of an earlier
+// HasLegacyProgress reports whether the job log has progress of jobs. Hosts of an earlier
 // version write it there. A host of this version must not become the owner
 // meanwhile: it doesn't read that progress, and would start the tasks again.
-func (t *Table) Former() bool { return len(t.legacyProgress) > 0 }
+func (t *Table) HasLegacyProgress() bool { return len(t.legacyProgress) > 0 }
 
 // ApplyProgress applies one record of the progress log.
 func (t *Table) ApplyProgress(r Record) error {
@@ -228,7 +228,7 @@
 // prune removes the entry of a job if no record of the job is left.
 func (t *Table) prune(j id.Job) {
 	e := t.jobs[j]
-	if e != nil && e.Spec == nil && !e.Cancelled && e.Summary == nil && !e.Progress.Began() {
+	if e != nil && e.Spec == nil && !e.Cancelled && e.Summary == nil && !e.Progress.Started() {
 		delete(t.jobs, j)
 	}
 }
@@ -287,19 +287,19 @@
 	return nil
 }
 
-// ForgetProgress removes the progress of all jobs. It keeps the state of waves:
+// ClearProgress removes the progress of all jobs. It keeps the state of waves:
 // a later owner may learn only after its takeover of a wave that an earlier one
 // has started.
-func (t *Table) ForgetProgress() {
+func (t *Table) ClearProgress() {
 	for _, j := range t.Jobs() {
 		t.jobs[j].Progress = job.Progress{}
 		t.prune(j)
 	}
 }
 
-// KeepProgress copies the progress of jobs and the state of waves from another
+// CopyProgress copies the progress of jobs and the state of waves from another
 // table.
-func (t *Table) KeepProgress(o *Table) {
+func (t *Table) CopyProgress(o *Table) {
 	t.waves = o.waves
 	for j, e := range o.jobs {
 		if len(e.Progress.Tasks) > 0 {
--- a/core/jobtable/jobtable_test.go
+++ b/core/jobtable/jobtable_test.go
@@ -83,7 +83,7 @@
 
 func (s *script) do(f []string) {
 	if f[0] == "forgetprogress" {
-		s.table.ForgetProgress()
+		s.table.ClearProgress()
 		return
 	}
 	j := id.Job(f[1])
@@ -101,7 +101,7 @@
 	case "dropped":
 		s.applyProgress(jobtable.DropProgressRecord(j), nil)
 	case "wave":
-		s.applyProgress(s.table.WaveRecord(id.Wave(s.number(f[1])), jobtable.Wave{Seen: 5}))
+		s.applyProgress(s.table.WaveRecord(id.Wave(s.number(f[1])), jobtable.Wave{FirstSeen: 5}))
 	case "former":
 		s.apply(s.table.ProgressRecord(j, job.Progress{Tasks: []job.TaskState{{Run: 1}}}))
 	case "former-dropped":
@@ -109,7 +109,7 @@
 	case "owner":
 		s.apply(s.table.OwnerRecord(jobtable.Owner{Host: id.Host(f[1]), Epoch: id.Epoch(s.number(f[2]))}))
 	case "forget":
-		for _, r := range s.table.ForgetRecords(j)[:s.number(f[2])] {
+		for _, r := range s.table.DeleteRecords(j)[:s.number(f[2])] {
 			s.apply(r, nil)
 		}
 	case "damaged":
@@ -127,10 +127,10 @@
 	case "show":
 		got = "none"
 		if e := s.table.Get(id.Job(f[1])); e != nil && e.Spec != nil {
-			got = string(e.Show())
+			got = string(e.State())
 		}
 	case "resumes":
-		p := s.table.Get(id.Job(f[1])).Resumed()
+		p := s.table.Get(id.Job(f[1])).ResumeProgress()
 		got = [...]string{"open", "completed", "failed", "cancelled"}[p.Outcome]
 		if n := strconv.Itoa(len(p.Tasks)); n != f[3] {
 			got += " with " + n
@@ -139,9 +139,9 @@
 		_, known := s.table.Wave(id.Wave(s.number(f[1])))
 		got = strconv.FormatBool(known)
 	case "earlier":
-		got = strconv.FormatBool(s.table.Former())
+		got = strconv.FormatBool(s.table.HasLegacyProgress())
 	case "waiting":
-		got = strconv.Itoa(s.table.Waiting(id.Queue(f[1])))
+		got = strconv.Itoa(s.table.QueuedCount(id.Queue(f[1])))
 	case "owned":
 		o := s.table.Owner()
 		got = strconv.FormatUint(uint64(o.Epoch), 10)
--- a/core/jobtable/progress.go
+++ b/core/jobtable/progress.go
@@ -35,7 +35,7 @@
 	_      struct{} `cbor:",toarray"`
 	Count  int
 	Phase  job.Phase
-	Run    job.Run
+	Run    job.RunNumber
 	Failed int
 	// Worker and Checkpoint are positions in Names, from 1; 0 for an empty name.
 	Worker, Checkpoint int
@@ -61,7 +61,7 @@
 		}
 		t := &p.Tasks[i]
 		out.Groups = append(out.Groups, taskGroup{
-			Count: 1, Phase: t.Phase, Run: t.Run, Failed: t.Failed, Worker: name(string(t.Worker)), Checkpoint: name(t.Checkpoint),
+			Count: 1, Phase: t.Phase, Run: t.Run, Failed: t.Failures, Worker: name(string(t.Worker)), Checkpoint: name(t.Checkpoint),
 		})
 	}
 	return out
@@ -76,7 +76,7 @@
 		if !workerOK || !checkpointOK || g.Count < 1 || g.Count > maxTasks-len(out.Tasks) {
 			return job.Progress{}, errGroup
 		}
-		t := job.TaskState{Phase: g.Phase, Run: g.Run, Failed: g.Failed, Worker: id.Worker(worker), Checkpoint: checkpoint}
+		t := job.TaskState{Phase: g.Phase, Run: g.Run, Failures: g.Failed, Worker: id.Worker(worker), Checkpoint: checkpoint}
 		out.Tasks = append(out.Tasks, slices.Repeat([]job.TaskState{t}, g.Count)...)
 	}
 	return out, nil
--- a/core/jobtable/progress_test.go
+++ b/core/jobtable/progress_test.go
@@ -29,7 +29,7 @@
 				p.Tasks = append(p.Tasks, tasksOf(t, g)...)
 			}
 			if len(p.Tasks) > 0 {
-				p.Crashes = []job.CrashCount{{Task: 0, Run: 2, Worker: "i-0", AtOnce: 1, All: 2}}
+				p.Crashes = []job.CrashCount{{Task: 0, Run: 2, Worker: "i-0", Early: 1, Total: 2}}
 			}
 			table := jobtable.New()
 			r, err := table.ProgressRecord("j", p)
@@ -69,7 +69,7 @@
 				t.Fatal(err)
 			}
 			worker := id.Worker("i-54e03b" + strconv.Itoa(1000+i/per))
-			out[i] = job.TaskState{Phase: job.Placed, Run: 3, Failed: 1, Worker: worker, Checkpoint: "00000bb87a21d94b"}
+			out[i] = job.TaskState{Phase: job.Placed, Run: 3, Failures: 1, Worker: worker, Checkpoint: "00000bb87a21d94b"}
 		default:
 			t.Fatalf("unknown phase: %s", phase)
 		}
@@ -100,8 +100,8 @@
 // FuzzProgress checks that decoding a progress record never panics, and that an
 // accepted value is the same after it is encoded and decoded again.
 func FuzzProgress(f *testing.F) {
-	full := job.Progress{Ended: 17, Crashes: []job.CrashCount{{Task: 0, Run: 2, Worker: "i-0", AtOnce: 1, All: 2}}}
-	full.Tasks = []job.TaskState{{Phase: job.Done, Run: 1}, {Phase: job.Placed, Run: 3, Failed: 1, Worker: "i-1", Checkpoint: "c"}, {}}
+	full := job.Progress{Ended: 17, Crashes: []job.CrashCount{{Task: 0, Run: 2, Worker: "i-0", Early: 1, Total: 2}}}
+	full.Tasks = []job.TaskState{{Phase: job.Done, Run: 1}, {Phase: job.Placed, Run: 3, Failures: 1, Worker: "i-1", Checkpoint: "c"}, {}}
 	for _, p := range []job.Progress{{}, full} {
 		r, err := jobtable.New().ProgressRecord("j", p)
 		if err != nil {
--- a/core/jobtable/record.go
+++ b/core/jobtable/record.go
@@ -46,11 +46,11 @@
 // Wave is the state of a maintenance wave.
 type Wave struct {
 	_ struct{} `cbor:",toarray"`
-	// Seen is the wall-clock time at which an owner first read the wave.
-	Seen unit.Instant
-	// Begun has the machines whose maintenance has started, in the order of the
+	// FirstSeen is the wall-clock time at which an owner first read the wave.
+	FirstSeen unit.Instant
+	// Started has the machines whose maintenance has started, in the order of the
 	// starts.
-	Begun []id.Machine
+	Started []id.Machine
 }
 
 // SpecRecord returns the record that publishes an accepted job.
@@ -91,11 +91,11 @@
 	return Record{Key: ownerKey, Value: b}, err
 }
 
-// ForgetRecords returns the records that delete an ended job, whose progress must
+// DeleteRecords returns the records that delete an ended job, whose progress must
 // be deleted before. They are to be written in order. The spec comes first,
 // because an entry without a spec is not a job: if only some of the records are
 // written, the ended job is never shown as a new one.
-func (t *Table) ForgetRecords(j id.Job) []Record {
+func (t *Table) DeleteRecords(j id.Job) []Record {
 	return []Record{
 		{Key: specPrefix + string(j)},
 		{Key: cancelPrefix + string(j)},
--- a/core/jobtable/shown.go
+++ b/core/jobtable/shown.go
@@ -4,33 +4,33 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// Shown is the state of a job that callers see.
-type Shown string
+// State is the state of a job that callers see.
+type State string
 
 // The states that callers see.
 const (
-	ShownQueued    Shown = "queued"
-	ShownRunning   Shown = "running"
-	ShownCompleted Shown = "completed"
-	ShownFailed    Shown = "failed"
-	ShownCancelled Shown = "cancelled"
+	StateQueued    State = "queued"
+	StateRunning   State = "running"
+	StateCompleted State = "completed"
+	StateFailed    State = "failed"
+	StateCancelled State = "cancelled"
 )
 
-// Show returns the state that callers see of an accepted job.
-func (e *Entry) Show() Shown {
+// State returns the state that callers see of an accepted job.
+func (e *Entry) State() State {
 	outcome := job.Open
 	if e.Summary != nil {
 		outcome = e.Summary.Outcome
 	}
 	switch {
 	case outcome == job.Completed:
-		return ShownCompleted
+		return StateCompleted
 	case outcome == job.Failed:
-		return ShownFailed
+		return StateFailed
 	case e.Cancelled || outcome == job.Cancelled:
-		return ShownCancelled
+		return StateCancelled
 	case e.Summary != nil:
-		return ShownRunning
+		return StateRunning
 	}
-	return ShownQueued
+	return StateQueued
 }
--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -118,9 +118,9 @@
 	return n
 }
 
-// Retry records that the append of the batch in flight has failed. Flush appends
+// AppendFailed records that the append of the batch in flight has failed. Flush appends
 // the batch again after 5 times Interval instead of RetryAfter.
-func (j *Journal) Retry(now unit.Instant) {
+func (j *Journal) AppendFailed(now unit.Instant) {
 	if j.inFlight != nil {
 		j.sentAt = now.Add(Interval*5 - RetryAfter)
 	}
@@ -137,10 +137,10 @@
 	return settled
 }
 
-// Landed records that a restored snapshot includes the batches of this incarnation
+// SnapshotRestored records that a restored snapshot includes the batches of this incarnation
 // up to seq. If the batch in flight is among them, Landed returns the tickets of its
 // entries; the verdicts on them can't be determined any more.
-func (j *Journal) Landed(seq id.Seq) []Ticket {
+func (j *Journal) SnapshotRestored(seq id.Seq) []Ticket {
 	if j.inFlight == nil || seq < j.seq {
 		return nil
 	}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -174,7 +174,7 @@
 	case LogDown:
 		n.readFailed = true
 	case AppendFailed:
-		n.journal.Retry(now)
+		n.journal.AppendFailed(now)
 	case Heard:
 		n.receiveFrame(now, ev.Frame)
 	case Hosts:
@@ -360,7 +360,7 @@
 func (n *Node) configureRouter(now unit.Instant) {
 	n.routerConfigAt = n.state.ConfigAt
 	n.router.Configure(n.state.Config, n.hostCount)
-	for _, k := range config.Sorted(n.backends) {
+	for _, k := range config.SortedKeys(n.backends) {
 		n.router.Backends(now, k, n.backends[k])
 	}
 	n.router.Configure(n.state.Config, n.hostCount)
--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -58,7 +58,7 @@
 	}
 	n.snapshotOffset, n.snapshotAt = n.state.Applied, now
 	own := n.state.Writers[state.Life{Host: n.self, Incarnation: n.incarnation}]
-	for _, t := range n.journal.Landed(own.Seq) {
+	for _, t := range n.journal.SnapshotRestored(own.Seq) {
 		n.settle(now, t, 0, ErrUnknownVerdict)
 	}
 	for _, r := range rest {
--- a/core/node/view.go
+++ b/core/node/view.go
@@ -21,7 +21,7 @@
 	if !jobs {
 		return v
 	}
-	for _, k := range config.Sorted(n.state.Jobs) {
+	for _, k := range config.SortedKeys(n.state.Jobs) {
 		v.Jobs = append(v.Jobs, *n.state.Jobs[k])
 	}
 	return v
--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -120,7 +120,7 @@
 			up[h] = true
 		}
 	}
-	return config.Sorted(up)
+	return config.SortedKeys(up)
 }
 
 // Targets returns the hosts to which this host sends frames. If extra is set, one
@@ -156,7 +156,7 @@
 			near[h] = true
 		}
 	}
-	return config.Sorted(near)
+	return config.SortedKeys(near)
 }
 
 // Heard reports whether any peer sent a frame within d.
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -110,7 +110,7 @@
 		return nil
 	}
 	var out []id.Job
-	for _, k := range config.Sorted(st.Jobs) {
+	for _, k := range config.SortedKeys(st.Jobs) {
 		if j := st.Jobs[k]; j.State == state.Running && !j.Firm() {
 			out = append(out, k)
 		}
--- a/core/proof/long_test.go
+++ b/core/proof/long_test.go
@@ -125,7 +125,7 @@
 
 // randomHost returns a random host, which may be down.
 func (c *chaos) randomHost() *machine {
-	names := config.Sorted(c.machines)
+	names := config.SortedKeys(c.machines)
 	return c.machines[names[c.rng.IntN(len(names))]]
 }
 
@@ -157,7 +157,7 @@
 	if !m.up || len(c.ref.Jobs) == 0 {
 		return
 	}
-	names := config.Sorted(c.ref.Jobs)
+	names := config.SortedKeys(c.ref.Jobs)
 	c.propose(m, c.newName("c"), record.Entry{Cancel: &record.Cancel{Job: names[c.rng.IntN(len(names))]}})
 }
 
@@ -167,7 +167,7 @@
 	if !m.up {
 		return
 	}
-	for _, name := range config.Sorted(c.ref.Jobs) {
+	for _, name := range config.SortedKeys(c.ref.Jobs) {
 		if j := c.ref.Jobs[name]; j.State == "pending" || j.State == "running" {
 			c.propose(m, c.newName("c"), record.Entry{Cancel: &record.Cancel{Job: name}})
 		}
@@ -303,7 +303,7 @@
 
 // breakWorker makes a random worker fail in a random way for up to 40 s.
 func (c *chaos) breakWorker() {
-	names := config.Sorted(c.workers)
+	names := config.SortedKeys(c.workers)
 	name := names[c.rng.IntN(len(names))]
 	how := [][2]string{{"kill", "start"}, {"silent", "answer"}, {"break", "mend"}}[c.rng.IntN(3)]
 	_ = c.controlWorker(name, how[0])
@@ -313,7 +313,7 @@
 // loseRack kills all workers of a random rack and restarts each within 40 s.
 func (c *chaos) loseRack() {
 	rack := fmt.Sprintf("r%dw", 1+c.rng.IntN(chaosRacks))
-	for _, name := range config.Sorted(c.workers) {
+	for _, name := range config.SortedKeys(c.workers) {
 		if strings.HasPrefix(string(name), rack) {
 			c.killWorker(name)
 			c.scheduleWithin(40*time.Second, func() { c.addWorker(name, workerAccelerators) })
@@ -344,7 +344,7 @@
 func (c *chaos) recoverAndCheck() {
 	c.setLog(logFine)
 	c.netLoss, c.netDup = 0, 0
-	for _, name := range config.Sorted(c.machines) {
+	for _, name := range config.SortedKeys(c.machines) {
 		m := c.machines[name]
 		c.resume(m)
 		m.logCut, m.peersCut, m.workersCut = false, false, map[id.Worker]bool{}
@@ -352,7 +352,7 @@
 			_ = c.controlHost(name, "start")
 		}
 	}
-	for _, name := range config.Sorted(c.workers) {
+	for _, name := range config.SortedKeys(c.workers) {
 		f := c.workers[name]
 		f.silent = false
 		f.Break(false)
@@ -360,14 +360,14 @@
 			c.addWorker(name, workerAccelerators)
 		}
 	}
-	for _, name := range config.Sorted(c.backends) {
+	for _, name := range config.SortedKeys(c.backends) {
 		c.setBackend(name, "fine")
 	}
 	c.cancelAll()
 	c.advance(5 * time.Minute)
 	c.submit()
 	c.advance(5 * time.Minute)
-	for _, name := range config.Sorted(c.ref.Jobs) {
+	for _, name := range config.SortedKeys(c.ref.Jobs) {
 		if j := c.ref.Jobs[name]; j.State == "pending" || j.State == "running" {
 			c.reportViolation("job %s is still %s ten minutes after all failures ended", name, j.State)
 		}
--- a/core/proof/script_test.go
+++ b/core/proof/script_test.go
@@ -355,7 +355,7 @@
 	case "owner":
 		names = []id.Host{s.ref.Owner.Host}
 	case "all":
-		names = config.Sorted(s.machines)
+		names = config.SortedKeys(s.machines)
 	}
 	for _, n := range names {
 		if err := s.controlHost(n, w.at(1)); err != nil {
@@ -373,7 +373,7 @@
 	found := false
 	for _, pattern := range strings.Split(w.at(0), ",") {
 		prefix, wild := strings.CutSuffix(pattern, "*")
-		for _, name := range config.Sorted(s.workers) {
+		for _, name := range config.SortedKeys(s.workers) {
 			if string(name) != pattern && !(wild && strings.HasPrefix(string(name), prefix)) {
 				continue
 			}
@@ -391,7 +391,7 @@
 
 // cmdBackend sets the mode of backend servers: backend B|all MODE.
 func cmdBackend(s *script, w words) error {
-	for _, n := range config.Sorted(s.backends) {
+	for _, n := range config.SortedKeys(s.backends) {
 		if w.at(0) == "all" || string(n) == w.at(0) {
 			s.setBackend(n, w.at(1))
 		}
--- a/core/proof/world_test.go
+++ b/core/proof/world_test.go
@@ -437,12 +437,12 @@
 // backend server as leaving only after listLag.
 func (w *world) sendHostList(m *machine) {
 	ev := node.Hosts{Backends: map[id.Service]map[id.Backend]bool{"svc": {}}}
-	for _, h := range config.Sorted(w.machines) {
+	for _, h := range config.SortedKeys(w.machines) {
 		if w.machines[h].up {
 			ev.Entry = append(ev.Entry, h)
 		}
 	}
-	for _, b := range config.Sorted(w.backends) {
+	for _, b := range config.SortedKeys(w.backends) {
 		leavingSince := w.backends[b].leavingSince
 		ev.Backends["svc"][b] = leavingSince == 0 || w.now.Sub(leavingSince) < w.listLag
 	}
@@ -504,7 +504,7 @@
 	f.incarnation++
 	f.down, f.startedAt = false, w.now
 	f.Worker = fakeworker.New(name, accelerators, f.incarnation, fakeworker.Hooks{
-		Plan:    func(t worker.Want) fakeworker.Run { return parseRun(t.Command) },
+		Plan:    func(t worker.WantedTask) fakeworker.Run { return parseRun(t.Command) },
 		Started: func(j id.Job, n id.Lease) { w.taskStarted(name, j, n) },
 		Ended:   func(j id.Job, n id.Lease, st worker.TaskState) { w.taskEnded(name, j, n, st) },
 	})
@@ -647,7 +647,7 @@
 // anyHost returns the first host that is ready, not paused and able to reach
 // the log, or nil if there is none.
 func (w *world) anyHost() *machine {
-	names := config.Sorted(w.machines)
+	names := config.SortedKeys(w.machines)
 	i := slices.IndexFunc(names, func(h id.Host) bool {
 		m := w.machines[h]
 		return m.up && !m.paused && !m.logCut && m.core.State() == node.Ready
--- a/core/route/probe.go
+++ b/core/route/probe.go
@@ -25,7 +25,7 @@
 // first-hand evidence that they are leaving.
 func (r *Router) Departures(now unit.Instant) []Departure {
 	var out []Departure
-	for _, k := range config.Sorted(r.pools) {
+	for _, k := range config.SortedKeys(r.pools) {
 		for _, b := range r.pools[k].backends {
 			if b.state == leaving && b.left != 0 && now.Sub(b.left) < leavingMaxAge {
 				out = append(out, Departure{k, b.id, now.Sub(b.left)})
@@ -39,7 +39,7 @@
 // whether they accept requests. Hosts are this host and those that it considers
 // live; without any other, this host probes all backend servers.
 func (r *Router) Probe(now unit.Instant, self id.Host, hosts []id.Host) {
-	for _, k := range config.Sorted(r.pools) {
+	for _, k := range config.SortedKeys(r.pools) {
 		for _, b := range r.pools[k].backends {
 			if b.state == leaving && !b.doubted || now.Sub(b.lastProbe) < probeInterval {
 				continue
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -72,7 +72,7 @@
 // Configure applies the services of a configuration. Hosts is the number of
 // entry hosts that share their slots and connections.
 func (r *Router) Configure(c config.Config, hosts int) {
-	for _, k := range config.Sorted(r.pools) {
+	for _, k := range config.SortedKeys(r.pools) {
 		if _, ok := c.Services[k]; !ok {
 			r.refuseWaiting(r.pools[k], CodeNoService)
 			delete(r.pools, k)
@@ -115,7 +115,7 @@
 		}
 	}
 	p.backends = kept
-	for _, backendID := range config.Sorted(list) {
+	for _, backendID := range config.SortedKeys(list) {
 		b := p.find(backendID)
 		if b == nil {
 			b = &backend{id: backendID, state: backendChart.Start()}
@@ -243,7 +243,7 @@
 
 // Tick answers the requests that have passed a deadline.
 func (r *Router) Tick(now unit.Instant) {
-	for _, k := range config.Sorted(r.pools) {
+	for _, k := range config.SortedKeys(r.pools) {
 		p := r.pools[k]
 		expired := p.waiting.RemoveFunc(func(x *request) bool { return now >= x.Deadline })
 		for _, req := range expired {
@@ -251,7 +251,7 @@
 		}
 		r.dispatch(now, p)
 	}
-	for _, reqID := range config.Sorted(r.requests) {
+	for _, reqID := range config.SortedKeys(r.requests) {
 		req := r.requests[reqID]
 		switch {
 		case req.claimPending && now >= req.claimDeadline:
--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -64,7 +64,7 @@
 }
 
 // runForever makes tasks run longer than any benchmark.
-func runForever(protocol.Want) worker.Run { return worker.Run{For: 1000 * time.Hour} }
+func runForever(protocol.WantedTask) worker.Run { return worker.Run{For: 1000 * time.Hour} }
 
 // write appends entries to the log and returns their verdicts.
 func (x *benchSite) write(b testing.TB, entries ...record.Entry) []error {
--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -239,7 +239,7 @@
 
 // preempt stops the gangs that overlap a block and can be preempted.
 func (s *Scheduler) preempt(now unit.Instant, b block.Block, reason string) {
-	for _, jobID := range config.Sorted(s.gangsInRack(b.Rack)) {
+	for _, jobID := range config.SortedKeys(s.gangsInRack(b.Rack)) {
 		r := s.gangs[jobID]
 		if r.Cell.Guarantee != "" || r.Job.Once || !r.Block.Overlaps(b) {
 			continue
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -17,7 +17,7 @@
 // reconcile adopts the placements in the log that have no gang here, queues the
 // pending jobs, and stops the gangs of jobs that have ended.
 func (s *Scheduler) reconcile(now unit.Instant) {
-	for _, jobID := range config.Sorted(s.state.Jobs) {
+	for _, jobID := range config.SortedKeys(s.state.Jobs) {
 		j := s.state.Jobs[jobID]
 		switch {
 		case j.State == state.Running && s.gangs[jobID] == nil:
@@ -27,7 +27,7 @@
 			s.backlog.Add(j.Spec, len(s.crashedOn[jobID]) > 0)
 		}
 	}
-	for _, jobID := range config.Sorted(s.gangs) {
+	for _, jobID := range config.SortedKeys(s.gangs) {
 		j := s.state.Jobs[jobID]
 		if j == nil || j.State != state.Pending && j.State != state.Running {
 			s.stopGang(now, s.gangs[jobID], gang.Cancel, record.Requeued, "cancelled")
@@ -101,7 +101,7 @@
 
 // advance advances the gangs marked for it and emits their log entries.
 func (s *Scheduler) advance(now unit.Instant) {
-	for _, jobID := range config.Sorted(s.toAdvance) {
+	for _, jobID := range config.SortedKeys(s.toAdvance) {
 		r := s.toAdvance[jobID]
 		before := r.State
 		r.Step(now)
--- a/core/sched/health.go
+++ b/core/sched/health.go
@@ -32,7 +32,7 @@
 	// lastList is the last complete task list that was sent, and lastListSeq the
 	// sequence number of its sync. base is lastListSeq once the worker has answered
 	// that sync, and 0 before.
-	lastList    []worker.Want
+	lastList    []worker.WantedTask
 	lastListSeq id.Seq
 	base        id.Seq
 	// incarnation is the worker's current incarnation; 0 until it has answered.
--- a/core/sched/measure.go
+++ b/core/sched/measure.go
@@ -17,7 +17,7 @@
 	for _, group := range groups {
 		sizes[group.Class.Accelerators] = true
 	}
-	s.demand = config.Sorted(sizes)
+	s.demand = config.SortedKeys(sizes)
 }
 
 // updateStats updates the statistics at the end of a pass.
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -214,7 +214,7 @@
 	for i, w := range r.Config.Workers {
 		n := min(j.Accelerators, w.Accelerators)
 		if !crashed[w.ID] && j.Cores*n <= w.Cores && int64(j.Memory)*int64(n) <= int64(w.Memory) {
-			m |= r.Config.Span(i).Mask()
+			m |= r.Config.WorkerBlock(i).Mask()
 		}
 	}
 	return m
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -309,10 +309,10 @@
 	s.indexedConfig, s.dirty = s.state.ConfigAt+1, true
 	s.couldClearSize = map[int]bool{}
 	s.locations = map[id.Worker]location{}
-	for _, k := range config.Sorted(s.state.Config.Racks) {
+	for _, k := range config.SortedKeys(s.state.Config.Racks) {
 		r := s.state.Config.Racks[k]
 		for i, w := range r.Workers {
-			s.locations[w.ID] = location{k, r.Span(i)}
+			s.locations[w.ID] = location{k, r.WorkerBlock(i)}
 			if s.workers[w.ID] == nil {
 				s.workers[w.ID] = &health{}
 			}
@@ -324,7 +324,7 @@
 		}
 	}
 	s.guarantees = map[id.Customer][]config.Guarantee{}
-	for _, k := range config.Sorted(s.state.Config.Guarantees) {
+	for _, k := range config.SortedKeys(s.state.Config.Guarantees) {
 		g := s.state.Config.Guarantees[k]
 		s.guarantees[g.Customer] = append(s.guarantees[g.Customer], g)
 	}
@@ -336,7 +336,7 @@
 	var out []gang.Member
 	r := s.state.Config.Racks[b.Rack]
 	for i, w := range r.Workers {
-		span := r.Span(i)
+		span := r.WorkerBlock(i)
 		if m := span.Mask() & b.Mask(); m != 0 {
 			out = append(out, gang.Member{Worker: w.ID, Mask: m >> span.Start})
 		}
--- a/core/sched/sync.go
+++ b/core/sched/sync.go
@@ -38,7 +38,7 @@
 	h.seq++
 	h.nextSync = now.Add(idleSyncInterval)
 	q := worker.Sync{Worker: w, Epoch: s.epoch, Seq: h.seq, Life: h.incarnation}
-	for _, jobID := range config.Sorted(s.runsOn[w]) {
+	for _, jobID := range config.SortedKeys(s.runsOn[w]) {
 		r := s.runsOn[w][jobID]
 		h.nextSync = now.Add(gang.Renewal)
 		if t, ok := r.Want(now, w); ok {
@@ -62,14 +62,14 @@
 	return q
 }
 
-func equalExceptUntil(a, b worker.Want) bool {
+func equalExceptUntil(a, b worker.WantedTask) bool {
 	a.Until, b.Until = 0, 0
 	return a == b
 }
 
 // sameUntil reports whether all leases are extended to the same time.
-func sameUntil(tasks []worker.Want) bool {
-	return !slices.ContainsFunc(tasks, func(t worker.Want) bool { return t.Until != tasks[0].Until })
+func sameUntil(tasks []worker.WantedTask) bool {
+	return !slices.ContainsFunc(tasks, func(t worker.WantedTask) bool { return t.Until != tasks[0].Until })
 }
 
 // noteOmitted records that sync seq to worker w no longer lists the gang.
--- a/core/state/check.go
+++ b/core/state/check.go
@@ -84,7 +84,7 @@
 // accepted while the present gangs run: one of them would lose its accelerators, or a
 // guarantee would have no place.
 func (s *State) CheckConfig(c config.Config) (witness.Witness, error) {
-	for _, k := range config.Sorted(s.running) {
+	for _, k := range config.SortedKeys(s.running) {
 		j := s.running[k]
 		if j.Block.Mask()&^existing(c, j.Block.Rack) != 0 {
 			return nil, fmt.Errorf("%w: job %s runs on %s", ErrBlockTaken, k, j.Block)
@@ -172,7 +172,7 @@
 // rooms returns, for each rack, the usable accelerators that no firm job holds.
 func rooms(c config.Config, firm map[id.Rack]uint64) []witness.Room {
 	out := make([]witness.Room, 0, len(c.Racks))
-	for _, k := range config.Sorted(c.Racks) {
+	for _, k := range config.SortedKeys(c.Racks) {
 		out = append(out, witness.Room{Rack: k, Free: Usable(c, k) &^ firm[k]})
 	}
 	return out
@@ -181,7 +181,7 @@
 // needs returns the cells of c that need a place in the witness.
 func needs(c config.Config, bound map[record.Cell]bool) []witness.Need {
 	var out []witness.Need
-	for _, k := range config.Sorted(c.Guarantees) {
+	for _, k := range config.SortedKeys(c.Guarantees) {
 		g := c.Guarantees[k]
 		for i := range g.Count {
 			cell := record.Cell{Guarantee: k, Index: i}
@@ -210,7 +210,7 @@
 	var m uint64
 	for i, w := range r.Workers {
 		if !w.Drained {
-			m |= r.Span(i).Mask()
+			m |= r.WorkerBlock(i).Mask()
 		}
 	}
 	return m
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -177,7 +177,7 @@
 		Applied: s.Applied, Config: s.Config, ConfigAt: s.ConfigAt,
 		Owner: s.Owner, Ended: s.ended,
 	}
-	for _, k := range config.Sorted(s.Jobs) {
+	for _, k := range config.SortedKeys(s.Jobs) {
 		im.Jobs = append(im.Jobs, s.Jobs[k])
 	}
 	for _, l := range s.sortedWriters() {
--- a/core/upkeep/upkeep.go
+++ b/core/upkeep/upkeep.go
@@ -55,12 +55,12 @@
 type Wave struct {
 	Number   id.Wave
 	Machines []id.Machine
-	// Within is the longest time for the wave, counted from when an owner first
+	// MaxDuration is the longest time for the wave, counted from when an owner first
 	// read it.
-	Within time.Duration
-	// Most is the largest number of machines that may be down at a time, at
+	MaxDuration time.Duration
+	// MaxDown is the largest number of machines that may be down at a time, at
 	// least 1.
-	Most int
+	MaxDown int
 }
 
 // Plan is the state of a wave. The zero value is not ready; call New.
@@ -85,7 +85,7 @@
 // New returns the plan of a wave that an owner first read at firstSeen. Each
 // machine is down for about downtime.
 func New(w Wave, firstSeen unit.Instant, downtime time.Duration) *Plan {
-	p := &Plan{wave: w, deadline: firstSeen.Add(w.Within), downtime: downtime, machines: map[id.Machine]*machine{}}
+	p := &Plan{wave: w, deadline: firstSeen.Add(w.MaxDuration), downtime: downtime, machines: map[id.Machine]*machine{}}
 	for _, m := range w.Machines {
 		p.machines[m] = &machine{state: waiting}
 	}
@@ -114,25 +114,25 @@
 // Emptying returns the machines that are being emptied, in the wave's order.
 func (p *Plan) Emptying() []id.Machine { return p.inState(emptying) }
 
-// Open returns the machines whose maintenance is not completed yet.
-func (p *Plan) Open() []id.Machine {
+// Unfinished returns the machines whose maintenance is not completed yet.
+func (p *Plan) Unfinished() []id.Machine {
 	return slices.Concat(p.inState(waiting), p.inState(emptying), p.inState(ordered), p.inState(down))
 }
 
-// Held reports whether a machine must accept no new tasks: it is being emptied,
+// BlocksNewTasks reports whether a machine must accept no new tasks: it is being emptied,
 // ordered down or down.
-func (p *Plan) Held(m id.Machine) bool {
+func (p *Plan) BlocksNewTasks(m id.Machine) bool {
 	x := p.machines[m]
 	return x != nil && (x.state == emptying || x.state == ordered || x.state == down)
 }
 
-// Choose starts to empty machines, those with the lowest cost first, until the
+// StartEmptying starts to empty machines, those with the lowest cost first, until the
 // number of machines in maintenance reaches the wave's limit. It returns them.
 // The function cost returns the work that is lost if a machine is emptied, or
 // false if it can't be emptied now.
-func (p *Plan) Choose(now unit.Instant, cost func(id.Machine) (float64, bool)) []id.Machine {
+func (p *Plan) StartEmptying(now unit.Instant, cost func(id.Machine) (float64, bool)) []id.Machine {
 	var out []id.Machine
-	for p.inMaintenance() < max(1, p.wave.Most) {
+	for p.inMaintenance() < max(1, p.wave.MaxDown) {
 		best, minCost := id.Machine(""), 0.0
 		for _, m := range p.inState(waiting) {
 			if now < p.machines[m].retryAt {
@@ -152,36 +152,36 @@
 	return out
 }
 
-// Hurry reports whether the emptying of a machine has used up its time, so that
+// EmptyingOverdue reports whether the emptying of a machine has used up its time, so that
 // the remaining tasks are to be stopped. The time until the deadline is divided
 // evenly among the remaining batches of machines, and the downtime is subtracted
 // from each share.
-func (p *Plan) Hurry(now unit.Instant, m id.Machine) bool {
+func (p *Plan) EmptyingOverdue(now unit.Instant, m id.Machine) bool {
 	remaining := len(p.machines) - p.count(done) - p.count(down)
-	batches := (remaining + p.wave.Most - 1) / max(1, p.wave.Most)
+	batches := (remaining + p.wave.MaxDown - 1) / max(1, p.wave.MaxDown)
 	emptyingTime := p.deadline.Sub(now)/time.Duration(max(1, batches)) - p.downtime
 	return now.Sub(p.machines[m].since) >= emptyingTime
 }
 
-// Order records that the order to take an empty machine down is sent. It reports
+// MarkOrdered records that the order to take an empty machine down is sent. It reports
 // false if the order must not be sent now.
-func (p *Plan) Order(now unit.Instant, m id.Machine) bool {
+func (p *Plan) MarkOrdered(now unit.Instant, m id.Machine) bool {
 	return now >= p.machines[m].retryAt && p.apply(m, evOrder)
 }
 
-// Carried records that an order was carried out. The machine counts as down until
+// MarkDown records that an order was carried out. The machine counts as down until
 // it is back.
-func (p *Plan) Carried(now unit.Instant, m id.Machine) {
+func (p *Plan) MarkDown(now unit.Instant, m id.Machine) {
 	if p.apply(m, evCarried) {
 		p.machines[m].since = now
 	}
 }
 
-// Settle completes the maintenance of machines that have been down for longer than
+// CompleteOverdue completes the maintenance of machines that have been down for longer than
 // the downtime and listingDelay. An order for a machine that had its maintenance
 // before gets the same answer as one that takes a machine down, but the machine
 // stays up, so no new incarnation appears.
-func (p *Plan) Settle(now unit.Instant) {
+func (p *Plan) CompleteOverdue(now unit.Instant) {
 	for _, m := range p.inState(down) {
 		if now.Sub(p.machines[m].since) > p.downtime+listingDelay {
 			p.apply(m, evBack)
@@ -189,22 +189,22 @@
 	}
 }
 
-// Refused records that a machine can't be taken down now. After retryDelay it may
+// MarkRefused records that a machine can't be taken down now. After retryDelay it may
 // be chosen again.
-func (p *Plan) Refused(now unit.Instant, m id.Machine) {
+func (p *Plan) MarkRefused(now unit.Instant, m id.Machine) {
 	if p.apply(m, evRefused) {
 		p.machines[m].retryAt = now.Add(retryDelay)
 	}
 }
 
-// Back records that a machine has a new incarnation since its order, or had its
+// MarkDone records that a machine has a new incarnation since its order, or had its
 // maintenance before.
-func (p *Plan) Back(m id.Machine) { p.apply(m, evBack) }
+func (p *Plan) MarkDone(m id.Machine) { p.apply(m, evBack) }
 
-// Drop records that a machine needs no maintenance by this plan: it is
+// Exclude records that a machine needs no maintenance by this plan: it is
 // permanently gone, doesn't belong to the wave, or was ordered down by an earlier
 // owner.
-func (p *Plan) Drop(m id.Machine) { p.apply(m, evDrop) }
+func (p *Plan) Exclude(m id.Machine) { p.apply(m, evDrop) }
 
 // inMaintenance returns the number of machines that are being emptied, ordered
 // down or down.
--- a/core/upkeep/upkeep_test.go
+++ b/core/upkeep/upkeep_test.go
@@ -50,8 +50,8 @@
 	}
 	switch f[0] {
 	case "wave":
-		w := upkeep.Wave{Number: 1, Within: s.duration(f[1])}
-		w.Most, _ = strconv.Atoi(f[2])
+		w := upkeep.Wave{Number: 1, MaxDuration: s.duration(f[1])}
+		w.MaxDown, _ = strconv.Atoi(f[2])
 		for _, name := range f[3:] {
 			w.Machines = append(w.Machines, id.Machine(name))
 		}
@@ -61,19 +61,19 @@
 	case "choose":
 		s.choose(f[1:])
 	case "hurry":
-		s.want(f[2], s.plan.Hurry(s.now, m))
+		s.want(f[2], s.plan.EmptyingOverdue(s.now, m))
 	case "order":
-		s.want(f[2], s.plan.Order(s.now, m))
+		s.want(f[2], s.plan.MarkOrdered(s.now, m))
 	case "carried":
-		s.plan.Carried(s.now, m)
+		s.plan.MarkDown(s.now, m)
 	case "settle":
-		s.plan.Settle(s.now)
+		s.plan.CompleteOverdue(s.now)
 	case "refused":
-		s.plan.Refused(s.now, m)
+		s.plan.MarkRefused(s.now, m)
 	case "back":
-		s.plan.Back(m)
+		s.plan.MarkDone(m)
 	case "drop":
-		s.plan.Drop(m)
+		s.plan.Exclude(m)
 	case "finished":
 		s.want(f[1], s.plan.Finished())
 	default:
@@ -88,7 +88,7 @@
 		costs[id.Machine(name)], _ = strconv.ParseFloat(cost, 64)
 		f = f[1:]
 	}
-	got := s.plan.Choose(s.now, func(m id.Machine) (float64, bool) { c, ok := costs[m]; return c, ok })
+	got := s.plan.StartEmptying(s.now, func(m id.Machine) (float64, bool) { c, ok := costs[m]; return c, ok })
 	want := make([]id.Machine, 0, len(f))
 	for _, name := range f[1:] {
 		want = append(want, id.Machine(name))
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -28,8 +28,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// GatedTerm is the duration of the first lease of a task, from its creation.
-const GatedTerm = 10 * time.Second
+// GatedLeaseDuration is the duration of the first lease of a task, from its creation.
+const GatedLeaseDuration = 10 * time.Second
 
 // Sync is the list of tasks that the owner wants a worker to hold.
 type Sync struct {
@@ -42,7 +42,7 @@
 	// sync.
 	Life uint64 `json:"life"`
 	// Tasks is the complete list, unless Base is set.
-	Tasks []Want `json:"tasks,omitempty"`
+	Tasks []WantedTask `json:"tasks,omitempty"`
 	// Base is the Seq of an earlier sync whose report the owner has received: the
 	// list is that of the earlier sync, and Until extends every lease in it. Base
 	// is 0 if Tasks is the complete list.
@@ -50,8 +50,8 @@
 	Until time.Duration `json:"until,omitempty"`
 }
 
-// Want is one task that a worker should hold.
-type Want struct {
+// WantedTask is one task that a worker should hold.
+type WantedTask struct {
 	Job   id.Job   `json:"job"`
 	Lease id.Lease `json:"lease"`
 	// Mask has a bit for each accelerator of this worker, from bit 0.
--- a/core/world/check.go
+++ b/core/world/check.go
@@ -52,7 +52,7 @@
 func (w *World) Violations() []string { return w.violations }
 
 // historyOf returns the history of a task.
-func (s *submittedJob) historyOf(t job.Task) *taskHistory {
+func (s *submittedJob) historyOf(t job.TaskID) *taskHistory {
 	h := s.histories[t]
 	if h == nil {
 		h = &taskHistory{}
@@ -85,7 +85,7 @@
 }
 
 // dependenciesDone reports whether all steps that a task depends on are done.
-func (s *submittedJob) dependenciesDone(t job.Task) bool {
+func (s *submittedJob) dependenciesDone(t job.TaskID) bool {
 	for _, dep := range s.Spec.Steps[t.Step].DependsOn {
 		if !s.stepDone(t.Round, dep) {
 			return false
@@ -97,7 +97,7 @@
 // stepDone reports whether all tasks of a step have ended with success.
 func (s *submittedJob) stepDone(round, step int) bool {
 	for i := range s.Spec.Steps[step].Count {
-		h := s.histories[job.Task{Job: s.Name, Round: round, Step: step, Index: i}]
+		h := s.histories[job.TaskID{Job: s.Name, Round: round, Step: step, Index: i}]
 		if h == nil || !h.done {
 			return false
 		}
@@ -112,7 +112,7 @@
 		return
 	}
 	h := e.job.historyOf(e.Task)
-	switch e.How {
+	switch e.Reason {
 	case fleet.EndFailed:
 		h.ackedFailures++
 	case fleet.EndDone:
@@ -120,7 +120,7 @@
 		if h.lastStart > e.endedAt && !e.job.Spec.Steps[e.Task.Step].LongRunning {
 			w.recordViolation(fmt.Sprintf("%s was started again after an end that was noted later", e.Task))
 		}
-	case fleet.EndStopped, fleet.EndLapsed, fleet.EndBroken, fleet.EndAlone:
+	case fleet.EndStopped, fleet.EndLeaseExpired, fleet.EndGangBroken, fleet.EndGangTimeout:
 	}
 }
 
@@ -171,7 +171,7 @@
 func (s *submittedJob) mostFailures(round, step int) int {
 	highest, sum := 0, 0
 	for i := range s.Spec.Steps[step].Count {
-		h := s.histories[job.Task{Job: s.Name, Round: round, Step: step, Index: i}]
+		h := s.histories[job.TaskID{Job: s.Name, Round: round, Step: step, Index: i}]
 		if h == nil {
 			continue
 		}
--- a/core/world/check_internal_test.go
+++ b/core/world/check_internal_test.go
@@ -95,7 +95,7 @@
 		c.w.byIncarnation[id.Worker(f[1])].endIncarnation(100*time.Millisecond, sameID)
 	case "told":
 		m := c.w.byIncarnation[id.Worker(f[1])]
-		m.renew(dispatch.Renew{AckedEnd: m.lastSeq, Until: fleet.Clock(time.Hour)}, func(fleet.Report) {})
+		m.renew(dispatch.Renew{AckedEnd: m.lastSeq, Until: fleet.ClockReading(time.Hour)}, func(fleet.Report) {})
 	case "run":
 		c.w.Run(c.duration(f[1]))
 	case "shown":
@@ -110,8 +110,8 @@
 // order parses a start order: WORKER STEP INDEX RUN.
 func (c *harness) order(f []string) dispatch.Start {
 	return dispatch.Start{
-		Target: dispatch.Target{Worker: id.Worker(f[1])}, Task: job.Task{Job: "j", Step: c.number(f[2]), Index: c.number(f[3])},
-		Run: job.Run(c.number(f[4])), Until: fleet.Clock(time.Hour),
+		Target: dispatch.Target{Worker: id.Worker(f[1])}, Task: job.TaskID{Job: "j", Step: c.number(f[2]), Index: c.number(f[3])},
+		Run: job.RunNumber(c.number(f[4])), Until: fleet.ClockReading(time.Hour),
 	}
 }
 
@@ -157,9 +157,9 @@
 	}
 	c.s = &submittedJob{
 		Job: Job{Name: "j", Spec: spec, FailShare: fails, CrashAfter: crash}, submittedAt: c.w.now,
-		state: Open, histories: map[job.Task]*taskHistory{},
+		state: Open, histories: map[job.TaskID]*taskHistory{},
 	}
-	for range spec.Width() {
+	for range spec.TasksPerRound() {
 		c.s.Takes = append(c.s.Takes, time.Second)
 	}
 	c.w.jobs["j"] = c.s
--- a/core/world/connection.go
+++ b/core/world/connection.go
@@ -35,7 +35,7 @@
 // if the order can't be sent.
 func (o *owner) connect(m *machine, t dispatch.Target, refused func(refusal), send func(connection)) {
 	w := o.world
-	if w.setup.Delivery != OnConnection || !fleet.TellsStart(t.Worker) {
+	if w.setup.Delivery != OnConnection || !fleet.HasStart(t.Worker) {
 		send(connection{machine: m})
 		return
 	}
@@ -50,7 +50,7 @@
 	}
 	w.Plan(half, func() {
 		switch v := m.receiveOrder(t); {
-		case v != fleet.Carried:
+		case v != fleet.CarriedOut:
 			refused(refusal{verdict: v, after: half})
 		case m.silent():
 			refused(refusal{verdict: fleet.Unreachable, after: w.setup.Times.Timeout})
--- a/core/world/gang.go
+++ b/core/world/gang.go
@@ -17,7 +17,7 @@
 
 // gang is one run of a step whose tasks run all together or not at all.
 type gang struct {
-	number  job.Run
+	number  job.RunNumber
 	members []*run
 	// complete is set once all members have started, broken once one of them
 	// has ended without success.
@@ -44,7 +44,7 @@
 	}
 	w.Plan(w.setup.Times.Whole, func() { // also in a broken gang, whose other members have ended
 		if !r.ended && r.workStart == 0 {
-			r.finish(fleet.EndAlone)
+			r.finish(fleet.EndGangTimeout)
 		}
 	})
 }
@@ -109,7 +109,7 @@
 	}
 	for _, r := range g.members {
 		if !r.ended {
-			r.finish(fleet.EndBroken)
+			r.finish(fleet.EndGangBroken)
 		}
 	}
 }
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -39,10 +39,10 @@
 	// ends holds the ends that the owner has not acknowledged.
 	ends       []listedEnd
 	lastSeq    uint64
-	highestRun map[job.Task]job.Run
+	highestRun map[job.TaskID]job.RunNumber
 	// clockRate is the rate of the worker's clock relative to virtual time.
 	clockRate  float64
-	leaseUntil fleet.Clock
+	leaseUntil fleet.ClockReading
 	fence      fleet.Fence
 	// answerHeld answers the renewal that waits for an end; nil if none waits.
 	answerHeld func()
@@ -129,15 +129,15 @@
 		m.currentID = fleet.Life(id.WorkerName(m.currentID), w.drawStart(m))
 	}
 	m.up, m.fence, m.leaseUntil = true, fleet.Fence{}, 0
-	m.ends, m.lastSeq, m.highestRun = nil, 0, map[job.Task]job.Run{}
+	m.ends, m.lastSeq, m.highestRun = nil, 0, map[job.TaskID]job.RunNumber{}
 	m.world.byIncarnation[m.currentID] = m
 }
 
 // drawStart draws the start time that an incarnation reports. Its wall clock
 // may be set back by minutes between two incarnations.
-func (w *World) drawStart(m *machine) fleet.Start {
+func (w *World) drawStart(m *machine) fleet.StartTime {
 	offset := scale(10*time.Minute, w.draw("start", m.ID, m.incarnation))
-	return fleet.Start(time.Duration(w.now.Add(offset)).Milliseconds())
+	return fleet.StartTime(time.Duration(w.now.Add(offset)).Milliseconds())
 }
 
 // listing returns the worker's entry in the platform's list of workers.
@@ -188,8 +188,8 @@
 }
 
 // clock returns the reading of the worker's clock.
-func (m *machine) clock() fleet.Clock {
-	return fleet.Clock(scale(m.world.now.Sub(Begin), m.clockRate) + initialClock + m.clockOffset)
+func (m *machine) clock() fleet.ClockReading {
+	return fleet.ClockReading(scale(m.world.now.Sub(Begin), m.clockRate) + initialClock + m.clockOffset)
 }
 
 // drawClockOffset draws the offset of a clock that restarts. The new clock may
@@ -225,7 +225,7 @@
 		return fleet.Fenced
 	}
 	m.fence = t.Fence
-	return fleet.Carried
+	return fleet.CarriedOut
 }
 
 // startRun executes a start order.
@@ -235,9 +235,9 @@
 	case m.world.now < m.muteUntil:
 		return fleet.Unknown
 	case o.Until <= m.clock():
-		return fleet.Expired
+		return fleet.LeaseExpired
 	case r != nil && r.number == o.Run:
-		return fleet.Carried
+		return fleet.CarriedOut
 	case o.Run <= m.highestRun[o.Task]:
 		return fleet.Stale
 	case m.world.now < m.busyUntil:
@@ -262,7 +262,7 @@
 	m.highestRun[o.Task] = o.Run
 	m.extendLease(o.Until)
 	m.addRun(s, o, need)
-	return fleet.Carried
+	return fleet.CarriedOut
 }
 
 // stopRun executes a stop order: it stops the run, or keeps it from starting
@@ -272,11 +272,11 @@
 		r.stop()
 	}
 	m.highestRun[o.Task] = max(m.highestRun[o.Task], o.Run)
-	return fleet.Carried
+	return fleet.CarriedOut
 }
 
 // findRun returns the run of a task, or nil.
-func (m *machine) findRun(t job.Task) *run {
+func (m *machine) findRun(t job.TaskID) *run {
 	for _, r := range m.runs {
 		if r.task == t {
 			return r
@@ -286,9 +286,9 @@
 }
 
 // extendLease extends the lease of all runs, and ends the runs when it lapses.
-func (m *machine) extendLease(until fleet.Clock) {
+func (m *machine) extendLease(until fleet.ClockReading) {
 	if maxLease := m.world.setup.Times.MaxLease; maxLease > 0 {
-		until = min(until, m.clock()+fleet.Clock(maxLease))
+		until = min(until, m.clock()+fleet.ClockReading(maxLease))
 	}
 	if until <= m.leaseUntil {
 		return
@@ -302,12 +302,12 @@
 		for i := range m.ends {
 			m.ends[i].leaseLapsed = true
 		}
-		m.endAll(fleet.EndLapsed)
+		m.endAll(fleet.EndLeaseExpired)
 	})
 }
 
 // endAll ends all runs.
-func (m *machine) endAll(how fleet.How) {
+func (m *machine) endAll(how fleet.EndReason) {
 	for len(m.runs) > 0 {
 		m.runs[0].finish(how)
 	}
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -266,17 +266,17 @@
 	orders := o.dispatcher.Take()
 	for _, x := range orders.Starts {
 		mayLeave := func() bool { return o.dispatcher.StartRules().DenialReason(o.world.now, x.Domain) == "" }
-		o.sendOrder(x.Target, mayLeave, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.Clock) {
+		o.sendOrder(x.Target, mayLeave, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.ClockReading) {
 			o.dispatcher.Started(o.world.now, dispatch.StartResult{Start: x, Verdict: v, Clock: c})
 		})
 	}
 	for _, x := range orders.Stops {
-		o.sendOrder(x.Target, alwaysAllowed, func(m *machine) fleet.Verdict { return m.stopRun(x) }, func(v fleet.Verdict, c fleet.Clock) {
+		o.sendOrder(x.Target, alwaysAllowed, func(m *machine) fleet.Verdict { return m.stopRun(x) }, func(v fleet.Verdict, c fleet.ClockReading) {
 			o.dispatcher.Stopped(o.world.now, dispatch.StopResult{Stop: x, Verdict: v, Clock: c})
 		})
 	}
 	for _, x := range orders.Paces {
-		o.sendOrder(x.Target, alwaysAllowed, func(*machine) fleet.Verdict { return fleet.Carried }, func(v fleet.Verdict, c fleet.Clock) {
+		o.sendOrder(x.Target, alwaysAllowed, func(*machine) fleet.Verdict { return fleet.CarriedOut }, func(v fleet.Verdict, c fleet.ClockReading) {
 			o.dispatcher.Paced(o.world.now, dispatch.PaceResult{Pace: x, Verdict: v, Clock: c})
 		})
 	}
@@ -300,7 +300,7 @@
 // sendOrder sends one order, unless mayLeave forbids that when its turn comes,
 // and passes the answer to the dispatcher. An order that waits past the timeout
 // is still executed, but its answer is lost.
-func (o *owner) sendOrder(t dispatch.Target, mayLeave func() bool, execute func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.Clock)) {
+func (o *owner) sendOrder(t dispatch.Target, mayLeave func() bool, execute func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.ClockReading)) {
 	w := o.world
 	decided := w.now
 	o.enqueueSend(func() {
@@ -329,7 +329,7 @@
 			return
 		}
 		v := m.receiveOrder(t)
-		if v == fleet.Carried {
+		if v == fleet.CarriedOut {
 			v = execute(m)
 		}
 		if v == fleet.Unknown {
@@ -366,7 +366,7 @@
 		}
 		incarnation := m.incarnation
 		w.Plan(delay-transit, func() {
-			if !m.up || m.incarnation != incarnation || m.admitOrder(t) != fleet.Carried {
+			if !m.up || m.incarnation != incarnation || m.admitOrder(t) != fleet.CarriedOut {
 				return
 			}
 			w.lateOrders.executing = true
@@ -412,7 +412,7 @@
 				answer(fleet.Unknown, fleet.Report{}, half)
 				return
 			}
-			if v := m.receiveOrder(x.Target); v != fleet.Carried {
+			if v := m.receiveOrder(x.Target); v != fleet.CarriedOut {
 				answer(v, fleet.Report{Clock: m.clock()}, half)
 				return
 			}
@@ -421,7 +421,7 @@
 					answer(fleet.Unknown, fleet.Report{}, w.setup.Times.Timeout)
 					return
 				}
-				v := fleet.Carried
+				v := fleet.CarriedOut
 				if rep.Life != x.Worker {
 					v = fleet.Replaced
 				}
--- a/core/world/run.go
+++ b/core/world/run.go
@@ -17,8 +17,8 @@
 	machine *machine
 	job     *submittedJob
 	step    *job.Step
-	task    job.Task
-	number  job.Run
+	task    job.TaskID
+	number  job.RunNumber
 	need    job.Resources
 	// gang is nil for a task outside gangs.
 	gang *gang
@@ -121,7 +121,7 @@
 // endWhenDue ends the run as scheduled, or defers the end by the time for which
 // the run stalled. The members of a gang end together when the work of all is
 // done.
-func (r *run) endWhenDue(how fleet.How) {
+func (r *run) endWhenDue(how fleet.EndReason) {
 	if r.ended {
 		return
 	}
@@ -172,7 +172,7 @@
 }
 
 // finish ends the run and adds its end to the ends that the worker reports.
-func (r *run) finish(how fleet.How) {
+func (r *run) finish(how fleet.EndReason) {
 	m, w := r.machine, r.machine.world
 	r.release(how == fleet.EndDone)
 	h := r.job.historyOf(r.task)
@@ -184,7 +184,7 @@
 		r.job.doneTasks++
 	}
 	w.tally.count(how)
-	e := fleet.End{Task: r.task, Run: r.number, How: how}
+	e := fleet.End{Task: r.task, Run: r.number, Reason: how}
 	if how != fleet.EndDone {
 		e.Checkpoint = r.checkpoint()
 	}
--- a/core/world/script_test.go
+++ b/core/world/script_test.go
@@ -187,7 +187,7 @@
 		Name: id.Job(name), FailShare: o.number("fails", 0), CancelAfter: o.duration("cancel", 0), Kind: "k",
 		Spec: job.Spec{
 			Customer: "c", Queue: "q", Service: "svc", Priority: int(o.number("priority", 1)), MaxAttempts: int(o.number("attempts", 3)),
-			Stretch: 3, Target: time.Second, Steps: []job.Step{step},
+			DeadlineFactor: 3, DeadlineExtra: time.Second, Steps: []job.Step{step},
 		},
 	}
 	j.CrashAfter, j.Reborn = o.duration("crashes", 0), o.has("reborn")
@@ -196,7 +196,7 @@
 		second.DependsOn = []int{0}
 		j.Spec.Steps = append(j.Spec.Steps, second)
 	}
-	for range j.Spec.Width() {
+	for range j.Spec.TasksPerRound() {
 		j.Takes = append(j.Takes, takes)
 	}
 	return j
--- a/core/world/tally.go
+++ b/core/world/tally.go
@@ -34,7 +34,7 @@
 	state     State
 	// doneTasks counts the tasks that have ended with success.
 	doneTasks int
-	histories map[job.Task]*taskHistory
+	histories map[job.TaskID]*taskHistory
 }
 
 // noteStart records that a run of the job has begun.
@@ -143,7 +143,7 @@
 }
 
 // count counts the end of a run.
-func (t *Tally) count(how fleet.How) {
+func (t *Tally) count(how fleet.EndReason) {
 	switch how {
 	case fleet.EndDone:
 		t.Done++
@@ -151,11 +151,11 @@
 		t.Failed++
 	case fleet.EndStopped:
 		t.Stopped++
-	case fleet.EndLapsed:
+	case fleet.EndLeaseExpired:
 		t.Lapsed++
-	case fleet.EndBroken:
+	case fleet.EndGangBroken:
 		t.Broken++
-	case fleet.EndAlone:
+	case fleet.EndGangTimeout:
 		t.Alone++
 	}
 }
--- a/core/world/world.go
+++ b/core/world/world.go
@@ -138,18 +138,18 @@
 // Submit submits a job. It returns ErrNeverFits, and counts the job as refused,
 // if one of its steps doesn't fit even on the empty site.
 func (w *World) Submit(j Job) error {
-	if len(j.Takes) != j.Spec.RoundCount()*j.Spec.Width() || len(j.Takes) == 0 || w.jobs[j.Name] != nil {
+	if len(j.Takes) != j.Spec.RoundCount()*j.Spec.TasksPerRound() || len(j.Takes) == 0 || w.jobs[j.Name] != nil {
 		return fmt.Errorf("%w: %s", ErrJob, j.Name)
 	}
-	s := &submittedJob{Job: j, submittedAt: w.now, state: Open, histories: map[job.Task]*taskHistory{}}
+	s := &submittedJob{Job: j, submittedAt: w.now, state: Open, histories: map[job.TaskID]*taskHistory{}}
 	w.jobs[j.Name] = s
 	w.submissions = append(w.submissions, s)
 	if !w.fits(&j.Spec) {
 		s.state = Refused
 		return fmt.Errorf("%w: %s", ErrNeverFits, j.Name)
 	}
-	if j.Spec.Rounds > 0 && j.Spec.First == 0 {
-		s.Spec.First = w.now
+	if j.Spec.Rounds > 0 && j.Spec.FirstDue == 0 {
+		s.Spec.FirstDue = w.now
 	}
 	s.Spec.Accepted = w.now
 	w.openJobs = append(w.openJobs, s)
--- a/internal/dayreport/dayreport.go
+++ b/internal/dayreport/dayreport.go
@@ -24,15 +24,15 @@
 
 // line has the fields of a log line that the report uses.
 type line struct {
-	When   time.Time `json:"ts"`
-	Event  string    `json:"msg"`
-	Method string    `json:"method"`
-	Job    id.Job    `json:"job"`
-	Queue  id.Queue  `json:"queue"`
-	Status int       `json:"status"`
-	Task   string    `json:"task"`
-	Run    job.Run   `json:"run"`
-	Why    string    `json:"why"`
+	When   time.Time     `json:"ts"`
+	Event  string        `json:"msg"`
+	Method string        `json:"method"`
+	Job    id.Job        `json:"job"`
+	Queue  id.Queue      `json:"queue"`
+	Status int           `json:"status"`
+	Task   string        `json:"task"`
+	Run    job.RunNumber `json:"run"`
+	Why    string        `json:"why"`
 	// Age is the run time in seconds, in task-ended lines.
 	Age float64 `json:"age"`
 }
--- a/internal/entry/assured_internal_test.go
+++ b/internal/entry/assured_internal_test.go
@@ -70,7 +70,7 @@
 		go h.readJobs(ctx)
 		time.Sleep(900 * time.Millisecond) // includes the pause after a read that returned records
 		synctest.Wait()
-		if next := h.table.Next(); next != 1 {
+		if next := h.table.NextOffset(); next != 1 {
 			t.Errorf("%d records were read, want 1", next)
 		}
 		if h.assured > loadSent {
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -30,7 +30,7 @@
 		if !f.host.loaded {
 			return notLoaded
 		}
-		return f.host.counts.get(now, q.Name, f.host.table.Waiting)
+		return f.host.counts.get(now, q.Name, f.host.table.QueuedCount)
 	})
 	if !ok || n == notLoaded {
 		return refused("the jobs are not known yet")
@@ -47,7 +47,7 @@
 	case !l.known || l.foreign(c):
 		return reply{status: http.StatusGone, why: "no such job"}
 	}
-	if l.state == jobtable.ShownRunning {
+	if l.state == jobtable.StateRunning {
 		l = f.awaitEnd(ctx, c.job, l)
 	}
 	return reply{status: http.StatusOK, body: platform.StateBody{State: l.state}, why: string(l.state)}
@@ -60,9 +60,9 @@
 	switch {
 	case !ok:
 		return refused("the newest state can't be read")
-	case !l.known || l.foreign(c) || l.state == jobtable.ShownCompleted || l.state == jobtable.ShownFailed:
+	case !l.known || l.foreign(c) || l.state == jobtable.StateCompleted || l.state == jobtable.StateFailed:
 		return reply{status: http.StatusGone, why: "no such open job"}
-	case l.state == jobtable.ShownCancelled:
+	case l.state == jobtable.StateCancelled:
 		return reply{status: http.StatusOK, why: "cancelled before"}
 	}
 	return f.store(ctx, f.records.CancelRecord(c.job), "cancelled")
@@ -113,7 +113,7 @@
 func applyQueueDefaults(s *job.Spec, q *catalog.Queue, customer id.Customer) {
 	s.Customer, s.Queue, s.Service = customer, q.Name, q.Service
 	s.Priority, s.MaxAttempts = q.Priority, q.MaxAttempts
-	s.Stretch, s.Target, s.Advice = q.Stretch, q.Target, q.Advice
+	s.DeadlineFactor, s.DeadlineExtra, s.Advice = q.Stretch, q.Target, q.Advice
 }
 
 // store writes a record and returns the reply for the outcome. It reports a
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -30,15 +30,15 @@
 	// leaves room for every increase of one owner's fence. Together with the
 	// offset, an epoch stays below 2^53, which a JSON number represents
 	// exactly.
-	epochRandomBits  = id.RaiseBits
-	epochOffsetShift = id.RaiseBits + 1
+	epochRandomBits  = id.FenceRevisionBits
+	epochOffsetShift = id.FenceRevisionBits + 1
 )
 
 // mayClaim reports whether, by its own table, this host should claim the
 // ownership. An owner that was fenced without a successor has to claim again
 // itself, because the other hosts see that it is alive.
 func (h *Host) mayClaim(now unit.Instant) bool {
-	if !h.loaded || h.table.Former() || h.stopping.Load() || h.owner != nil || h.takeover != nil {
+	if !h.loaded || h.table.HasLegacyProgress() || h.stopping.Load() || h.owner != nil || h.takeover != nil {
 		return false
 	}
 	vacant := h.lost != 0 && h.table.Owner().Epoch == h.lost
@@ -81,7 +81,7 @@
 // before it. The claim doesn't wait until all records are read, because with
 // many hosts accepting jobs there may be no moment without new records.
 func (h *Host) claim(ctx context.Context) {
-	at := h.table.Next()
+	at := h.table.NextOffset()
 	epoch := drawEpoch(at)
 	rec, err := h.table.OwnerRecord(jobtable.Owner{Host: h.self, Epoch: epoch})
 	if err != nil {
@@ -106,11 +106,11 @@
 // before end.
 func (h *Host) claimed(ctx context.Context, now unit.Instant, rec jobtable.Record, end id.Offset, err error) {
 	if err != nil {
-		h.log.Info("claim-refused", zap.Uint64("applied", uint64(h.table.Next())), zap.Error(err))
+		h.log.Info("claim-refused", zap.Uint64("applied", uint64(h.table.NextOffset())), zap.Error(err))
 		go h.catchUpAfterClaim(ctx)
 		return
 	}
-	if h.table.Next()+1 != end || h.stopping.Load() {
+	if h.table.NextOffset()+1 != end || h.stopping.Load() {
 		go h.catchUpAfterClaim(ctx)
 		return // unread records precede the claim, or the reader has already applied it
 	}
@@ -181,7 +181,7 @@
 	h.election.Owned(now)
 	h.metrics.owning.Store(true)
 	h.metrics.takeovers.Inc()
-	h.log.Info("owner", zap.Uint64("epoch", uint64(epoch)), zap.Int("jobs", len(h.table.Jobs())), zap.Uint64("applied", uint64(h.table.Next())),
+	h.log.Info("owner", zap.Uint64("epoch", uint64(epoch)), zap.Int("jobs", len(h.table.Jobs())), zap.Uint64("applied", uint64(h.table.NextOffset())),
 		zap.Strings("off", h.settings.Policy.Off()))
 	if c := h.catalog.Load(); c != nil {
 		o.configure(c)
--- a/internal/entry/claim_internal_test.go
+++ b/internal/entry/claim_internal_test.go
@@ -20,7 +20,7 @@
 // of the next claim.
 func TestEpochsApart(t *testing.T) {
 	for range 1000 {
-		if now, next := drawEpoch(7), drawEpoch(8); now+id.MostRaises >= next {
+		if now, next := drawEpoch(7), drawEpoch(8); now+id.MaxFenceRevision >= next {
 			t.Fatalf("epochs %d and %d are %d apart", now, next, next-now)
 		}
 	}
--- a/internal/entry/lookup.go
+++ b/internal/entry/lookup.go
@@ -30,7 +30,7 @@
 // jobView is what the table holds of a job.
 type jobView struct {
 	loaded, known bool
-	state         jobtable.Shown
+	state         jobtable.State
 	// customer is the customer that submitted the job; empty for an anonymous
 	// queue.
 	customer id.Customer
@@ -82,7 +82,7 @@
 func (h *Host) lookUp(j id.Job) jobView {
 	l := jobView{loaded: h.loaded}
 	if e := h.table.Get(j); e != nil && e.Spec != nil {
-		l.known, l.state, l.customer = true, e.Show(), e.Spec.Customer
+		l.known, l.state, l.customer = true, e.State(), e.Spec.Customer
 	}
 	return l
 }
@@ -133,7 +133,7 @@
 // whether the table then holds everything that was in the store when the read
 // was answered.
 func (h *Host) catchUp(ctx context.Context) bool {
-	at, ok := ask(ctx, h, func(unit.Instant) id.Offset { return h.table.Next() })
+	at, ok := ask(ctx, h, func(unit.Instant) id.Offset { return h.table.NextOffset() })
 	if !ok {
 		return false
 	}
@@ -144,7 +144,7 @@
 	}
 	complete, ok := ask(ctx, h, func(now unit.Instant) bool {
 		h.applyJobs(now, p.Records, at)
-		return h.loaded && h.table.Next() >= p.End
+		return h.loaded && h.table.NextOffset() >= p.End
 	})
 	return ok && complete
 }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -237,7 +237,7 @@
 	if n.Job != "" {
 		fields = append(fields, zap.String("job", string(n.Job)))
 	}
-	if n.Task != (job.Task{}) {
+	if n.Task != (job.TaskID{}) {
 		fields = append(fields, zap.Stringer("task", n.Task), zap.Int("run", int(n.Run)))
 	}
 	if n.Worker != "" {
--- a/internal/entry/orders_internal_test.go
+++ b/internal/entry/orders_internal_test.go
@@ -117,7 +117,7 @@
 		o := newOwnerOf(t, workers)
 		var starts dispatch.Orders
 		for i := range 200 {
-			starts.Starts = append(starts.Starts, dispatch.Start{Target: target(0), Task: job.Task{Index: i}})
+			starts.Starts = append(starts.Starts, dispatch.Start{Target: target(0), Task: job.TaskID{Index: i}})
 		}
 		o.enqueueOrders(t.Context(), starts)
 		synctest.Wait()
@@ -153,7 +153,7 @@
 		var orders dispatch.Orders
 		for n, domain := range []id.Domain{"a", "b"} {
 			for i := range startsPerWorker + 1 {
-				orders.Starts = append(orders.Starts, dispatch.Start{Target: target(n), Domain: domain, Task: job.Task{Index: i}})
+				orders.Starts = append(orders.Starts, dispatch.Start{Target: target(n), Domain: domain, Task: job.TaskID{Index: i}})
 			}
 		}
 		o.enqueueOrders(t.Context(), orders)
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -54,7 +54,7 @@
 	if h.progress.complete && end < h.progress.next {
 		return // newer records were applied while this answer was on its way
 	}
-	h.table.ForgetProgress()
+	h.table.ClearProgress()
 	h.progress = progressAt{complete: true, next: end}
 	for _, r := range recs {
 		h.applyProgressRecord(r)
@@ -87,7 +87,7 @@
 // become stale.
 func (h *Host) forgetProgress() {
 	h.progress = progressAt{}
-	h.table.ForgetProgress()
+	h.table.ClearProgress()
 }
 
 // takeover is the newest claim, made by this host, until it makes the host the
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -69,7 +69,7 @@
 
 // loadJobs replaces the table by the state in the store.
 func (h *Host) loadJobs(now unit.Instant, recs []jobtable.Record, end id.Offset) {
-	if h.loaded && end < h.table.Next() {
+	if h.loaded && end < h.table.NextOffset() {
 		return // newer records were applied while this answer was on its way
 	}
 	table := jobtable.New()
@@ -79,13 +79,13 @@
 		}
 	}
 	table.Advance(end)
-	table.KeepProgress(h.table)
+	table.CopyProgress(h.table)
 	if !h.loaded {
 		h.newest = table.Owner().Epoch // a claim made before this host started is not a new one
 	}
 	h.table, h.loaded = table, true
 	h.log.Info("jobs-loaded", zap.Int("records", len(recs)), zap.Uint64("end", uint64(end)))
-	if table.Former() {
+	if table.HasLegacyProgress() {
 		why := "jobs have progress in " + string(platform.TopicJobs) + ": this host doesn't claim the ownership until they are forgotten"
 		h.log.Error("earlier-version", zap.String("why", why))
 	}
@@ -99,12 +99,12 @@
 
 // applyJobs applies the records that the table doesn't hold yet.
 func (h *Host) applyJobs(now unit.Instant, recs []jobtable.Record, from id.Offset) {
-	if !h.loaded || from > h.table.Next() {
+	if !h.loaded || from > h.table.NextOffset() {
 		return // a gap: another read is in flight that fills it
 	}
 	for i, r := range recs {
 		offset := from + id.Offset(i)
-		if offset < h.table.Next() {
+		if offset < h.table.NextOffset() {
 			continue
 		}
 		j, err := h.table.Apply(r)
--- a/internal/entry/suspend_internal_test.go
+++ b/internal/entry/suspend_internal_test.go
@@ -55,7 +55,7 @@
 			return o.core.Take()
 		}
 		first := pass().Renews[0]
-		o.core.Renewed(o.host.now(), dispatch.RenewResult{Renew: first, Sent: o.host.now(), Verdict: fleet.Carried})
+		o.core.Renewed(o.host.now(), dispatch.RenewResult{Renew: first, Sent: o.host.now(), Verdict: fleet.CarriedOut})
 		spec := &job.Spec{Service: "s", MaxAttempts: 1, Steps: []job.Step{{Count: 1, Need: job.Resources{Accelerators: 1}}}}
 		clock.suspended = 10 * time.Second
 		o.core.AddJob(o.host.now(), "j", &jobtable.Entry{Spec: spec})
--- a/internal/experiment/arrive/arrive.go
+++ b/internal/experiment/arrive/arrive.go
@@ -145,7 +145,7 @@
 		Name: id.Job(fmt.Sprintf("%s-%06d", k.Name, n)), Kind: k.Name, FailShare: k.Fails,
 		Spec: job.Spec{
 			Customer: k.Customers[g.random.IntN(len(k.Customers))], Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority,
-			MaxAttempts: k.Attempts, Stretch: k.Stretch, Target: k.Target,
+			MaxAttempts: k.Attempts, DeadlineFactor: k.Stretch, DeadlineExtra: k.Target,
 		},
 	}
 	if g.chance(k.Hopeless) {
--- a/internal/experiment/arrive/trace.go
+++ b/internal/experiment/arrive/trace.go
@@ -52,7 +52,7 @@
 		Name: e.Job, Kind: k.Name, FailShare: k.Fails,
 		Spec: job.Spec{
 			Customer: e.Customer, Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority, MaxAttempts: k.Attempts,
-			Stretch: k.Stretch, Target: k.Target, Steps: []job.Step{step},
+			DeadlineFactor: k.Stretch, DeadlineExtra: k.Target, Steps: []job.Step{step},
 		},
 	}
 	if e.Bad {
--- a/internal/experiment/setup/kind.go
+++ b/internal/experiment/setup/kind.go
@@ -37,7 +37,7 @@
 		k.Customers = append(k.Customers, id.Customer(name))
 	}
 	if k.Customers == nil {
-		k.Customers = config.Sorted(c.Customers)
+		k.Customers = config.SortedKeys(c.Customers)
 	}
 	if len(k.Customers) == 0 {
 		s.Fault("customers", "a customer of the site")
--- a/internal/experiment/setup/world.go
+++ b/internal/experiment/setup/world.go
@@ -119,7 +119,7 @@
 // addSite adds the workers and guarantees of a site, without drained workers.
 // Speeds are assigned to the workers in turn.
 func addSite(c config.Config, s *world.Setup, speeds []float64) {
-	for _, name := range config.Sorted(c.Racks) {
+	for _, name := range config.SortedKeys(c.Racks) {
 		r := c.Racks[name]
 		for _, w := range r.Workers {
 			if w.Drained {
@@ -132,11 +132,11 @@
 		}
 	}
 	guaranteed := map[id.Customer]int{}
-	for _, name := range config.Sorted(c.Guarantees) {
+	for _, name := range config.SortedKeys(c.Guarantees) {
 		g := c.Guarantees[name]
 		guaranteed[g.Customer] += g.Size * g.Count
 	}
-	for _, name := range config.Sorted(c.Customers) {
+	for _, name := range config.SortedKeys(c.Customers) {
 		if guaranteed[name] > 0 {
 			s.Guarantees = append(s.Guarantees, world.Guarantee{Customer: name, Accelerators: guaranteed[name]})
 		}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -297,7 +297,7 @@
 			ev.Entry = append(ev.Entry, e.ID)
 			at[e.ID] = e.Peers
 		}
-		for _, s := range config.Sorted(list.Services) {
+		for _, s := range config.SortedKeys(list.Services) {
 			ev.Backends[s] = map[id.Backend]bool{}
 			for _, b := range list.Services[s] {
 				ev.Backends[s][b.ID] = !b.Leaving
--- a/internal/platform/workers/bench_test.go
+++ b/internal/platform/workers/bench_test.go
@@ -28,7 +28,7 @@
 			client := workers.New(srv.URL, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}})
 			s := worker.Sync{Worker: "tanta-1-w0", Epoch: 1}
 			for i := range tasks {
-				s.Tasks = append(s.Tasks, worker.Want{
+				s.Tasks = append(s.Tasks, worker.WantedTask{
 					Job: id.Job(fmt.Sprintf("reconstruction-%06d", i)), Lease: id.Lease(1<<20 + i), Mask: 1 << i,
 					Create: true, Until: time.Hour, Command: "run 1h",
 				})
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -150,7 +150,7 @@
 	if verdicts[0] != nil {
 		return fmt.Errorf("%w: %w", ErrSite, verdicts[0])
 	}
-	for _, k := range config.Sorted(sim.state.Config.Racks) {
+	for _, k := range config.SortedKeys(sim.state.Config.Racks) {
 		for _, w := range sim.state.Config.Racks[k].Workers {
 			sim.startWorker(w.ID, w.Accelerators)
 		}
@@ -167,7 +167,7 @@
 func (sim *simulation) startWorker(w id.Worker, accelerators int) {
 	sim.incarnations[w]++
 	sim.workers[w] = fake.New(w, accelerators, sim.incarnations[w], fake.Hooks{
-		Plan: func(t worker.Want) fake.Run {
+		Plan: func(t worker.WantedTask) fake.Run {
 			e := sim.jobs[t.Job].event
 			return fake.Run{For: e.Run, Crash: e.Bad}
 		},
--- a/internal/replay/sum.go
+++ b/internal/replay/sum.go
@@ -18,7 +18,7 @@
 	r := sim.result
 	r.Preempted = sim.sched.Stats().Preempted
 	var completions, largeCompletions, urgentStarts []float64
-	for _, jobID := range config.Sorted(sim.jobs) {
+	for _, jobID := range config.SortedKeys(sim.jobs) {
 		j := sim.jobs[jobID]
 		at := startTime.Add(j.event.At)
 		if j.event.Urgent && j.started != 0 {
--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -247,7 +247,7 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	out := wire.Hosts{Services: map[id.Service][]wire.Backend{}}
-	for _, name := range config.Sorted(s.hosts) {
+	for _, name := range config.SortedKeys(s.hosts) {
 		announced := s.hosts[name]
 		switch {
 		case now.Before(announced.visibleAt):
--- a/internal/standin/workersvc/workersvc.go
+++ b/internal/standin/workersvc/workersvc.go
@@ -147,7 +147,7 @@
 }
 
 // plan parses a task's command.
-func plan(t worker.Want) fake.Run {
+func plan(t worker.WantedTask) fake.Run {
 	verb, arg, _ := strings.Cut(t.Command, " ")
 	d, err := time.ParseDuration(arg)
 	if err != nil {
