--- a/core/dispatch/overload_test.go
+++ b/core/dispatch/overload_test.go
@@ -19,7 +19,7 @@
 	before := w.Tally().Starts
 	w.submit(0, 4, 1, time.Second)
 	w.Run(4 * time.Second)
-	if done := w.DoneOf(jobName(w.jobs)); done < 4 {
+	if done := w.CompletedTasks(jobName(w.jobs)); done < 4 {
 		t.Errorf("%d of 4 urgent tasks have ended 4 s after they arrived; %d other tasks were started meanwhile", done, w.Tally().Starts-before)
 	}
 	w.Run(30 * time.Second)
--- a/core/dispatch/starved_test.go
+++ b/core/dispatch/starved_test.go
@@ -39,10 +39,10 @@
 			for range limit {
 				w.urgentSecond(urgentASecond)
 			}
-			if got := w.DoneOf(jobName(gangJob)); got != gang {
+			if got := w.CompletedTasks(jobName(gangJob)); got != gang {
 				t.Errorf("%d of the %d members of the gang have ended after %d s", got, gang, limit)
 			}
-			if got := w.DoneOf(jobName(behindJob)); got != behind {
+			if got := w.CompletedTasks(jobName(behindJob)); got != behind {
 				t.Errorf("%d of the %d tasks behind it have ended after %d s", got, behind, limit)
 			}
 		})
@@ -53,7 +53,7 @@
 // evenly spread.
 func (l *loadWorld) urgentSecond(n int) {
 	for i := range n {
-		l.Plan(time.Duration(i)*time.Second/time.Duration(n), func() { l.submit(0, 1, 1, 500*time.Millisecond) })
+		l.Schedule(time.Duration(i)*time.Second/time.Duration(n), func() { l.submit(0, 1, 1, 500*time.Millisecond) })
 	}
 	l.Run(time.Second)
 }
--- a/core/dispatch/unanswered_test.go
+++ b/core/dispatch/unanswered_test.go
@@ -18,7 +18,7 @@
 func TestStartsThatAreNeverAnswered(t *testing.T) {
 	w := newWorld(t, 10, 0)
 	w.Run(time.Second)
-	if err := w.Strike(world.Fault{Kind: world.Mute, Share: 0.1, Lasts: time.Hour}); err != nil {
+	if err := w.Inject(world.Fault{Kind: world.Mute, Share: 0.1, Duration: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	for range 10 {
--- a/core/dispatch/world_test.go
+++ b/core/dispatch/world_test.go
@@ -49,13 +49,13 @@
 // newWorldWithTrip is newWorld with the given round trip of orders.
 func newWorldWithTrip(tb testing.TB, workers int, sending, trip time.Duration) *loadWorld {
 	s := world.Setup{
-		Make: func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
+		NewDispatcher: func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
 			return dispatch.New(config, policy.New(), e, t)
 		},
 		Hosts: []world.Host{{ID: "host", Cores: 1}},
 		Times: world.Times{
-			Trip: trip, Gap: sending, Append: worldWrite, Timeout: worldTimeout, PassEvery: worldStep, IdleEvery: worldStep,
-			Whole: 3 * time.Second,
+			RoundTrip: trip, LinkTime: sending, Append: worldWrite, Timeout: worldTimeout, MinPassInterval: worldStep, MaxPassInterval: worldStep,
+			GangTimeout: 3 * time.Second,
 		},
 	}
 	for i := range workers {
@@ -93,7 +93,7 @@
 		},
 	}
 	for range step.Count {
-		j.Takes = append(j.Takes, takes)
+		j.RunTimes = append(j.RunTimes, takes)
 	}
 	if err := l.Submit(j); err != nil {
 		l.tb.Fatal(err)
@@ -128,7 +128,7 @@
 		}
 		for range n {
 			after := time.Duration(l.random.Int64N(int64(time.Second)))
-			l.Plan(after, func() { l.submit(k.priority, 1+l.random.IntN(2*k.count), k.gpus, k.takes) })
+			l.Schedule(after, func() { l.submit(k.priority, 1+l.random.IntN(2*k.count), k.gpus, k.takes) })
 		}
 	}
 }
--- a/core/world/check_internal_test.go
+++ b/core/world/check_internal_test.go
@@ -64,11 +64,11 @@
 
 func newHarness(t *testing.T) *harness {
 	s := Setup{
-		Make: func(e id.Epoch, table *jobtable.Table) *dispatch.Dispatcher {
+		NewDispatcher: func(e id.Epoch, table *jobtable.Table) *dispatch.Dispatcher {
 			return dispatch.New(dispatch.Config{MaxLease: time.Hour}, policy.New(), e, table)
 		},
 		Hosts: []Host{{ID: "h", Cores: 1}},
-		Times: Times{Whole: 3 * time.Second, IdleEvery: time.Hour, Restart: time.Second},
+		Times: Times{GangTimeout: 3 * time.Second, MaxPassInterval: time.Hour, RestartDelay: time.Second},
 	}
 	for _, name := range []id.Worker{"w0", "w1", "w2"} {
 		s.Workers = append(s.Workers, Worker{ID: name, Speed: 1, Capacity: job.Resources{Accelerators: 8}})
@@ -156,11 +156,11 @@
 		spec.Steps = append(spec.Steps, step)
 	}
 	c.s = &submittedJob{
-		Job: Job{Name: "j", Spec: spec, FailShare: fails, CrashAfter: crash}, submittedAt: c.w.now,
+		Job: Job{Name: "j", Spec: spec, FailProbability: fails, CrashAfter: crash}, submittedAt: c.w.now,
 		state: Open, histories: map[job.TaskID]*taskHistory{},
 	}
 	for range spec.TasksPerRound() {
-		c.s.Takes = append(c.s.Takes, time.Second)
+		c.s.RunTimes = append(c.s.RunTimes, time.Second)
 	}
 	c.w.jobs["j"] = c.s
 }
--- a/core/world/connection.go
+++ b/core/world/connection.go
@@ -43,12 +43,12 @@
 		send(c)
 		return
 	}
-	half := w.setup.Times.Trip / 2
+	half := w.setup.Times.RoundTrip / 2
 	if delay := w.lateOrders.delay(w, t); delay > 0 {
 		refused(refusal{verdict: fleet.Unreachable, after: w.setup.Times.Timeout})
 		return
 	}
-	w.Plan(half, func() {
+	w.Schedule(half, func() {
 		switch v := m.receiveOrder(t); {
 		case v != fleet.CarriedOut:
 			refused(refusal{verdict: v, after: half})
@@ -59,7 +59,7 @@
 			refused(refusal{verdict: fleet.Unreachable, after: half, otherReport: &rep})
 		default:
 			c := connection{machine: m, incarnation: m.incarnation}
-			w.Plan(half, func() {
+			w.Schedule(half, func() {
 				o.connected[m] = c.incarnation
 				send(c)
 			})
--- a/core/world/evacuation.go
+++ b/core/world/evacuation.go
@@ -32,9 +32,9 @@
 		if !evacuated {
 			e.since = w.now
 		}
-		e.until = max(e.until, w.now.Add(f.Lasts))
+		e.until = max(e.until, w.now.Add(f.Duration))
 		w.evacuations[d] = e
-		w.Plan(f.Lasts, func() {
+		w.Schedule(f.Duration, func() {
 			if w.now >= w.evacuations[d].until {
 				delete(w.evacuations, d)
 			}
@@ -55,7 +55,7 @@
 // orders are exempt, because no owner can take them back.
 func (w *World) checkDomain(m *machine, o dispatch.Start) {
 	e, evacuated := w.evacuations[m.Domain]
-	if evacuated && !w.lateOrders.executing && w.now > e.since.Add(w.setup.Evacuation) {
+	if evacuated && !w.lateOrders.executing && w.now > e.since.Add(w.setup.EvacuationBound) {
 		w.recordViolation(fmt.Sprintf("%s was started in %s, which was evacuated %s before", o.Task, m.Domain, w.now.Sub(e.since)))
 	}
 }
@@ -64,12 +64,12 @@
 // the store is unavailable, the owner gets no update.
 func (o *owner) pollOperator() {
 	w := o.world
-	if o.ended || w.setup.Evacuation == 0 {
+	if o.ended || w.setup.EvacuationBound == 0 {
 		return
 	}
 	readAt, storeUp := w.now, w.now >= w.store.upAt
 	domains := slices.Sorted(maps.Keys(w.evacuations))
-	w.Plan(w.setup.Times.Read, func() {
+	w.Schedule(w.setup.Times.ReadDelay, func() {
 		if !storeUp {
 			return
 		}
@@ -78,5 +78,5 @@
 			o.dispatcher.ConfirmEvacuations(readAt)
 		})
 	})
-	w.Plan(w.setup.Times.Poll, o.pollOperator)
+	w.Schedule(w.setup.Times.OperatorPoll, o.pollOperator)
 }
--- a/core/world/evacuation_test.go
+++ b/core/world/evacuation_test.go
@@ -35,8 +35,8 @@
 	}
 	c := config
 	c.EvacuationLimit = evacuationBound
-	s.Make = func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher { return dispatch.New(c, policy.New(), e, t) }
-	s.Evacuation, s.Times.Poll = evacuationBound, 700*time.Millisecond
+	s.NewDispatcher = func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher { return dispatch.New(c, policy.New(), e, t) }
+	s.EvacuationBound, s.Times.OperatorPoll = evacuationBound, 700*time.Millisecond
 }
 
 // TestLongEvacuations is TestLong with evacuations of failure domains, together
@@ -59,6 +59,6 @@
 	}
 	return simulateSite(t, seed, kinds, randomJob, length, func(s *world.Setup) {
 		enableEvacuations(s)
-		s.TellStart, s.Delivery = tellsStart, d
+		s.ReportStart, s.Delivery = tellsStart, d
 	})
 }
--- a/core/world/fault.go
+++ b/core/world/fault.go
@@ -92,8 +92,8 @@
 	Kind FaultKind
 	// Share is the share of the workers, hosts, domains or orders that the
 	// fault affects, from 0 to 1.
-	Share float64
-	Lasts time.Duration
+	Share    float64
+	Duration time.Duration
 	// Factor is for Shrink, Slow, Late and StoreSlow.
 	Factor float64
 }
@@ -121,23 +121,23 @@
 	return l.delayBy
 }
 
-// Strike injects a fault now.
-func (w *World) Strike(f Fault) error {
-	until := w.now.Add(f.Lasts)
+// Inject injects a fault now.
+func (w *World) Inject(f Fault) error {
+	until := w.now.Add(f.Duration)
 	switch f.Kind {
 	case Kill:
-		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Lasts, newID) })
+		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Duration, newID) })
 	case Reborn:
-		if !w.setup.TellStart {
+		if !w.setup.ReportStart {
 			return fmt.Errorf("%w: %q requires workers that report their start (Setup.TellStart)", ErrFault, f.Kind)
 		}
-		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Lasts, sameID) })
+		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Duration, sameID) })
 	case Silence:
 		w.eachChosen(f, func(m *machine) { m.silentUntil = until })
 	case Drain:
-		w.eachChosen(f, func(m *machine) { m.drain(f.Lasts, f.Lasts) })
+		w.eachChosen(f, func(m *machine) { m.drain(f.Duration, f.Duration) })
 	case Apart:
-		w.eachChosen(f, func(m *machine) { m.partition(f.Lasts) })
+		w.eachChosen(f, func(m *machine) { m.partition(f.Duration) })
 	case StaleEntry:
 		w.eachChosen(f, func(m *machine) { m.showPreviousListing() })
 	case ReadList:
@@ -149,33 +149,33 @@
 	case Mute:
 		w.eachChosen(f, func(m *machine) { m.muteUntil = until })
 	case Shrink:
-		w.eachChosen(f, func(m *machine) { m.shrink(f.Lasts, max(1, f.Factor)) })
+		w.eachChosen(f, func(m *machine) { m.shrink(f.Duration, max(1, f.Factor)) })
 	case Slow:
 		w.eachChosen(f, func(m *machine) { m.slowUntil, m.slowBy = until, max(1, f.Factor) })
 	case Still:
 		w.eachChosen(f, func(m *machine) { m.stalls = append(m.stalls, interval{from: w.now, to: until}) })
 	case Evacuate:
-		if w.setup.Evacuation == 0 {
+		if w.setup.EvacuationBound == 0 {
 			return fmt.Errorf("%w: %q requires a bound for evacuations (Setup.Evacuation)", ErrFault, f.Kind)
 		}
 		w.evacuate(f)
 	case Late:
 		w.lateOrders = lateOrders{until: until, share: f.Share, delayBy: scale(time.Second, f.Factor)}
-		if w.setup.TellStart {
+		if w.setup.ReportStart {
 			w.lateOrders.delayBy = min(w.lateOrders.delayBy, maxOrderDelay)
 		}
 	case StoreDown:
 		w.store.upAt = max(w.store.upAt, until)
 	case StoreSlow:
 		w.store.slowdown = max(1, f.Factor)
-		w.Plan(f.Lasts, func() { w.store.slowdown = 1 })
+		w.Schedule(f.Duration, func() { w.store.slowdown = 1 })
 	case KillOwner:
 		if w.owner != nil {
-			w.owner.host.kill(f.Lasts)
+			w.owner.host.kill(f.Duration)
 		}
 	case KillHosts:
 		for _, i := range w.chosen(f, len(w.hosts)) {
-			w.hosts[i].kill(f.Lasts)
+			w.hosts[i].kill(f.Duration)
 		}
 	default:
 		return fmt.Errorf("%w: %q", ErrFault, f.Kind)
@@ -183,17 +183,17 @@
 	return nil
 }
 
-// Down ends a worker's incarnation. The worker is down until Up. Down does
+// StopWorker ends a worker's incarnation. The worker is down until Up. Down does
 // nothing for a worker that is down or unknown.
-func (w *World) Down(name id.Worker) {
+func (w *World) StopWorker(name id.Worker) {
 	if m := w.machineByID(name); m != nil {
 		m.endIncarnation(0, newID)
 	}
 }
 
-// Up starts a new incarnation of a worker. It does nothing for a worker that is
+// StartWorker starts a new incarnation of a worker. It does nothing for a worker that is
 // up or unknown.
-func (w *World) Up(name id.Worker) {
+func (w *World) StartWorker(name id.Worker) {
 	if m := w.machineByID(name); m != nil && !m.up {
 		m.startIncarnation(newID)
 		w.list(m.listing())
--- a/core/world/gang.go
+++ b/core/world/gang.go
@@ -42,7 +42,7 @@
 		g.startWork(w)
 		return
 	}
-	w.Plan(w.setup.Times.Whole, func() { // also in a broken gang, whose other members have ended
+	w.Schedule(w.setup.Times.GangTimeout, func() { // also in a broken gang, whose other members have ended
 		if !r.ended && r.workStart == 0 {
 			r.finish(fleet.EndGangTimeout)
 		}
--- a/core/world/host.go
+++ b/core/world/host.go
@@ -41,7 +41,7 @@
 func (w *World) addHost(i int, x Host) {
 	h := &host{Host: x, world: w}
 	w.hosts = append(w.hosts, h)
-	h.startIncarnation(time.Duration(i) * w.setup.Times.Look / time.Duration(len(w.setup.Hosts)))
+	h.startIncarnation(time.Duration(i) * w.setup.Times.GroupPoll / time.Duration(len(w.setup.Hosts)))
 }
 
 // startIncarnation starts an incarnation of the host.
@@ -54,7 +54,7 @@
 	}
 	incarnation := h.incarnation
 	if len(h.world.setup.Hosts) > 1 {
-		h.world.Plan(after, func() { h.checkGroup(incarnation) })
+		h.world.Schedule(after, func() { h.checkGroup(incarnation) })
 	}
 }
 
@@ -81,7 +81,7 @@
 	if h.incarnation != incarnation || !h.up {
 		return
 	}
-	w.Plan(w.setup.Times.Look, func() { h.checkGroup(incarnation) })
+	w.Schedule(w.setup.Times.GroupPoll, func() { h.checkGroup(incarnation) })
 	if w.now < w.store.upAt {
 		return // the store is unavailable
 	}
@@ -110,7 +110,7 @@
 	}
 	if !h.claimDue() {
 		if h.election.Suspects() {
-			w.Plan(handoverDelay, func() { h.claimIfDue(incarnation) })
+			w.Schedule(handoverDelay, func() { h.claimIfDue(incarnation) })
 		}
 		return
 	}
@@ -168,7 +168,7 @@
 		for _, o := range w.hosts {
 			o.election.Released(w.now)
 			incarnation := o.incarnation
-			w.Plan(handoverDelay, func() { o.claimIfDue(incarnation) })
+			w.Schedule(handoverDelay, func() { o.claimIfDue(incarnation) })
 		}
 	})
 }
@@ -186,6 +186,6 @@
 		w.owner.end()
 	}
 	if down > 0 {
-		w.Plan(down, func() { h.startIncarnation(0) })
+		w.Schedule(down, func() { h.startIncarnation(0) })
 	}
 }
--- a/core/world/long_test.go
+++ b/core/world/long_test.go
@@ -122,8 +122,8 @@
 			t.Errorf("job %s, submitted at %s, is %s", o.Name, o.At, o.State)
 		}
 	}
-	t.Logf("%+v, %d workers suspended, %d replaced, %d jobs", w.Tally(), w.Decided(dispatch.EventWorkerSuspended),
-		w.Decided(dispatch.EventWorkerReplaced), len(w.Outcomes()))
+	t.Logf("%+v, %d workers suspended, %d replaced, %d jobs", w.Tally(), w.EventCount(dispatch.EventWorkerSuspended),
+		w.EventCount(dispatch.EventWorkerReplaced), len(w.Outcomes()))
 }
 
 // simulateLong runs a site of 24 workers and 5 hosts with faults for a time,
@@ -134,7 +134,7 @@
 
 // simulateTellStart is simulateLong with workers that report their starts.
 func simulateTellStart(t *testing.T, seed uint64, kinds []world.FaultKind, length time.Duration, d world.Delivery) *world.World {
-	return simulateSite(t, seed, kinds, randomJob, length, func(s *world.Setup) { s.TellStart, s.Delivery = true, d })
+	return simulateSite(t, seed, kinds, randomJob, length, func(s *world.Setup) { s.ReportStart, s.Delivery = true, d })
 }
 
 // simulateJobs is simulateLong with jobs that a function draws.
@@ -147,8 +147,8 @@
 func simulateSite(t *testing.T, seed uint64, kinds []world.FaultKind, job func(*rand.Rand) args, length time.Duration, change func(*world.Setup)) *world.World {
 	random := rand.New(rand.NewPCG(seed, 0))
 	s := setup(24, 5, 0.2+random.Float64())
-	s.Seed, s.Times.Drift = seed, 0.02
-	s.Times.Stop, s.Times.Restore = time.Duration(random.IntN(900))*time.Millisecond, 250*time.Millisecond
+	s.Seed, s.Times.MaxDrift = seed, 0.02
+	s.Times.StopTime, s.Times.RestoreTime = time.Duration(random.IntN(900))*time.Millisecond, 250*time.Millisecond
 	s.Costs = world.Costs{Pass: 50 * time.Microsecond, Event: 20 * time.Microsecond, Order: 200 * time.Microsecond}
 	for i := range s.Workers {
 		s.Workers[i].Speed = 0.7 + 0.6*random.Float64()
@@ -164,7 +164,7 @@
 			t.Fatal(err)
 		}
 		if random.IntN(12) == 0 {
-			if err := w.Strike(randomFault(random, kinds)); err != nil {
+			if err := w.Inject(randomFault(random, kinds)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -225,6 +225,6 @@
 func randomFault(random *rand.Rand, kinds []world.FaultKind) world.Fault {
 	return world.Fault{
 		Kind: kinds[random.IntN(len(kinds))], Share: 0.05 + 0.4*random.Float64(),
-		Lasts: time.Duration(500+random.IntN(20000)) * time.Millisecond, Factor: 1 + 20*random.Float64()*random.Float64(),
+		Duration: time.Duration(500+random.IntN(20000)) * time.Millisecond, Factor: 1 + 20*random.Float64()*random.Float64(),
 	}
 }
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -95,7 +95,7 @@
 
 // addMachine adds a worker, which is up and idle.
 func (w *World) addMachine(i int, x Worker) {
-	m := &machine{Worker: x, fullCapacity: x.Capacity, world: w, clockRate: 1 - w.setup.Times.Drift*w.draw("clock", i)}
+	m := &machine{Worker: x, fullCapacity: x.Capacity, world: w, clockRate: 1 - w.setup.Times.MaxDrift*w.draw("clock", i)}
 	w.machines = append(w.machines, m)
 	m.startIncarnation(newID)
 	w.listings = append(w.listings, m.listing())
@@ -125,7 +125,7 @@
 	if m.idCount > 1 {
 		m.currentID = id.Worker(fmt.Sprintf("%s.%d", m.ID, m.idCount))
 	}
-	if w := m.world; w.setup.TellStart {
+	if w := m.world; w.setup.ReportStart {
 		m.currentID = fleet.Life(id.WorkerName(m.currentID), w.drawStart(m))
 	}
 	m.up, m.fence, m.leaseUntil = true, fleet.Fence{}, 0
@@ -163,7 +163,7 @@
 	} else {
 		w.listings = append(w.listings, l)
 	}
-	w.Plan(w.setup.Times.Listing, func() {
+	w.Schedule(w.setup.Times.ListingDelay, func() {
 		if w.owner == nil {
 			return
 		}
@@ -180,7 +180,7 @@
 // learns of it later.
 func (w *World) unlist(name id.Worker) {
 	w.listings = slices.DeleteFunc(w.listings, func(l fleet.Listing) bool { return l.ID == name })
-	w.Plan(w.setup.Times.Listing, func() {
+	w.Schedule(w.setup.Times.ListingDelay, func() {
 		if w.owner != nil {
 			w.owner.enqueueEvent(func(o *owner) { o.dispatcher.Unlist(w.now, name) })
 		}
@@ -295,7 +295,7 @@
 	}
 	m.leaseUntil = until
 	incarnation := m.incarnation
-	m.world.Plan(scale(time.Duration(until-m.clock()), 1/m.clockRate)+1, func() {
+	m.world.Schedule(scale(time.Duration(until-m.clock()), 1/m.clockRate)+1, func() {
 		if m.leaseUntil != until || m.incarnation != incarnation || !m.up {
 			return
 		}
@@ -336,7 +336,7 @@
 		return
 	}
 	m.answerHeld = report
-	m.world.Plan(o.Wait, report)
+	m.world.Schedule(o.Wait, report)
 }
 
 // report returns the worker's report.
@@ -365,13 +365,13 @@
 	m.answerHeld = nil
 	m.previousListing = m.listing()
 	oldID, incarnation := m.currentID, m.incarnation
-	w.Plan(w.setup.Times.MemberTTL, func() {
+	w.Schedule(w.setup.Times.MemberTTL, func() {
 		if next == newID || m.incarnation == incarnation {
 			w.unlist(oldID)
 		}
 	})
 	if down > 0 {
-		w.Plan(down, func() {
+		w.Schedule(down, func() {
 			if m.incarnation == incarnation {
 				m.startIncarnation(next)
 				w.list(m.listing())
@@ -389,12 +389,12 @@
 	}
 	w, incarnation := m.world, m.incarnation
 	m.partitionedUntil = max(m.partitionedUntil, w.now.Add(duration))
-	w.Plan(w.setup.Times.MemberTTL, func() {
+	w.Schedule(w.setup.Times.MemberTTL, func() {
 		if m.incarnation == incarnation && w.now < m.partitionedUntil {
 			w.unlist(m.currentID)
 		}
 	})
-	w.Plan(duration, func() {
+	w.Schedule(duration, func() {
 		if m.incarnation == incarnation && m.up && w.now >= m.partitionedUntil {
 			w.list(m.listing())
 		}
@@ -409,7 +409,7 @@
 	}
 	m.capacityGraceUntil = m.world.now.Add(capacityGrace)
 	m.publishListing()
-	m.world.Plan(duration, func() {
+	m.world.Schedule(duration, func() {
 		m.Capacity = m.fullCapacity
 		m.publishListing()
 	})
@@ -431,7 +431,7 @@
 	}
 	old := m.previousListing
 	m.world.list(old)
-	m.world.Plan(m.world.setup.Times.MemberTTL, func() {
+	m.world.Schedule(m.world.setup.Times.MemberTTL, func() {
 		m.world.unlist(old.ID)
 		m.publishListing() // restores the present entry if both incarnations have one name
 	})
@@ -461,7 +461,7 @@
 	l.Draining, l.Remaining = true, remaining
 	m.world.list(l)
 	incarnation := m.incarnation
-	m.world.Plan(remaining, func() {
+	m.world.Schedule(remaining, func() {
 		if m.incarnation == incarnation {
 			m.endIncarnation(back, newID)
 		}
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -48,7 +48,7 @@
 	if w.owner != nil {
 		w.owner.end()
 	}
-	o := &owner{world: w, host: h, epoch: epoch, dispatcher: w.setup.Make(epoch, w.table), nextPass: w.now, connected: map[*machine]int{}}
+	o := &owner{world: w, host: h, epoch: epoch, dispatcher: w.setup.NewDispatcher(epoch, w.table), nextPass: w.now, connected: map[*machine]int{}}
 	w.owner = o
 	h.election.Owned(w.now)
 	for _, g := range w.setup.Guarantees {
@@ -118,10 +118,10 @@
 		if item.onBegin != nil {
 			cost += item.onBegin()
 		}
-		w.tally.Owned += cost
+		w.tally.OwnerCPUTime += cost
 		if busyFor := scale(cost, 1/o.host.Cores); busyFor > 0 {
-			w.tally.OwnedTime += busyFor
-			w.Plan(busyFor, func() { o.finishItem(item) })
+			w.tally.OwnerBusyTime += busyFor
+			w.Schedule(busyFor, func() { o.finishItem(item) })
 			return
 		}
 		if item.onEnd != nil {
@@ -172,11 +172,11 @@
 			return o.passCost()
 		},
 		onEnd: func() {
-			o.nextPass = max(startedAt.Add(w.setup.Times.PassEvery), w.now.Add(scale(w.now.Sub(startedAt), w.setup.Times.PassShare)))
+			o.nextPass = max(startedAt.Add(w.setup.Times.MinPassInterval), w.now.Add(scale(w.now.Sub(startedAt), w.setup.Times.EventTimeFactor)))
 			o.flush()
 			o.sendOrders()
 			o.countNotes()
-			o.schedulePass(w.setup.Times.IdleEvery)
+			o.schedulePass(w.setup.Times.MaxPassInterval)
 		},
 	})
 }
@@ -289,7 +289,7 @@
 func (o *owner) enqueueSend(transmit func()) {
 	w := o.world
 	o.enqueue(workItem{cost: w.setup.Costs.Order, onEnd: func() {
-		w.linkFreeAt = max(w.linkFreeAt, w.now).Add(w.setup.Times.Gap)
+		w.linkFreeAt = max(w.linkFreeAt, w.now).Add(w.setup.Times.LinkTime)
 		w.agenda.Plan(w.linkFreeAt, transmit)
 	}})
 }
@@ -306,7 +306,7 @@
 	o.enqueueSend(func() {
 		m := w.byIncarnation[t.Worker]
 		answer := func(v fleet.Verdict, after time.Duration) {
-			w.Plan(after, func() { o.enqueueEvent(func(*owner) { answered(v, m.clock()) }) })
+			w.Schedule(after, func() { o.enqueueEvent(func(*owner) { answered(v, m.clock()) }) })
 		}
 		if !mayLeave() {
 			answer(fleet.Unreachable, 0)
@@ -322,7 +322,7 @@
 	answer func(fleet.Verdict, time.Duration),
 ) {
 	w, m := o.world, c.machine
-	half := w.setup.Times.Trip / 2
+	half := w.setup.Times.RoundTrip / 2
 	arrive := func() {
 		if !c.isOpen() {
 			answer(fleet.Unknown, half)
@@ -350,7 +350,7 @@
 		answer(fleet.Unknown, w.setup.Times.Timeout)
 		w.deliverLate(c, t, delay, execute)
 	default:
-		w.Plan(half, arrive)
+		w.Schedule(half, arrive)
 	}
 }
 
@@ -360,12 +360,12 @@
 	if w.setup.Delivery == AtWorker {
 		transit = min(delay, scale(w.setup.Times.Timeout, w.draw("way", t.Worker, w.lateOrders.sent)))
 	}
-	w.Plan(transit, func() {
+	w.Schedule(transit, func() {
 		if !m.reachable() || !c.isOpen() {
 			return
 		}
 		incarnation := m.incarnation
-		w.Plan(delay-transit, func() {
+		w.Schedule(delay-transit, func() {
 			if !m.up || m.incarnation != incarnation || m.admitOrder(t) != fleet.CarriedOut {
 				return
 			}
@@ -380,9 +380,9 @@
 func (o *owner) sendRenew(x dispatch.Renew) {
 	w := o.world
 	m := w.byIncarnation[x.Worker]
-	sent, half, answered := w.now, w.setup.Times.Trip/2, false
+	sent, half, answered := w.now, w.setup.Times.RoundTrip/2, false
 	answer := func(v fleet.Verdict, rep fleet.Report, after time.Duration) {
-		w.Plan(after, func() {
+		w.Schedule(after, func() {
 			if answered {
 				return
 			}
@@ -407,7 +407,7 @@
 		// This timeout answers if the incarnation ends while the renewal waits
 		// there, because no other answer comes then.
 		answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
-		w.Plan(half, func() {
+		w.Schedule(half, func() {
 			if !c.isOpen() {
 				answer(fleet.Unknown, fleet.Report{}, half)
 				return
--- a/core/world/reborn_test.go
+++ b/core/world/reborn_test.go
@@ -83,6 +83,6 @@
 // simulateCrashesReborn runs one seed of TestLongCrashesReborn.
 func simulateCrashesReborn(t *testing.T, seed uint64, length time.Duration, d world.Delivery) *world.World {
 	kinds := []world.FaultKind{world.Reborn, world.KillOwner, world.Late, world.StoreSlow, world.Reborn, world.KillHosts, world.Drain}
-	tellStart := func(s *world.Setup) { s.TellStart, s.Delivery = true, d }
+	tellStart := func(s *world.Setup) { s.ReportStart, s.Delivery = true, d }
 	return simulateSite(t, seed, kinds, crashingJobs(seed, "reborn"), length, tellStart)
 }
--- a/core/world/run.go
+++ b/core/world/run.go
@@ -41,7 +41,7 @@
 func (m *machine) addRun(s *submittedJob, o dispatch.Start, need job.Resources) {
 	w := m.world
 	at, _ := s.Spec.Index(o.Task)
-	r := &run{machine: m, job: s, step: &s.Spec.Steps[o.Task.Step], task: o.Task, number: o.Run, need: need, totalWork: s.Takes[at]}
+	r := &run{machine: m, job: s, step: &s.Spec.Steps[o.Task.Step], task: o.Task, number: o.Run, need: need, totalWork: s.RunTimes[at]}
 	if r.step.Checkpointing && o.Checkpoint != "" {
 		if d, err := time.ParseDuration(o.Checkpoint); err == nil {
 			r.savedWork = d
@@ -55,7 +55,7 @@
 	s.noteStart(w.now)
 	w.tally.Starts++
 	if s.CrashAfter > 0 && at == 0 {
-		w.Plan(s.CrashAfter, r.crash)
+		w.Schedule(s.CrashAfter, r.crash)
 	}
 	if r.step.Gang {
 		w.joinGang(r)
@@ -71,7 +71,7 @@
 	if now < r.machine.slowUntil {
 		r.speed /= r.machine.slowBy
 	}
-	if far := r.machine.world.setup.Far; far > 0 && r.crossesRacks() {
+	if far := r.machine.world.setup.CrossRackSlowdown; far > 0 && r.crossesRacks() {
 		r.speed /= far
 	}
 	if r.step.LongRunning {
@@ -101,21 +101,21 @@
 	if r.savedWork == 0 {
 		return 0
 	}
-	return r.machine.world.setup.Times.Restore
+	return r.machine.world.setup.Times.RestoreTime
 }
 
 // scheduleEnd schedules the end of the run after a time, or an earlier failure.
 func (r *run) scheduleEnd(after time.Duration) {
 	w := r.machine.world
 	how := fleet.EndDone
-	if w.draw("fail", r.task, r.number) < r.job.FailShare {
+	if w.draw("fail", r.task, r.number) < r.job.FailProbability {
 		how, after = fleet.EndFailed, scale(after, w.draw("when", r.task, r.number))
 	}
 	if w.now < r.machine.failsUntil {
 		how, after = fleet.EndFailed, min(after, quickFailTime)
 	}
 	r.dueAt = w.now.Add(after)
-	w.Plan(after, func() { r.endWhenDue(how) })
+	w.Schedule(after, func() { r.endWhenDue(how) })
 }
 
 // endWhenDue ends the run as scheduled, or defers the end by the time for which
@@ -135,7 +135,7 @@
 	}
 	switch {
 	case deferral > 0:
-		r.machine.world.Plan(deferral, func() { r.endWhenDue(how) })
+		r.machine.world.Schedule(deferral, func() { r.endWhenDue(how) })
 	case how == fleet.EndDone && r.gang != nil:
 		r.gang.finishAll()
 	default:
@@ -156,7 +156,7 @@
 
 // checkpoint returns the newest checkpoint, or "" if there is none.
 func (r *run) checkpoint() string {
-	every := r.machine.world.setup.SaveEvery
+	every := r.machine.world.setup.CheckpointInterval
 	if !r.step.Checkpointing || every == 0 {
 		return ""
 	}
@@ -205,11 +205,11 @@
 	w := r.machine.world
 	switch {
 	case r.stopping:
-	case w.setup.Times.Stop == 0:
+	case w.setup.Times.StopTime == 0:
 		r.finish(fleet.EndStopped)
 	default:
 		r.stopping = true
-		w.Plan(w.setup.Times.Stop, func() {
+		w.Schedule(w.setup.Times.StopTime, func() {
 			if !r.ended {
 				r.finish(fleet.EndStopped)
 			}
@@ -235,10 +235,10 @@
 	r.job.historyOf(r.task).crashes++
 	r.machine.world.tally.Crashes++
 	next := newID
-	if r.job.Reborn {
+	if r.job.SameName {
 		next = sameID
 	}
-	r.machine.endIncarnation(r.machine.world.setup.Times.Restart, next)
+	r.machine.endIncarnation(r.machine.world.setup.Times.RestartDelay, next)
 }
 
 // release releases the run's resources and counts the work that is useful or
@@ -260,7 +260,7 @@
 		return
 	}
 	keptWork := time.Duration(0)
-	if every := w.setup.SaveEvery; r.step.Checkpointing && every > 0 {
+	if every := w.setup.CheckpointInterval; r.step.Checkpointing && every > 0 {
 		keptWork = r.workDone().Truncate(every)
 	}
 	if r.workStart != 0 {
--- a/core/world/script_test.go
+++ b/core/world/script_test.go
@@ -77,8 +77,8 @@
 	case "job":
 		p.must(p.w.Submit(newJob(f[1], o)))
 	case "strike":
-		p.must(p.w.Strike(world.Fault{
-			Kind: world.FaultKind(f[1]), Share: o.number("share", 1), Lasts: o.duration("lasts", 0), Factor: o.number("factor", 1),
+		p.must(p.w.Inject(world.Fault{
+			Kind: world.FaultKind(f[1]), Share: o.number("share", 1), Duration: o.duration("lasts", 0), Factor: o.number("factor", 1),
 		}))
 	case "run":
 		d, err := time.ParseDuration(f[1])
@@ -93,7 +93,7 @@
 		}
 		p.checkBounds(int(v.Int()), o)
 	case "decided":
-		p.checkBounds(p.w.Decided(dispatch.Event(f[1])), o)
+		p.checkBounds(p.w.EventCount(dispatch.Event(f[1])), o)
 	case "violations":
 		if got := p.w.Violations(); strconv.Itoa(len(got)) != f[1] {
 			p.t.Errorf("%s: %q", p.line, got)
@@ -120,8 +120,8 @@
 // checkState compares a job's outcome.
 func (p *scriptRunner) checkState(name string, want world.State, by time.Duration) {
 	for _, o := range p.w.Outcomes() {
-		if o.Name == id.Job(name) && (o.State != want || o.Took > by) {
-			p.t.Errorf("%s: %s after %s", p.line, o.State, o.Took)
+		if o.Name == id.Job(name) && (o.State != want || o.CompletionTime > by) {
+			p.t.Errorf("%s: %s after %s", p.line, o.State, o.CompletionTime)
 		}
 	}
 }
@@ -129,8 +129,8 @@
 // newWorld creates the World.
 func (p *scriptRunner) newWorld(o args) {
 	s := setup(int(o.number("workers", 8)), int(o.number("hosts", 1)), o.number("cores", 1))
-	s.Times.Drift, s.Times.Stop = o.number("drift", 0), o.duration("stop", 0)
-	s.TellStart = p.tellStart
+	s.Times.MaxDrift, s.Times.StopTime = o.number("drift", 0), o.duration("stop", 0)
+	s.ReportStart = p.tellStart
 	s.Costs = world.Costs{Pass: o.duration("pass", 0), Order: o.duration("order", 0)}
 	for i := range s.Workers {
 		s.Workers[i].Speed = o.number("speed", 1)
@@ -152,15 +152,15 @@
 // setup returns a site of workers with 8 accelerators each, 4 to a rack.
 func setup(workers, hosts int, cores float64) world.Setup {
 	s := world.Setup{
-		Make: func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
+		NewDispatcher: func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
 			return dispatch.New(config, policy.New(), e, t)
 		},
-		SaveEvery: config.CheckpointInterval, Seed: 7,
+		CheckpointInterval: config.CheckpointInterval, Seed: 7,
 		Times: world.Times{
-			Trip: 4 * time.Millisecond, Append: 8 * time.Millisecond, AppendGap: time.Millisecond, Read: 5 * time.Millisecond,
-			Timeout: 800 * time.Millisecond, PassEvery: 5 * time.Millisecond, IdleEvery: 200 * time.Millisecond, PassShare: 3,
-			Listing: 800 * time.Millisecond, Whole: 3 * time.Second, Look: 500 * time.Millisecond, MemberTTL: time.Second,
-			Restart: 3 * time.Second, MaxLease: config.MaxLease,
+			RoundTrip: 4 * time.Millisecond, Append: 8 * time.Millisecond, AppendGap: time.Millisecond, ReadDelay: 5 * time.Millisecond,
+			Timeout: 800 * time.Millisecond, MinPassInterval: 5 * time.Millisecond, MaxPassInterval: 200 * time.Millisecond, EventTimeFactor: 3,
+			ListingDelay: 800 * time.Millisecond, GangTimeout: 3 * time.Second, GroupPoll: 500 * time.Millisecond, MemberTTL: time.Second,
+			RestartDelay: 3 * time.Second, MaxLease: config.MaxLease,
 		},
 	}
 	for i := range hosts {
@@ -184,20 +184,20 @@
 		MaxPerWorker: int(o.number("apart", 0)),
 	}
 	j := world.Job{
-		Name: id.Job(name), FailShare: o.number("fails", 0), CancelAfter: o.duration("cancel", 0), Kind: "k",
+		Name: id.Job(name), FailProbability: o.number("fails", 0), CancelAfter: o.duration("cancel", 0), Kind: "k",
 		Spec: job.Spec{
 			Customer: "c", Queue: "q", Service: "svc", Priority: int(o.number("priority", 1)), MaxAttempts: int(o.number("attempts", 3)),
 			DeadlineFactor: 3, DeadlineExtra: time.Second, Steps: []job.Step{step},
 		},
 	}
-	j.CrashAfter, j.Reborn = o.duration("crashes", 0), o.has("reborn")
+	j.CrashAfter, j.SameName = o.duration("crashes", 0), o.has("reborn")
 	if o.has("twosteps") {
 		second := step
 		second.DependsOn = []int{0}
 		j.Spec.Steps = append(j.Spec.Steps, second)
 	}
 	for range j.Spec.TasksPerRound() {
-		j.Takes = append(j.Takes, takes)
+		j.RunTimes = append(j.RunTimes, takes)
 	}
 	return j
 }
--- a/core/world/setup.go
+++ b/core/world/setup.go
@@ -10,34 +10,34 @@
 	"curlewsill.org/curlewsill/core/jobtable"
 )
 
-// Maker returns the dispatcher of a new owner.
-type Maker func(id.Epoch, *jobtable.Table) *dispatch.Dispatcher
+// DispatcherFactory returns the dispatcher of a new owner.
+type DispatcherFactory func(id.Epoch, *jobtable.Table) *dispatch.Dispatcher
 
 // Setup is the initial configuration of a World.
 type Setup struct {
-	// Make is called for each new owner.
-	Make    Maker
-	Workers []Worker
+	// NewDispatcher is called for each new owner.
+	NewDispatcher DispatcherFactory
+	Workers       []Worker
 	// Hosts holds at least one host. The first one is the owner at the
 	// beginning.
 	Hosts      []Host
 	Guarantees []Guarantee
 	Costs      Costs
 	Times      Times
-	// SaveEvery is the amount of work between two checkpoints of a task that
+	// CheckpointInterval is the amount of work between two checkpoints of a task that
 	// saves checkpoints.
-	SaveEvery time.Duration
-	// Far is the factor by which a task is slower when it runs outside the rack
+	CheckpointInterval time.Duration
+	// CrossRackSlowdown is the factor by which a task is slower when it runs outside the rack
 	// of its data, or in a gang that asks for one rack and spans several. 0
 	// stands for 1.
-	Far float64
-	// Evacuation is how long after the operator has evacuated a failure domain
+	CrossRackSlowdown float64
+	// EvacuationBound is how long after the operator has evacuated a failure domain
 	// a task may still start there. The dispatchers that Make returns are
 	// configured with the same bound. 0 disables evacuations.
-	Evacuation time.Duration
-	// TellStart lets workers report when their incarnations started, so that a
+	EvacuationBound time.Duration
+	// ReportStart lets workers report when their incarnations started, so that a
 	// worker may restart under the name that it had.
-	TellStart bool
+	ReportStart bool
 	// Delivery says where a late order waits until it is executed. This matters
 	// when a worker restarts under its name.
 	Delivery Delivery
@@ -120,46 +120,46 @@
 
 // Times holds delays and periods other than the owner's processor time.
 type Times struct {
-	// Trip is the round-trip time of an order and its answer.
-	Trip time.Duration
-	// Gap is the time for which each order occupies the owner's network link.
+	// RoundTrip is the round-trip time of an order and its answer.
+	RoundTrip time.Duration
+	// LinkTime is the time for which each order occupies the owner's network link.
 	// Orders leave one after the other.
-	Gap time.Duration
+	LinkTime time.Duration
 	// Append is the duration of an append. During its first part, AppendGap,
 	// the store begins no other append.
 	Append, AppendGap time.Duration
-	// Read is the delay until hosts have read a new record. Poll is the period
+	// ReadDelay is the delay until hosts have read a new record. Poll is the period
 	// at which the owner reads the operator's records.
-	Read, Poll time.Duration
+	ReadDelay, OperatorPoll time.Duration
 	// Timeout is how long the owner waits for an answer.
 	Timeout time.Duration
-	// PassEvery and IdleEvery are the minimum and the maximum time between two
+	// MinPassInterval and IdleEvery are the minimum and the maximum time between two
 	// scheduling passes.
-	PassEvery, IdleEvery time.Duration
-	// PassShare times the duration of a pass is how long events are processed
+	MinPassInterval, MaxPassInterval time.Duration
+	// EventTimeFactor times the duration of a pass is how long events are processed
 	// before the next pass.
-	PassShare float64
-	// Listing is the delay until the owner learns of a change of the list of
+	EventTimeFactor float64
+	// ListingDelay is the delay until the owner learns of a change of the list of
 	// workers.
-	Listing time.Duration
-	// Whole is how long the members of a gang wait for the other members.
-	Whole time.Duration
-	// Stop is how long a task holds its resources after a stop order. Restore
+	ListingDelay time.Duration
+	// GangTimeout is how long the members of a gang wait for the other members.
+	GangTimeout time.Duration
+	// StopTime is how long a task holds its resources after a stop order. Restore
 	// is how long a task takes to resume from a checkpoint.
-	Stop, Restore time.Duration
+	StopTime, RestoreTime time.Duration
 	// MaxLease is the longest lease that a worker accepts; 0 for no bound. The
 	// bound only matters when an incarnation executes an order whose lease was
 	// computed from the clock of another incarnation.
 	MaxLease time.Duration
-	// Restart is how long a worker is down after a task has crashed it.
-	Restart time.Duration
-	// Look is the period at which a host polls the group of hosts. MemberTTL is
+	// RestartDelay is how long a worker is down after a task has crashed it.
+	RestartDelay time.Duration
+	// GroupPoll is the period at which a host polls the group of hosts. MemberTTL is
 	// how long the store still lists a host, and the list of workers a worker,
 	// that is down or can't be reached.
-	Look, MemberTTL time.Duration
-	// Drift is the maximum part by which a worker's clock is slow, from 0 to
+	GroupPoll, MemberTTL time.Duration
+	// MaxDrift is the maximum part by which a worker's clock is slow, from 0 to
 	// 0.02.
-	Drift float64
+	MaxDrift float64
 }
 
 // Job is a job as a customer submits it.
@@ -167,18 +167,18 @@
 	Name id.Job
 	// Spec has no time of acceptance yet.
 	Spec job.Spec
-	// Takes holds the real run time of each task on a worker of speed 1, in the
+	// RunTimes holds the real run time of each task on a worker of speed 1, in the
 	// order of rounds, steps and indexes.
-	Takes []time.Duration
-	// FailShare is the probability that a run fails; 1 for a job that can't
+	RunTimes []time.Duration
+	// FailProbability is the probability that a run fails; 1 for a job that can't
 	// complete.
-	FailShare float64
+	FailProbability float64
 	// CrashAfter is how long after its start each run of the job's first task
 	// crashes its worker; 0 for a job that crashes no worker.
 	CrashAfter time.Duration
-	// Reborn lets the workers that the job crashes restart under the names that
+	// SameName lets the workers that the job crashes restart under the names that
 	// they had.
-	Reborn bool
+	SameName bool
 	// CancelAfter is how long after the submission the customer cancels the
 	// job; 0 for never.
 	CancelAfter time.Duration
--- a/core/world/storm_test.go
+++ b/core/world/storm_test.go
@@ -128,7 +128,7 @@
 		w.Run(time.Duration(100+random.IntN(200)) * time.Millisecond)
 		if w.Now() >= storm {
 			storm = storm.Add(c.period)
-			if err := w.Strike(world.Fault{Kind: world.Kill, Share: c.share, Lasts: 3 * time.Second}); err != nil {
+			if err := w.Inject(world.Fault{Kind: world.Kill, Share: c.share, Duration: 3 * time.Second}); err != nil {
 				t.Error(err)
 			}
 		}
@@ -142,15 +142,15 @@
 	out := stormTally{crashes: w.Tally().Crashes, violations: w.Tally().Violations}
 	for _, o := range w.Outcomes() {
 		switch {
-		case o.Crashes:
+		case o.CrashesWorkers:
 			out.crashing++
 		default:
 			out.jobs++
 		}
-		if !o.Crashes && o.State == world.Failed {
+		if !o.CrashesWorkers && o.State == world.Failed {
 			out.wronglyFailed++
 		}
-		if !o.Crashes && o.State == world.Completed {
+		if !o.CrashesWorkers && o.State == world.Completed {
 			out.completed++
 		}
 	}
--- a/core/world/tally.go
+++ b/core/world/tally.go
@@ -58,17 +58,17 @@
 	// At is the time of the submission since the beginning. Started is the time
 	// from the submission to the start of the first run, and Took that to the
 	// outcome; 0 while there is none.
-	At, Started, Took time.Duration
+	At, StartDelay, CompletionTime time.Duration
 	// Chain is the work of the longest chain of dependent steps, on workers of
 	// speed 1.
 	Chain time.Duration
 	// Work is the total work of the tasks in core-seconds.
 	Work float64
-	// Fails is the probability that a run fails.
-	Fails float64
-	// Crashes is set if the job's first task crashes each worker that starts
+	// FailProbability is the probability that a run fails.
+	FailProbability float64
+	// CrashesWorkers is set if the job's first task crashes each worker that starts
 	// it.
-	Crashes bool
+	CrashesWorkers bool
 }
 
 // Outcomes returns the outcomes of the jobs in the order of their submission.
@@ -76,14 +76,14 @@
 	out := make([]Outcome, 0, len(w.submissions))
 	for _, s := range w.submissions {
 		o := Outcome{
-			Name: s.Name, Kind: s.Kind, State: s.state, At: s.submittedAt.Sub(Begin), Work: s.totalWork(), Chain: s.longestChain(), Fails: s.FailShare,
-			Crashes: s.CrashAfter > 0,
+			Name: s.Name, Kind: s.Kind, State: s.state, At: s.submittedAt.Sub(Begin), Work: s.totalWork(), Chain: s.longestChain(), FailProbability: s.FailProbability,
+			CrashesWorkers: s.CrashAfter > 0,
 		}
 		if s.startedAt != 0 {
-			o.Started = s.startedAt.Sub(s.submittedAt)
+			o.StartDelay = s.startedAt.Sub(s.submittedAt)
 		}
 		if s.endedAt != 0 {
-			o.Took = s.endedAt.Sub(s.submittedAt)
+			o.CompletionTime = s.endedAt.Sub(s.submittedAt)
 		}
 		out = append(out, o)
 	}
@@ -97,7 +97,7 @@
 		for i := range s.Spec.Steps {
 			step := &s.Spec.Steps[i]
 			for range step.Count {
-				total += coreWeight(step.Need) * s.Takes[at].Seconds()
+				total += coreWeight(step.Need) * s.RunTimes[at].Seconds()
 				at++
 			}
 		}
@@ -116,7 +116,7 @@
 		for _, dep := range step.DependsOn {
 			depsEnd = max(depsEnd, ends[dep])
 		}
-		ends[i] = depsEnd + slices.Max(s.Takes[at:at+step.Count])
+		ends[i] = depsEnd + slices.Max(s.RunTimes[at:at+step.Count])
 		at += step.Count
 	}
 	return slices.Max(ends)
@@ -135,11 +135,11 @@
 	Useful, Wasted float64
 	// Passes counts the owners' scheduling passes, Claims the changes of owner.
 	Passes, Claims int
-	// Owned is the processor time of the owners' work on whole cores, OwnedTime
+	// OwnerCPUTime is the processor time of the owners' work on whole cores, OwnedTime
 	// how long the owners' processors were busy, and LongestWait the longest
 	// time for which a work item waited for the processor.
-	Owned, OwnedTime, LongestWait time.Duration
-	Violations                    int
+	OwnerCPUTime, OwnerBusyTime, LongestWait time.Duration
+	Violations                               int
 }
 
 // count counts the end of a run.
@@ -166,23 +166,23 @@
 // Tally returns the counters.
 func (w *World) Tally() Tally { return w.tally }
 
-// DoneOf returns how many tasks of a job have ended with success.
-func (w *World) DoneOf(name id.Job) int {
+// CompletedTasks returns how many tasks of a job have ended with success.
+func (w *World) CompletedTasks(name id.Job) int {
 	if s := w.jobs[name]; s != nil {
 		return s.doneTasks
 	}
 	return 0
 }
 
-// Decided returns how often the owners noted an event.
-func (w *World) Decided(e dispatch.Event) int { return w.events[e] }
+// EventCount returns how often the owners noted an event.
+func (w *World) EventCount(e dispatch.Event) int { return w.events[e] }
 
 // Sample is a snapshot of the site.
 type Sample struct {
 	// At is the time since the beginning.
 	At time.Duration
-	// Use is the share of the accelerators of running workers that runs hold.
-	Use float64
+	// Utilization is the share of the accelerators of running workers that runs hold.
+	Utilization float64
 	// Fragmentation is the share of the free accelerators that are on partly
 	// used workers, where no task can use them that needs a whole worker. It is
 	// 0 if none is free.
@@ -207,7 +207,7 @@
 	}
 	s := Sample{At: w.now.Sub(Begin), Waiting: w.openTasks() - w.running()}
 	if total > 0 {
-		s.Use = 1 - float64(free)/float64(total)
+		s.Utilization = 1 - float64(free)/float64(total)
 	}
 	if free > 0 {
 		s.Fragmentation = float64(stranded) / float64(free)
@@ -224,7 +224,7 @@
 			continue
 		}
 		open = append(open, s)
-		n += len(s.Takes) - s.doneTasks
+		n += len(s.RunTimes) - s.doneTasks
 	}
 	w.openJobs = open
 	return n
--- a/core/world/world.go
+++ b/core/world/world.go
@@ -68,7 +68,7 @@
 // New returns a World in which all workers are idle and the first host is the
 // owner.
 func New(s Setup) (*World, error) {
-	if len(s.Workers) == 0 || len(s.Hosts) == 0 || s.Make == nil {
+	if len(s.Workers) == 0 || len(s.Hosts) == 0 || s.NewDispatcher == nil {
 		return nil, ErrSetup
 	}
 	w := &World{
@@ -108,8 +108,8 @@
 // Now returns the current virtual time.
 func (w *World) Now() unit.Instant { return w.now }
 
-// Plan schedules a function after a delay.
-func (w *World) Plan(after time.Duration, do func()) { w.agenda.Plan(w.now.Add(after), do) }
+// Schedule schedules a function after a delay.
+func (w *World) Schedule(after time.Duration, do func()) { w.agenda.Plan(w.now.Add(after), do) }
 
 // Run advances the virtual time by d and runs what is scheduled until then.
 func (w *World) Run(d time.Duration) {
@@ -138,7 +138,7 @@
 // Submit submits a job. It returns ErrNeverFits, and counts the job as refused,
 // if one of its steps doesn't fit even on the empty site.
 func (w *World) Submit(j Job) error {
-	if len(j.Takes) != j.Spec.RoundCount()*j.Spec.TasksPerRound() || len(j.Takes) == 0 || w.jobs[j.Name] != nil {
+	if len(j.RunTimes) != j.Spec.RoundCount()*j.Spec.TasksPerRound() || len(j.RunTimes) == 0 || w.jobs[j.Name] != nil {
 		return fmt.Errorf("%w: %s", ErrJob, j.Name)
 	}
 	s := &submittedJob{Job: j, submittedAt: w.now, state: Open, histories: map[job.TaskID]*taskHistory{}}
@@ -159,7 +159,7 @@
 	}
 	w.store.append(jobsLog, 0, []jobtable.Record{r}, func(bool) { w.notifyOwner(j.Name) })
 	if j.CancelAfter > 0 {
-		w.Plan(j.CancelAfter, func() { w.cancel(s) })
+		w.Schedule(j.CancelAfter, func() { w.cancel(s) })
 	}
 	return nil
 }
@@ -182,7 +182,7 @@
 // notifyOwner lets the owner read the stored record of a job after the read
 // delay. An owner that takes over later reads it when it begins.
 func (w *World) notifyOwner(name id.Job) {
-	w.Plan(w.setup.Times.Read, func() {
+	w.Schedule(w.setup.Times.ReadDelay, func() {
 		if w.owner != nil {
 			w.owner.enqueueEvent(func(o *owner) { o.loadJob(name) })
 		}
--- a/internal/experiment/arrive/arrive.go
+++ b/internal/experiment/arrive/arrive.go
@@ -142,14 +142,14 @@
 func (g *generator) job(n int) world.Job {
 	k := g.kind
 	j := world.Job{
-		Name: id.Job(fmt.Sprintf("%s-%06d", k.Name, n)), Kind: k.Name, FailShare: k.Fails,
+		Name: id.Job(fmt.Sprintf("%s-%06d", k.Name, n)), Kind: k.Name, FailProbability: k.Fails,
 		Spec: job.Spec{
 			Customer: k.Customers[g.random.IntN(len(k.Customers))], Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority,
 			MaxAttempts: k.Attempts, DeadlineFactor: k.Stretch, DeadlineExtra: k.Target,
 		},
 	}
 	if g.chance(k.Hopeless) {
-		j.FailShare = 1
+		j.FailProbability = 1
 	}
 	if g.crashRandom.Float64() < k.Crashes {
 		j.CrashAfter = k.CrashAfter
@@ -166,7 +166,7 @@
 		g.addStep(&j, step)
 	}
 	if g.chance(k.Cancelled) {
-		j.CancelAfter = time.Duration(g.random.Float64() * float64(j.Takes[0]+k.Target))
+		j.CancelAfter = time.Duration(g.random.Float64() * float64(j.RunTimes[0]+k.Target))
 	}
 	return j
 }
@@ -194,7 +194,7 @@
 	estimate := run * k.EstimateFactor * g.draw(setup.Draw{Mean: 1, Spread: k.EstimateSpread, Most: math.Inf(1)})
 	s.Estimate = max(time.Millisecond, seconds(estimate))
 	for range s.Count {
-		j.Takes = append(j.Takes, max(time.Millisecond, seconds(run*(1+k.Uneven*(2*g.random.Float64()-1)))))
+		j.RunTimes = append(j.RunTimes, max(time.Millisecond, seconds(run*(1+k.Uneven*(2*g.random.Float64()-1)))))
 	}
 	j.Spec.Steps = append(j.Spec.Steps, s)
 }
--- a/internal/experiment/arrive/arrive_test.go
+++ b/internal/experiment/arrive/arrive_test.go
@@ -46,8 +46,8 @@
 			gangs++
 		}
 		tasks += float64(step.Count)
-		run += e.Job.Takes[0]
-		if step.Count > 12 || step.Count < 1 || e.Job.Takes[0] > 8*time.Second || len(e.Job.Takes) != step.Count {
+		run += e.Job.RunTimes[0]
+		if step.Count > 12 || step.Count < 1 || e.Job.RunTimes[0] > 8*time.Second || len(e.Job.RunTimes) != step.Count {
 			t.Errorf("%+v", e.Job)
 		}
 	}
@@ -97,7 +97,7 @@
 	if one := a.Spec.Steps[0]; one.Count != 1 || one.Gang || one.Need.Accelerators != 3 || one.Estimate != time.Second || a.Kind != "k" {
 		t.Errorf("%+v", a)
 	}
-	if gang := b.Spec.Steps[0]; gang.Count != 3 || !gang.Gang || gang.Need.Accelerators != 8 || b.FailShare != 1 || b.Kind != "urgent" {
+	if gang := b.Spec.Steps[0]; gang.Count != 3 || !gang.Gang || gang.Need.Accelerators != 8 || b.FailProbability != 1 || b.Kind != "urgent" {
 		t.Errorf("%+v", b)
 	}
 	if events[2].Cancel != "a" || events[3].Down != "r-w0" || events[4].Up != "r-w0" {
--- a/internal/experiment/arrive/trace.go
+++ b/internal/experiment/arrive/trace.go
@@ -49,17 +49,17 @@
 		Need: job.Resources{CPU: k.Cores, Memory: k.Memory, Accelerators: min(e.Accelerators, perTask)},
 	}
 	j := &world.Job{
-		Name: e.Job, Kind: k.Name, FailShare: k.Fails,
+		Name: e.Job, Kind: k.Name, FailProbability: k.Fails,
 		Spec: job.Spec{
 			Customer: e.Customer, Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority, MaxAttempts: k.Attempts,
 			DeadlineFactor: k.Stretch, DeadlineExtra: k.Target, Steps: []job.Step{step},
 		},
 	}
 	if e.Bad {
-		j.FailShare = 1
+		j.FailProbability = 1
 	}
 	for range count {
-		j.Takes = append(j.Takes, max(time.Millisecond, e.Run))
+		j.RunTimes = append(j.RunTimes, max(time.Millisecond, e.Run))
 	}
 	return j
 }
--- a/internal/experiment/chart/chart.go
+++ b/internal/experiment/chart/chart.go
@@ -47,7 +47,7 @@
 		name, label string
 		value       func(world.Sample) float64
 	}{
-		{"use", "share of accelerators", func(s world.Sample) float64 { return s.Use }},
+		{"use", "share of accelerators", func(s world.Sample) float64 { return s.Utilization }},
 		{"fragmentation", "share of free accelerators", func(s world.Sample) float64 { return s.Fragmentation }},
 		{"waiting", "tasks", func(s world.Sample) float64 { return float64(s.Waiting) }},
 	} {
--- a/internal/experiment/chart/chart_test.go
+++ b/internal/experiment/chart/chart_test.go
@@ -64,5 +64,5 @@
 }
 
 func samples() []world.Sample {
-	return []world.Sample{{At: time.Second, Use: 0.5}, {At: 2 * time.Second, Use: 0.7, Fragmentation: 0.2, Waiting: 4}}
+	return []world.Sample{{At: time.Second, Utilization: 0.5}, {At: 2 * time.Second, Utilization: 0.7, Fragmentation: 0.2, Waiting: 4}}
 }
--- a/internal/experiment/play/earn.go
+++ b/internal/experiment/play/earn.go
@@ -89,12 +89,12 @@
 		k.out.Failed++
 	case world.Completed:
 		k.out.Completed++
-		k.out.Took = append(k.out.Took, o.Took.Seconds())
+		k.out.Took = append(k.out.Took, o.CompletionTime.Seconds())
 	}
-	if o.Started > 0 {
-		k.startDelays = append(k.startDelays, o.Started.Seconds())
+	if o.StartDelay > 0 {
+		k.startDelays = append(k.startDelays, o.StartDelay.Seconds())
 	}
-	if o.Crashes {
+	if o.CrashesWorkers {
 		return
 	}
 	weight := minWeight + (1-minWeight)*o.Work/k.meanWork
@@ -107,12 +107,12 @@
 // it took. A job whose runs always fail earns its worth by ending as failed.
 // worth also counts the job as in time or late.
 func (k *kindScore) worth(o world.Outcome) float64 {
-	done := o.State == world.Completed || o.State == world.Failed && o.Fails >= 1
+	done := o.State == world.Completed || o.State == world.Failed && o.FailProbability >= 1
 	allowed := time.Duration(k.kind.Stretch*float64(o.Chain)) + k.kind.Target
 	switch {
-	case !done || o.Took > lateFactor*allowed:
+	case !done || o.CompletionTime > lateFactor*allowed:
 		return 0
-	case o.Took > allowed:
+	case o.CompletionTime > allowed:
 		k.out.Late++
 		return k.kind.LateWorth
 	}
--- a/internal/experiment/play/play.go
+++ b/internal/experiment/play/play.go
@@ -32,7 +32,7 @@
 		length = max(length, events[n-1].At)
 	}
 	for _, e := range events {
-		w.Plan(e.At, func() {
+		w.Schedule(e.At, func() {
 			if err := apply(w, e); err != nil && !errors.Is(err, world.ErrNeverFits) {
 				out.Violations = append(out.Violations, err.Error())
 			}
@@ -64,7 +64,7 @@
 			out.Hosts[i].Cores = p.Cores
 		}
 	}
-	out.Make = func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
+	out.NewDispatcher = func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
 		return dispatch.New(bounds, p.Switches, e, t)
 	}
 	return out
@@ -77,13 +77,13 @@
 	case e.Job != nil:
 		return w.Submit(*e.Job)
 	case e.Fault != nil:
-		return w.Strike(*e.Fault)
+		return w.Inject(*e.Fault)
 	case e.Cancel != "":
 		w.Cancel(e.Cancel)
 	case e.Down != "":
-		w.Down(e.Down)
+		w.StopWorker(e.Down)
 	case e.Up != "":
-		w.Up(e.Up)
+		w.StartWorker(e.Up)
 	default:
 		return fmt.Errorf("play: %w", errEmptyEvent)
 	}
@@ -101,7 +101,7 @@
 	out.Starts, out.Stopped, out.Broken, out.Lapsed = t.Starts, t.Stopped, t.Broken, t.Lapsed
 	out.Crashes = t.Crashes
 	out.Passes, out.Claims, out.OwnerWait = t.Passes, t.Claims, t.LongestWait.Seconds()
-	out.OwnerBusy = t.OwnedTime.Seconds() / w.Now().Sub(world.Begin).Seconds()
+	out.OwnerBusy = t.OwnerBusyTime.Seconds() / w.Now().Sub(world.Begin).Seconds()
 	if all := t.Useful + t.Wasted; all > 0 {
 		out.Wasted = t.Wasted / all
 	}
@@ -111,7 +111,7 @@
 		if sample.At > length {
 			break
 		}
-		out.Use += sample.Use
+		out.Use += sample.Utilization
 		out.Fragmentation += sample.Fragmentation
 		n++
 	}
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -194,8 +194,8 @@
 	p := f.Section("prices")
 	s.Prices = Prices{Waste: p.Number("waste", 0, 0, maxFactor), Start: p.Number("start", 0, 0, maxFactor)}
 	s.World = readWorld(f, c)
-	s.World.SaveEvery = s.Bounds.CheckpointInterval
-	s.World.Times.Stop = f.Section("workers").Duration("stop", s.Bounds.StopTime, 0, time.Minute)
+	s.World.CheckpointInterval = s.Bounds.CheckpointInterval
+	s.World.Times.StopTime = f.Section("workers").Duration("stop", s.Bounds.StopTime, 0, time.Minute)
 	for _, k := range f.Sections("kind") {
 		s.Kinds = append(s.Kinds, readKind(k, c))
 	}
@@ -209,12 +209,12 @@
 		return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == kind })
 	}
 	if hasFault(world.Evacuate) {
-		s.World.Evacuation = s.Bounds.EvacuationLimit
+		s.World.EvacuationBound = s.Bounds.EvacuationLimit
 	} else {
 		s.Bounds.EvacuationLimit = 0 // without such faults, no operator evacuates failure domains
 	}
 	if hasFault(world.Reborn) {
-		s.World.TellStart, s.World.Times.MaxLease = true, s.Bounds.MaxLease
+		s.World.ReportStart, s.World.Times.MaxLease = true, s.Bounds.MaxLease
 	}
 	s.Policies = readPolicies(f)
 	if len(s.Kinds) == 0 {
@@ -290,7 +290,7 @@
 		At: x.Duration("at", 0, 0, maxTime),
 		Fault: world.Fault{
 			Kind: world.FaultKind(x.OneOf("kind", kinds...)), Share: x.Number("share", 0.1, 0, 1),
-			Lasts: x.Duration("lasts", time.Second, 0, maxTime), Factor: x.Number("factor", 1, 0, maxFactor),
+			Duration: x.Duration("lasts", time.Second, 0, maxTime), Factor: x.Number("factor", 1, 0, maxFactor),
 		},
 	}
 }
