--- a/internal/entry/front.go
+++ b/internal/entry/front.go
@@ -114,7 +114,7 @@
 
 // callTimeout returns how long a call may take.
 func callTimeout(r *http.Request) time.Duration {
-	if t, ok := platform.TimeAllowed(r.Header); ok {
+	if t, ok := platform.ClientTimeout(r.Header); ok {
 		return t
 	}
 	return defaultCallTime
--- a/internal/entry/health.go
+++ b/internal/entry/health.go
@@ -74,7 +74,7 @@
 	began := h.inFlight[n]
 	delete(h.inFlight, n)
 	now := time.Now()
-	if errors.Is(err, platform.ErrUnknown) {
+	if errors.Is(err, platform.ErrNoAnswer) {
 		if h.unanswered == 0 {
 			h.unansweredSince = now
 		}
--- a/internal/entry/health_internal_test.go
+++ b/internal/entry/health_internal_test.go
@@ -16,7 +16,7 @@
 // pass, begin starts a call, and the other words end the oldest call in flight
 // with that result. The last word of a script is the expected health.
 func TestStoreHealth(t *testing.T) {
-	outcomes := map[string]error{"done": nil, "refused": fmt.Errorf("store: %w", platform.ErrNotDone), "unanswered": platform.ErrUnknown}
+	outcomes := map[string]error{"done": nil, "refused": fmt.Errorf("store: %w", platform.ErrNotDone), "unanswered": platform.ErrNoAnswer}
 	for _, script := range []string{
 		"well",
 		"begin 10ms done well",
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -82,8 +82,8 @@
 	deciding atomic.Bool
 	store    *platform.Store
 	workers  *platform.Workers
-	advice   *platform.Advice
-	machines *platform.Machines
+	advice   *platform.AdviceClient
+	machines *platform.MachineClient
 	// self is the name of this incarnation of the host.
 	self   id.Host
 	events *ring.Ring[event]
@@ -192,9 +192,9 @@
 		settings: s, log: log, metrics: m, self: self,
 		links: links, path: path, advicePath: advicePath,
 		store:    platform.NewStore(s.Store, &http.Client{Transport: path}),
-		workers:  platform.NewWorkers(platform.NewWorkerClient(workerConns, m.deadConnHandler(log, toWorkers)), log),
-		advice:   platform.NewAdvice(s.Advice, &http.Client{Transport: advicePath}, log),
-		machines: platform.NewMachines(s.Machines, s.Host, client(toMachines, machineConns), log),
+		workers:  platform.NewWorkers(platform.NewWorkerHTTPClient(workerConns, m.deadConnHandler(log, toWorkers)), log),
+		advice:   platform.NewAdviceClient(s.Advice, &http.Client{Transport: advicePath}, log),
+		machines: platform.NewMachineClient(s.Machines, s.Host, client(toMachines, machineConns), log),
 		events:   ring.New[event](events), stopped: make(chan struct{}),
 		table: jobtable.New(), waves: map[id.Wave]upkeep.Wave{}, election: election.New(election.Member{Host: self, Ability: ability(s)}), clock: clock,
 		others: map[id.Host]otherHost{}, watchers: watchers{}, counts: counts{}, wake: make(chan struct{}, 1),
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -181,7 +181,7 @@
 		if err == nil {
 			h.post(ctx, func(unit.Instant) { h.applyProgress(p.Records, at.next) })
 		}
-		if !errors.Is(err, platform.ErrForgotten) {
+		if !errors.Is(err, platform.ErrRecordsDropped) {
 			return err
 		}
 	}
--- a/internal/entry/tail.go
+++ b/internal/entry/tail.go
@@ -54,14 +54,14 @@
 		}
 		var err error
 		began, sentAt, atEnd := time.Now(), t.host.now(), false
-		readCtx := platform.WithPatience(ctx, max(1, t.patience))
+		readCtx := platform.WithReadTimeoutFactor(ctx, max(1, t.patience))
 		if loaded {
 			next, atEnd, err = t.read(readCtx, next)
 		} else {
 			next, err = t.load(readCtx)
 			loaded, atEnd = err == nil, err == nil
 		}
-		if errors.Is(err, platform.ErrForgotten) {
+		if errors.Is(err, platform.ErrRecordsDropped) {
 			loaded = false
 			continue
 		}
@@ -89,7 +89,7 @@
 	switch {
 	case err == nil:
 		t.patience = 1
-	case errors.Is(err, platform.ErrUnknown) && !t.host.health.hanging():
+	case errors.Is(err, platform.ErrNoAnswer) && !t.host.health.hanging():
 		t.patience = min(maxPatience, 2*max(1, t.patience))
 	}
 }
--- a/internal/entry/waves.go
+++ b/internal/entry/waves.go
@@ -84,7 +84,7 @@
 		case <-ctx.Done():
 			return
 		case r := <-o.reports.C():
-			rec, err := platform.ReportRecord(r)
+			rec, err := platform.WaveReportRecord(r)
 			if err != nil {
 				o.host.log.Error("report-failed", zap.Int("wave", int(r.Wave)), zap.Error(err))
 				continue
