--- a/cmd/curlewsill/cmd/replay.go
+++ b/cmd/curlewsill/cmd/replay.go
@@ -65,7 +65,7 @@
 	out := comparison{Policies: make([]replay.Result, len(names))}
 	var g errgroup.Group
 	for i, name := range names {
-		p, err := place.Named(name)
+		p, err := place.ByName(name)
 		if err != nil {
 			return out, fmt.Errorf("%w: %w", errUsage, err)
 		}
--- a/core/agenda/agenda.go
+++ b/core/agenda/agenda.go
@@ -19,8 +19,8 @@
 	event T
 }
 
-// Plan adds an event at the given time.
-func (a *Agenda[T]) Plan(at unit.Instant, event T) {
+// Add adds an event at the given time.
+func (a *Agenda[T]) Add(at unit.Instant, event T) {
 	a.seq++
 	a.items = append(a.items, item[T]{at: at, seq: a.seq, event: event})
 	for i := len(a.items) - 1; i > 0; {
@@ -41,9 +41,9 @@
 	return a.items[0].at, true
 }
 
-// Take removes and returns the earliest event and its time. The agenda must not
+// Pop removes and returns the earliest event and its time. The agenda must not
 // be empty.
-func (a *Agenda[T]) Take() (unit.Instant, T) {
+func (a *Agenda[T]) Pop() (unit.Instant, T) {
 	first, last := a.items[0], len(a.items)-1
 	a.items[0] = a.items[last]
 	a.items[last] = item[T]{}
--- a/core/agenda/agenda_test.go
+++ b/core/agenda/agenda_test.go
@@ -18,7 +18,7 @@
 	for n := range 5000 {
 		if at, ok := a.Next(); ok && random.IntN(3) == 0 {
 			slices.SortFunc(want, func(x, y [2]int) int { return slices.Compare(x[:], y[:]) })
-			got, event := a.Take()
+			got, event := a.Pop()
 			if got != at || [2]int{int(got), event} != want[0] {
 				t.Fatalf("took %d at %d, want %v", event, got, want[0])
 			}
@@ -26,7 +26,7 @@
 			continue
 		}
 		at := random.IntN(50)
-		a.Plan(unit.Instant(at), n)
+		a.Add(unit.Instant(at), n)
 		want = append(want, [2]int{at, n})
 	}
 	if _, ok := a.Next(); ok != (len(want) > 0) {
--- a/core/backlog/backlog.go
+++ b/core/backlog/backlog.go
@@ -25,12 +25,12 @@
 	Cores        int
 	Memory       unit.Bytes
 	Once, Urgent bool
-	// Length is the bit length of the declared running time in seconds, its
+	// DurationClass is the bit length of the declared running time in seconds, its
 	// order of magnitude in powers of two.
-	Length int
-	// Alone is the job's ID if the job has a group of its own, because it has
+	DurationClass int
+	// SoleJob is the job's ID if the job has a group of its own, because it has
 	// crashed on some workers; else empty.
-	Alone id.Job
+	SoleJob id.Job
 }
 
 // Group holds the waiting jobs of one class, oldest first.
@@ -38,16 +38,16 @@
 	Class Class
 	// Jobs is never empty while the group is in a backlog.
 	Jobs []record.Job
-	// Failed is the value of inventory.Inventory.Room at which the first job
+	// NoRoomAt is the value of inventory.Inventory.Room at which the first job
 	// couldn't be placed, plus one; 0 if none failed.
-	Failed uint64
-	// Checked is the offset of the configuration for which the class was last
+	NoRoomAt uint64
+	// RunnableAt is the offset of the configuration for which the class was last
 	// found able to run, plus one; 0 if none.
-	Checked id.Offset
+	RunnableAt id.Offset
 }
 
-// Head returns the oldest job.
-func (g *Group) Head() record.Job { return g.Jobs[0] }
+// Oldest returns the oldest job.
+func (g *Group) Oldest() record.Job { return g.Jobs[0] }
 
 // Backlog holds all waiting jobs. It is not safe for concurrent use.
 type Backlog struct {
@@ -77,10 +77,10 @@
 	}
 	c := Class{
 		Customer: j.Customer, Accelerators: j.Accelerators, Cores: j.Cores, Memory: j.Memory,
-		Once: j.Once, Urgent: j.Urgent, Length: bits.Len64(uint64(max(j.Declared, 0) / time.Second)),
+		Once: j.Once, Urgent: j.Urgent, DurationClass: bits.Len64(uint64(max(j.Declared, 0) / time.Second)),
 	}
 	if alone {
-		c.Alone = j.ID
+		c.SoleJob = j.ID
 	}
 	g := q.groups[c]
 	if g == nil {
@@ -90,7 +90,7 @@
 	at, _ := slices.BinarySearchFunc(g.Jobs, j, Older)
 	g.Jobs = slices.Insert(g.Jobs, at, j)
 	q.classOf[j.ID] = c
-	g.Failed = 0
+	g.NoRoomAt = 0
 }
 
 // Remove removes a job if it is in the backlog.
@@ -122,7 +122,7 @@
 			}
 			return 1
 		}
-		return Older(a.Head(), b.Head())
+		return Older(a.Oldest(), b.Oldest())
 	})
 	return out
 }
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -83,8 +83,8 @@
 	return &c
 }
 
-// Find returns the queue for a request's host name and path, or nil.
-func (c *Catalog) Find(host, path string) *Queue {
+// QueueFor returns the queue for a request's host name and path, or nil.
+func (c *Catalog) QueueFor(host, path string) *Queue {
 	var best *Queue
 	for i := range c.Queues {
 		q := &c.Queues[i]
@@ -95,9 +95,9 @@
 	return best
 }
 
-// Holder returns the customer to whom a key belongs, and false for an unknown
+// CustomerByKey returns the customer to whom a key belongs, and false for an unknown
 // key.
-func (c *Catalog) Holder(key string) (id.Customer, bool) {
+func (c *Catalog) CustomerByKey(key string) (id.Customer, bool) {
 	name, ok := c.keys[key]
 	return name, ok
 }
--- a/core/gang/gang.go
+++ b/core/gang/gang.go
@@ -86,13 +86,13 @@
 	Mask uint64
 	// State is the last reported state; empty until the first report.
 	State worker.TaskState
-	// heard is when the worker last answered, and clock the time on its own
+	// lastAnswer is when the worker last answered, and clock the time on its own
 	// clock in that answer.
-	heard unit.Instant
-	clock time.Duration
-	// lapse is the time after which a silent worker has stopped the task for
+	lastAnswer  unit.Instant
+	workerClock time.Duration
+	// leaseEnd is the time after which a silent worker has stopped the task for
 	// certain, because its lease has expired.
-	lapse unit.Instant
+	leaseEnd unit.Instant
 }
 
 // Gang is one placement of one job.
@@ -125,8 +125,8 @@
 		Members: members, State: leaseChart.Start(), stateSince: now,
 	}
 	for i := range g.Members {
-		g.Members[i].heard = now
-		g.Members[i].lapse = now.Add(worker.GatedLeaseDuration + Margin)
+		g.Members[i].lastAnswer = now
+		g.Members[i].leaseEnd = now.Add(worker.GatedLeaseDuration + Margin)
 	}
 	return g
 }
@@ -137,7 +137,7 @@
 	g := New(now, p, j, members)
 	g.State, g.committed = Open, true
 	for i := range g.Members {
-		g.Members[i].lapse = now.Add(Takeover + Grace + Term + Margin)
+		g.Members[i].leaseEnd = now.Add(Takeover + Grace + Term + Margin)
 	}
 	return g
 }
@@ -145,9 +145,9 @@
 // Committed reports whether the log has accepted the placement.
 func (g *Gang) Committed() bool { return g.committed }
 
-// Commit notes that the log accepted the placement although the gang is already
+// MarkCommitted notes that the log accepted the placement although the gang is already
 // stopping. The end of the placement must then be recorded in the log.
-func (g *Gang) Commit() { g.committed = true }
+func (g *Gang) MarkCommitted() { g.committed = true }
 
 // Apply makes the transition of lease.chart for the event. An event that the
 // current state doesn't allow is ignored: it arrived after the gang had left
@@ -172,27 +172,27 @@
 	g.Apply(now, ev)
 }
 
-// Report records the state that a worker reported for the gang's task on it. A
+// RecordState records the state that a worker reported for the gang's task on it. A
 // final state is never overwritten.
-func (g *Gang) Report(now unit.Instant, w id.Worker, clock time.Duration, st worker.TaskState) {
+func (g *Gang) RecordState(now unit.Instant, w id.Worker, clock time.Duration, st worker.TaskState) {
 	for i := range g.Members {
 		m := &g.Members[i]
 		if m.Worker != w {
 			continue
 		}
-		m.heard, m.clock = now, clock
+		m.lastAnswer, m.workerClock = now, clock
 		if !m.State.Ended() || m.State == "" {
 			m.State = st
 		}
 	}
 }
 
-// Heard notes that a worker answered and that the state of its task hasn't
+// RecordAnswer notes that a worker answered and that the state of its task hasn't
 // changed since its last report.
-func (g *Gang) Heard(now unit.Instant, w id.Worker, clock time.Duration) {
+func (g *Gang) RecordAnswer(now unit.Instant, w id.Worker, clock time.Duration) {
 	for i := range g.Members {
 		if m := &g.Members[i]; m.Worker == w {
-			m.heard, m.clock = now, clock
+			m.lastAnswer, m.workerClock = now, clock
 		}
 	}
 }
@@ -240,7 +240,7 @@
 			g.endPartlyRun(now, "worker "+string(m.Worker)+" reports the task as "+string(m.State))
 			return
 		}
-		if m.State != worker.Exited && now.Sub(m.heard) > Grace {
+		if m.State != worker.Exited && now.Sub(m.lastAnswer) > Grace {
 			g.endPartlyRun(now, "worker "+string(m.Worker)+" is silent")
 			return
 		}
@@ -267,7 +267,7 @@
 	for _, m := range g.Members {
 		switch {
 		case m.State.Ended() && m.State != "":
-		case now > m.lapse:
+		case now > m.leaseEnd:
 			ev = lapsed
 		default:
 			return
@@ -297,22 +297,22 @@
 			Command: g.Job.Command, Trace: g.Job.Trace,
 		}
 		if renew {
-			t.Until = m.clock + Term
-			m.lapse = max(m.lapse, m.heard.Add(Term+Margin))
+			t.Until = m.workerClock + Term
+			m.leaseEnd = max(m.leaseEnd, m.lastAnswer.Add(Term+Margin))
 		}
 		return t, true
 	}
 	return worker.WantedTask{}, false
 }
 
-// Silent reports whether an open gang has a member that still runs and has not
+// HasSilentMember reports whether an open gang has a member that still runs and has not
 // answered for longer than Grace.
-func (g *Gang) Silent(now unit.Instant) bool {
+func (g *Gang) HasSilentMember(now unit.Instant) bool {
 	if g.State != Open {
 		return false
 	}
 	for _, m := range g.Members {
-		if m.State != worker.Exited && now.Sub(m.heard) > Grace {
+		if m.State != worker.Exited && now.Sub(m.lastAnswer) > Grace {
 			return true
 		}
 	}
@@ -323,7 +323,7 @@
 // owner, the last time within Grace.
 func (g *Gang) renewable(now unit.Instant) bool {
 	for _, m := range g.Members {
-		if m.State != worker.Exited && (m.clock == 0 || now.Sub(m.heard) > Grace) {
+		if m.State != worker.Exited && (m.workerClock == 0 || now.Sub(m.lastAnswer) > Grace) {
 			return false
 		}
 	}
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -35,8 +35,8 @@
 	Once, Urgent bool
 }
 
-// Firm reports whether the gang can't be preempted.
-func (h Holding) Firm() bool { return h.Once || h.Cell.Guarantee != "" }
+// NonPreemptible reports whether the gang can't be preempted.
+func (h Holding) NonPreemptible() bool { return h.Once || h.Cell.Guarantee != "" }
 
 // Rack is the map of one rack. In its masks, each bit stands for an
 // accelerator.
@@ -49,13 +49,13 @@
 	// Busy has the accelerators held by gangs. Of these, Leaving has those
 	// whose gang is stopping, Pinned those whose gang can't be preempted, and
 	// Urgent those whose gang is urgent.
-	Busy, Leaving, Pinned, Urgent uint64
+	Busy, Stopping, NonPreemptible, Urgent uint64
 	// Firm has the homes of the cells in use and the accelerators of gangs that
 	// must not be repeated.
 	Firm uint64
-	// Spare has the accelerators at which the cells that are not in use have
+	// UnusedCells has the accelerators at which the cells that are not in use have
 	// their places.
-	Spare uint64
+	UnusedCells uint64
 	// reserved and reservedFirm have what Keep reserved until the next Begin:
 	// the blocks and the homes of their cells.
 	reserved, reservedFirm uint64
@@ -66,11 +66,11 @@
 
 // Staying returns the accelerators that are reserved or held by gangs that are
 // not stopping.
-func (r *Rack) Staying() uint64 { return r.Busy&^r.Leaving | r.reserved }
+func (r *Rack) Staying() uint64 { return r.Busy&^r.Stopping | r.reserved }
 
 // Guarded returns the accelerators that guaranteed blocks need: the places of
 // the unused cells and everything firm.
-func (r *Rack) Guarded() uint64 { return r.Spare | r.Firm | r.reservedFirm }
+func (r *Rack) Guarded() uint64 { return r.UnusedCells | r.Firm | r.reservedFirm }
 
 // cellHome is the home of a cell in use.
 type cellHome struct {
@@ -143,12 +143,12 @@
 	r.Live, inv.placesStale = live&r.Usable, true
 }
 
-// Room returns a number that grows whenever something is freed that a waiting
+// FreedCount returns a number that grows whenever something is freed that a waiting
 // job might use.
-func (inv *Inventory) Room() uint64 { return inv.freed }
+func (inv *Inventory) FreedCount() uint64 { return inv.freed }
 
-// Held returns how many accelerators a customer's gangs hold.
-func (inv *Inventory) Held(c id.Customer) int { return inv.heldBy[c] }
+// HeldBy returns how many accelerators a customer's gangs hold.
+func (inv *Inventory) HeldBy(c id.Customer) int { return inv.heldBy[c] }
 
 // Home returns the home of a cell that is in use or reserved, or false.
 func (inv *Inventory) Home(c record.Cell) (block.Block, bool) {
@@ -168,7 +168,7 @@
 		inv.homes[h.Cell] = cellHome{h.Home, current.gangs + 1}
 	}
 	inv.markHolding(h)
-	inv.placesStale = inv.placesStale || h.Firm()
+	inv.placesStale = inv.placesStale || h.NonPreemptible()
 }
 
 // markHolding sets the bits of a holding in the masks of its rack.
@@ -184,22 +184,22 @@
 	}
 	switch {
 	case h.Cell.Guarantee != "":
-		r.Pinned |= m
+		r.NonPreemptible |= m
 		r.Firm |= h.Home.Mask()
 	case h.Once:
-		r.Pinned |= m
+		r.NonPreemptible |= m
 		r.Firm |= m
 	}
 }
 
-// Leave records that a gang is stopping.
-func (inv *Inventory) Leave(j id.Job) {
+// MarkStopping records that a gang is stopping.
+func (inv *Inventory) MarkStopping(j id.Job) {
 	h, ok := inv.holdings[j]
 	if !ok {
 		return
 	}
 	if r := inv.Rack(h.Block.Rack); r != nil {
-		r.Leaving |= h.Block.Mask()
+		r.Stopping |= h.Block.Mask()
 	}
 }
 
@@ -212,12 +212,12 @@
 	delete(inv.holdings, j)
 	inv.heldBy[h.Customer] -= h.Block.Size
 	inv.freed++
-	inv.placesStale = inv.placesStale || h.Firm()
+	inv.placesStale = inv.placesStale || h.NonPreemptible()
 	if r := inv.Rack(h.Block.Rack); r != nil {
 		m := h.Block.Mask()
 		r.Busy &^= m
-		r.Leaving &^= m
-		r.Pinned &^= m
+		r.Stopping &^= m
+		r.NonPreemptible &^= m
 		r.Urgent &^= m
 		if h.Once && h.Cell.Guarantee == "" {
 			r.Firm &^= m
@@ -243,9 +243,9 @@
 	}
 }
 
-// Keep reserves a block until the next Begin for a gang that waits for others
+// Reserve reserves a block until the next Begin for a gang that waits for others
 // to stop, and the home h of its cell if it has one.
-func (inv *Inventory) Keep(b block.Block, cell record.Cell, h block.Block) {
+func (inv *Inventory) Reserve(b block.Block, cell record.Cell, h block.Block) {
 	if r := inv.Rack(b.Rack); r != nil {
 		r.reserved |= b.Mask()
 		if cell.Guarantee != "" {
@@ -256,10 +256,10 @@
 	}
 }
 
-// Begin drops all reservations and updates the places of the unused cells.
+// BeginPass drops all reservations and updates the places of the unused cells.
 // Agreed is the state's current witness; as few of its places as possible
 // change.
-func (inv *Inventory) Begin(c config.Config, agreed witness.Witness) {
+func (inv *Inventory) BeginPass(c config.Config, agreed witness.Witness) {
 	if len(inv.reservedHomes) > 0 {
 		inv.placesStale = true
 		clear(inv.reservedHomes)
@@ -290,11 +290,11 @@
 func (inv *Inventory) setSpare(w witness.Witness) {
 	inv.unusedPlaces = w
 	for i := range inv.Racks {
-		inv.Racks[i].Spare = 0
+		inv.Racks[i].UnusedCells = 0
 	}
 	for _, b := range w {
 		if r := inv.Rack(b.Rack); r != nil {
-			r.Spare |= b.Mask()
+			r.UnusedCells |= b.Mask()
 		}
 	}
 }
@@ -303,8 +303,8 @@
 // answer.
 func (inv *Inventory) AtRisk() bool { return inv.atRisk }
 
-// Spare returns the place of a cell that is not in use, or false.
-func (inv *Inventory) Spare(c record.Cell) (block.Block, bool) {
+// UnusedCellPlace returns the place of a cell that is not in use, or false.
+func (inv *Inventory) UnusedCellPlace(c record.Cell) (block.Block, bool) {
 	b, ok := inv.unusedPlaces[c]
 	return b, ok
 }
@@ -312,10 +312,10 @@
 // findPlaces returns a place for each cell that is neither in use nor reserved.
 // It changes as few places of old as possible.
 func (inv *Inventory) findPlaces(c config.Config, old witness.Witness, usable func(*Rack) uint64) (witness.Witness, error) {
-	rooms := make([]witness.Room, len(inv.Racks))
+	rooms := make([]witness.RackSpace, len(inv.Racks))
 	for i := range inv.Racks {
 		r := &inv.Racks[i]
-		rooms[i] = witness.Room{Rack: r.ID, Free: usable(r) &^ (r.Firm | r.reservedFirm)}
+		rooms[i] = witness.RackSpace{Rack: r.ID, Free: usable(r) &^ (r.Firm | r.reservedFirm)}
 	}
 	var needs []witness.Need
 	for _, k := range config.SortedKeys(c.Guarantees) {
@@ -327,13 +327,13 @@
 			}
 		}
 	}
-	return witness.Keep(rooms, old, needs)
+	return witness.Update(rooms, old, needs)
 }
 
-// Clears reports whether every unused cell would still have a place on workers
+// FitsGuarantees reports whether every unused cell would still have a place on workers
 // that answer if a gang that can't be preempted took b. If so, it adopts these
 // places.
-func (inv *Inventory) Clears(c config.Config, b block.Block) bool {
+func (inv *Inventory) FitsGuarantees(c config.Config, b block.Block) bool {
 	r := inv.Rack(b.Rack)
 	firmBefore := r.Firm
 	r.Firm |= b.Mask()
@@ -346,10 +346,10 @@
 	return true
 }
 
-// CouldClear reports whether a gang of the given size that can't be preempted
+// CouldFitGuarantees reports whether a gang of the given size that can't be preempted
 // could be placed on otherwise empty racks such that every guarantee still has
 // a place.
-func CouldClear(c config.Config, size int) bool {
+func CouldFitGuarantees(c config.Config, size int) bool {
 	empty := New()
 	empty.Configure(c)
 	for i := range empty.Racks {
@@ -363,7 +363,7 @@
 		if starts == 0 {
 			continue
 		}
-		if empty.Clears(c, block.Block{Rack: r.ID, Start: bits.TrailingZeros64(starts), Size: size}) {
+		if empty.FitsGuarantees(c, block.Block{Rack: r.ID, Start: bits.TrailingZeros64(starts), Size: size}) {
 			return true
 		}
 	}
--- a/core/node/bench_test.go
+++ b/core/node/bench_test.go
@@ -77,7 +77,7 @@
 				if len(a.Sends) != 1 {
 					b.Fatalf("not sent: %+v", a)
 				}
-				s.Step(s.now, node.Ended{Result: route.Result{Attempt: a.Sends[0], Outcome: route.Whole, Load: 1, Took: time.Millisecond}})
+				s.Step(s.now, node.Ended{Result: route.Result{Attempt: a.Sends[0], Outcome: route.Complete, Load: 1, Took: time.Millisecond}})
 			}
 		})
 	}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -187,15 +187,15 @@
 	case Arrived:
 		n.arrived(now, ev.Request)
 	case Ended:
-		n.router.Ended(now, ev.Result)
+		n.router.AttemptEnded(now, ev.Result)
 	case Probed:
 		n.router.Probed(now, ev.Probe, ev.Outcome)
 	case Gone:
-		n.router.Gone(ev.Request)
+		n.router.CallerGone(ev.Request)
 	case Propose:
 		n.propose(ev)
 	case Draw:
-		p, err := plan.Draw(n.state, ev.Changes)
+		p, err := plan.New(n.state, ev.Changes)
 		n.out.Drawn = append(n.out.Drawn, Drawn{ev.Ticket, p, err})
 	case Inspect:
 		n.out.Inspected = append(n.out.Inspected, Inspected{ev.Ticket, n.view(now, ev.Jobs)})
@@ -270,7 +270,7 @@
 			n.transition(caughtUp)
 		}
 	case Draining:
-		if now >= n.stopAt && n.router.Flying() == 0 && (n.journal.Idle() || !n.logUp(now)) {
+		if now >= n.stopAt && n.router.InFlight() == 0 && (n.journal.Idle() || !n.logUp(now)) {
 			n.transition(drained)
 			n.out.Stopped = true
 		}
--- a/core/node/own.go
+++ b/core/node/own.go
@@ -38,7 +38,7 @@
 		o = origin{entry: record.Entry{Release: once}}
 	}
 	if err := n.write(o); err != nil && !c.Release {
-		n.router.Claimed(now, c.Request, err)
+		n.router.ClaimDecided(now, c.Request, err)
 	}
 }
 
@@ -50,7 +50,7 @@
 	case o.ticket != 0:
 		n.out.Settled = append(n.out.Settled, Settled{o.ticket, off, verdict})
 	case o.request != 0:
-		n.router.Claimed(now, o.request, verdict)
+		n.router.ClaimDecided(now, o.request, verdict)
 	case n.sched != nil && (o.entry.Place != nil || o.entry.End != nil):
 		n.sched.Settled(now, o.entry, verdict)
 	}
--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -199,7 +199,7 @@
 	n.election.Hear(now, f.Heartbeat)
 	n.peerHeard = n.peerHeard || n.backends != nil
 	for _, d := range f.Leaving {
-		n.router.Departed(now, d)
+		n.router.PeerReportedLeaving(now, d)
 	}
 	if f.CheckAt != 0 && f.CheckAt == n.digestAt && f.Check != n.digest {
 		n.counts.Diverged++
--- a/core/node/view.go
+++ b/core/node/view.go
@@ -12,7 +12,7 @@
 	v := View{
 		Host: n.self, State: n.hostState, Applied: n.state.Applied, ConfigAt: n.state.ConfigAt,
 		Config: n.state.Config, Owner: n.state.Owner, Heartbeat: n.election.Heartbeat(),
-		Peers: n.peers.Live(now), Flying: n.router.Flying(), Counts: n.counts, Now: now,
+		Peers: n.peers.Live(now), Flying: n.router.InFlight(), Counts: n.counts, Now: now,
 		LogAge: now.Sub(n.readAt),
 	}
 	if n.sched != nil {
--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -46,7 +46,7 @@
 	CheckAt id.Offset `cbor:"4,keyasint,omitempty"`
 	Check   uint64    `cbor:"5,keyasint,omitempty"`
 	// Leaving lists backend servers that the sender knows to be shutting down.
-	Leaving []route.Departure `cbor:"6,keyasint,omitempty"`
+	Leaving []route.LeavingEvidence `cbor:"6,keyasint,omitempty"`
 	// Stopping is set while the sender is draining.
 	Stopping bool `cbor:"7,keyasint,omitempty"`
 	// Behind requests the records after Applied from the receiver, because the
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -14,8 +14,8 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// Room describes the free accelerators of one rack.
-type Room struct {
+// RackSpace describes the free accelerators of one rack.
+type RackSpace struct {
 	Rack id.Rack
 	// Free has a bit for each accelerator that the gang could take at once.
 	Free uint64
@@ -30,13 +30,13 @@
 // are guaranteed.
 type Policy interface {
 	Name() string
-	Choose(rooms []Room, size int, demand []int) (block.Block, bool)
+	Choose(rooms []RackSpace, size int, demand []int) (block.Block, bool)
 }
 
 // Scorer returns the cost of taking size accelerators of a rack from start
 // upwards. The position with the lowest cost is chosen; of equal ones, the
 // first.
-type Scorer func(r Room, start, size int, demand []int) int
+type Scorer func(r RackSpace, start, size int, demand []int) int
 
 type scorePolicy struct {
 	name string
@@ -48,7 +48,7 @@
 
 func (p scorePolicy) Name() string { return p.name }
 
-func (p scorePolicy) Choose(rooms []Room, size int, demand []int) (block.Block, bool) {
+func (p scorePolicy) Choose(rooms []RackSpace, size int, demand []int) (block.Block, bool) {
 	var best block.Block
 	lowest, found := 0, false
 	for _, r := range rooms {
@@ -65,12 +65,12 @@
 // FirstFit takes the first position in the first rack that has room for the
 // gang.
 func FirstFit() Policy {
-	return New("first-fit", func(Room, int, int, []int) int { return 0 })
+	return New("first-fit", func(RackSpace, int, int, []int) int { return 0 })
 }
 
 // BestFit takes a position in the shortest run of free accelerators.
 func BestFit() Policy {
-	return New("best-fit", func(r Room, start, _ int, _ []int) int {
+	return New("best-fit", func(r RackSpace, start, _ int, _ []int) int {
 		return bits.OnesCount64(block.RunAt(r.Free, start))
 	})
 }
@@ -79,7 +79,7 @@
 // and prefers the smallest aligned buddy block that is entirely free. It takes
 // another position only if no rack has a free one at such a multiple.
 func Buddy() Policy {
-	return New("buddy", func(r Room, start, size int, _ []int) int {
+	return New("buddy", func(r RackSpace, start, size int, _ []int) int {
 		unit := 1 << bits.Len(uint(size-1))
 		if start%unit != 0 {
 			return block.MaxSize * 2
@@ -111,7 +111,7 @@
 // accelerators. Small gangs are therefore placed in racks that are already
 // fragmented.
 func Packing() Policy {
-	return New("curlewsill", func(r Room, start, size int, _ []int) int {
+	return New("curlewsill", func(r RackSpace, start, size int, _ []int) int {
 		m := block.Run(start, size)
 		cost := costAvoid * bits.OnesCount64(m&r.Avoid)
 		if start%(1<<bits.Len(uint(size-1))) != 0 {
@@ -167,7 +167,7 @@
 // accelerators (after FGD, ATC 2023): for each size, it counts those that the
 // size could use before the placement but not after it.
 func Expected() Policy {
-	return New("expected", func(r Room, start, size int, demand []int) int {
+	return New("expected", func(r RackSpace, start, size int, demand []int) int {
 		m := block.Run(start, size)
 		run := block.RunAt(r.Free, start)
 		lost := 0
@@ -182,8 +182,8 @@
 // ErrUnknown reports the name of a policy that doesn't exist.
 var ErrUnknown = errors.New("place: no such policy")
 
-// Named returns the policy with the given name.
-func Named(name string) (Policy, error) {
+// ByName returns the policy with the given name.
+func ByName(name string) (Policy, error) {
 	for _, p := range []Policy{FirstFit(), BestFit(), Buddy(), Packing(), Expected()} {
 		if p.Name() == name {
 			return p, nil
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -47,9 +47,9 @@
 
 var hashCodec = codec.New[hashInput]()
 
-// Draw returns the plan for the changes to the state's configuration. Changes
+// New returns the plan for the changes to the state's configuration. Changes
 // without effect are left out.
-func Draw(st *state.State, changes []config.Change) (Plan, error) {
+func New(st *state.State, changes []config.Change) (Plan, error) {
 	p := Plan{Basis: st.ConfigAt}
 	for _, c := range changes {
 		lines := describe(st.Config, c)
--- a/core/proof/check_test.go
+++ b/core/proof/check_test.go
@@ -179,11 +179,11 @@
 	switch {
 	case len(c.replies) > 1:
 		w.reportViolation("request %s was answered %d times", c.name, len(c.replies))
-	case r.Relay != 0 && !c.wholeAttempts[r.Relay]:
-		w.reportViolation("request %s got the answer of attempt %d, which was not complete", c.name, r.Relay)
+	case r.RelayedAttempt != 0 && !c.wholeAttempts[r.RelayedAttempt]:
+		w.reportViolation("request %s got the answer of attempt %d, which was not complete", c.name, r.RelayedAttempt)
 	case r.Ran == route.RanNo && c.runs > 0:
 		w.reportViolation("request %s was refused as not run but ran %d times", c.name, c.runs)
-	case r.Relay == 0 && r.Ran == route.RanYes:
+	case r.RelayedAttempt == 0 && r.Ran == route.RanYes:
 		w.reportViolation("request %s was refused as one that did run", c.name)
 	}
 	if w.now > c.deadline(w) {
--- a/core/proof/long_test.go
+++ b/core/proof/long_test.go
@@ -224,7 +224,7 @@
 				ID: "extra", Customer: "ghent", Size: 1 << c.rng.IntN(6), Count: 1 + c.rng.IntN(3),
 			}}
 		}
-		p, err := plan.Draw(m.core.Shared(), []config.Change{change})
+		p, err := plan.New(m.core.Shared(), []config.Change{change})
 		if err != nil {
 			c.reportViolation("plan: %v", err)
 			return
--- a/core/proof/script_test.go
+++ b/core/proof/script_test.go
@@ -202,7 +202,7 @@
 	if m == nil {
 		return fmt.Errorf("no host is ready")
 	}
-	p, err := plan.Draw(s.ref, changes)
+	p, err := plan.New(s.ref, changes)
 	if err != nil {
 		return err
 	}
@@ -253,7 +253,7 @@
 		changes = append(changes, config.Change{DeleteService: id.Service(w.named["delete"])})
 	}
 	m := s.machines[id.Host(w.at(1))]
-	p, err := plan.Draw(m.core.Shared(), changes)
+	p, err := plan.New(m.core.Shared(), changes)
 	s.plans[w.at(0)] = p
 	if err == nil && p.Problem != "" {
 		return fmt.Errorf("%s", p.Problem)
@@ -486,7 +486,7 @@
 	}
 	r := c.replies[0]
 	out := string(r.Code)
-	if r.Relay != 0 {
+	if r.RelayedAttempt != 0 {
 		out = "whole"
 	}
 	if ran {
--- a/core/proof/world_test.go
+++ b/core/proof/world_test.go
@@ -548,10 +548,10 @@
 // probe carries out a probe, which asks a backend server whether it takes
 // requests.
 func (w *world) probe(m *machine, incarnation id.Incarnation, p route.Probe) {
-	o := route.Whole
+	o := route.Complete
 	switch b := w.backends[p.Backend]; {
 	case b == nil || b.mode == "down":
-		o = route.Unreached
+		o = route.NotSent
 	case b.mode == "leave":
 		o = route.Leaving
 	case b.mode == "hang":
@@ -567,11 +567,11 @@
 	if c == nil {
 		c = &call{}
 	}
-	res := route.Result{Attempt: a, Outcome: route.Whole, Load: -1}
+	res := route.Result{Attempt: a, Outcome: route.Complete, Load: -1}
 	end := func(after time.Duration, o route.Outcome) {
 		w.schedule(after, func() {
 			res.Outcome, res.Took = o, after
-			if o == route.Whole && c.wholeAttempts != nil {
+			if o == route.Complete && c.wholeAttempts != nil {
 				c.wholeAttempts[a.Number] = true
 			}
 			w.stepIncarnation(m, incarnation, node.Ended{Result: res})
@@ -580,7 +580,7 @@
 	w.checkSend(m, b, a)
 	switch {
 	case b == nil || b.mode == "down":
-		end(w.delay(), route.Unreached)
+		end(w.delay(), route.NotSent)
 	case b.mode == "leave":
 		end(w.delay(), route.Leaving)
 	case b.mode == "refuse" || b.busy >= 8:
@@ -613,7 +613,7 @@
 	case "hang":
 		end(max(a.Deadline.Sub(w.now), 0), route.Broken)
 	default:
-		end(d, route.Whole)
+		end(d, route.Complete)
 	}
 }
 
--- a/core/route/backend.go
+++ b/core/route/backend.go
@@ -64,12 +64,12 @@
 	// lastProbe is when this host last probed the backend server, or skipped
 	// the probe because other hosts are assigned to it.
 	lastProbe unit.Instant
-	// left is when the latest first-hand evidence that the backend server
+	// leavingSince is when the latest first-hand evidence that the backend server
 	// leaves was obtained; 0 if there is none. doubted is set if that is longer
 	// ago than leavingMaxAge and the host list shows the backend server as
 	// live; a probe then has to confirm that it accepts requests.
-	left    unit.Instant
-	doubted bool
+	leavingSince   unit.Instant
+	leavingDoubted bool
 }
 
 func (b *backend) apply(ev backendEvent) bool {
@@ -113,11 +113,11 @@
 		b.load, b.loadAt = r.Load, now
 	}
 	switch r.Outcome {
-	case Whole, Busy:
+	case Complete, Busy:
 		b.failures, b.ejection = 0, 0
 		b.apply(success)
 	case Leaving:
-		b.left = now
+		b.leavingSince = now
 		b.apply(leave)
 	default:
 		b.failed(now, mayEject)
--- a/core/route/claim.go
+++ b/core/route/claim.go
@@ -5,9 +5,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Claimed handles the log's verdict on a claim; nil means that the claim was
+// ClaimDecided handles the log's verdict on a claim; nil means that the claim was
 // accepted.
-func (r *Router) Claimed(now unit.Instant, reqID id.Request, verdict error) {
+func (r *Router) ClaimDecided(now unit.Instant, reqID id.Request, verdict error) {
 	if c, ok := r.abandonedClaims[reqID]; ok {
 		delete(r.abandonedClaims, reqID)
 		if verdict == nil {
@@ -32,7 +32,7 @@
 // releaseKey gives up a request's claim of its key if nothing was sent under
 // it.
 func (r *Router) releaseKey(req *request) {
-	if req.Key == "" || !req.Once || req.unsure || req.flying != 0 {
+	if req.Key == "" || !req.Once || req.mayHaveRun || req.attemptInFlight != 0 {
 		return
 	}
 	c := Claim{Request: req.ID, Customer: req.Customer, Key: req.Key}
--- a/core/route/message.go
+++ b/core/route/message.go
@@ -27,10 +27,10 @@
 
 // The outcomes of an attempt.
 const (
-	// Whole means that the backend server's complete answer arrived.
-	Whole Outcome = "whole"
-	// Unreached means that nothing was sent, because there was no connection.
-	Unreached Outcome = "unreached"
+	// Complete means that the backend server's complete answer arrived.
+	Complete Outcome = "whole"
+	// NotSent means that nothing was sent, because there was no connection.
+	NotSent Outcome = "unreached"
 	// Busy means that the backend server refused the request because it has no
 	// free slot; nothing ran.
 	Busy Outcome = "busy"
@@ -95,9 +95,9 @@
 // Reply is the final answer to a request.
 type Reply struct {
 	Request id.Request
-	// Relay is the number of the attempt whose answer is forwarded to the
+	// RelayedAttempt is the number of the attempt whose answer is forwarded to the
 	// caller; 0 for a refusal.
-	Relay int
+	RelayedAttempt int
 	// Code, Ran and RetryAfter describe a refusal.
 	Code       Code
 	Ran        Ran
@@ -121,9 +121,9 @@
 	Backend id.Backend
 }
 
-// Departure is first-hand evidence that a backend server is leaving: its own
+// LeavingEvidence is first-hand evidence that a backend server is leaving: its own
 // answer to a request or a probe.
-type Departure struct {
+type LeavingEvidence struct {
 	Service id.Service `cbor:"1,keyasint"`
 	Backend id.Backend `cbor:"2,keyasint"`
 	// Age is how long ago the evidence was obtained.
--- a/core/route/probe.go
+++ b/core/route/probe.go
@@ -7,8 +7,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Departed handles a peer's evidence that a backend server is leaving.
-func (r *Router) Departed(now unit.Instant, d Departure) {
+// PeerReportedLeaving handles a peer's evidence that a backend server is leaving.
+func (r *Router) PeerReportedLeaving(now unit.Instant, d LeavingEvidence) {
 	p := r.pools[d.Service]
 	if p == nil || d.Age >= leavingMaxAge {
 		return
@@ -16,19 +16,19 @@
 	if b := p.find(d.Backend); b != nil {
 		// The evidence keeps its age: otherwise the hosts would renew it among
 		// themselves without end.
-		b.left = max(b.left, now.Add(-d.Age))
+		b.leavingSince = max(b.leavingSince, now.Add(-d.Age))
 		b.apply(leave)
 	}
 }
 
 // Departures returns the backend servers for which this host has recent
 // first-hand evidence that they are leaving.
-func (r *Router) Departures(now unit.Instant) []Departure {
-	var out []Departure
+func (r *Router) Departures(now unit.Instant) []LeavingEvidence {
+	var out []LeavingEvidence
 	for _, k := range config.SortedKeys(r.pools) {
 		for _, b := range r.pools[k].backends {
-			if b.state == leaving && b.left != 0 && now.Sub(b.left) < leavingMaxAge {
-				out = append(out, Departure{k, b.id, now.Sub(b.left)})
+			if b.state == leaving && b.leavingSince != 0 && now.Sub(b.leavingSince) < leavingMaxAge {
+				out = append(out, LeavingEvidence{k, b.id, now.Sub(b.leavingSince)})
 			}
 		}
 	}
@@ -41,11 +41,11 @@
 func (r *Router) Probe(now unit.Instant, self id.Host, hosts []id.Host) {
 	for _, k := range config.SortedKeys(r.pools) {
 		for _, b := range r.pools[k].backends {
-			if b.state == leaving && !b.doubted || now.Sub(b.lastProbe) < probeInterval {
+			if b.state == leaving && !b.leavingDoubted || now.Sub(b.lastProbe) < probeInterval {
 				continue
 			}
 			b.lastProbe = now
-			if !b.doubted && rank.Of(self, string(b.id), hosts) >= probersPerBackend {
+			if !b.leavingDoubted && rank.Of(self, string(b.id), hosts) >= probersPerBackend {
 				continue
 			}
 			r.out.Probes = append(r.out.Probes, Probe{k, b.id})
@@ -64,15 +64,15 @@
 		return
 	}
 	switch o {
-	case Whole:
-		if b.doubted {
-			b.doubted = false
+	case Complete:
+		if b.leavingDoubted {
+			b.leavingDoubted = false
 			b.apply(rejoin)
 		}
 	case Leaving:
-		b.left, b.doubted = now, false
+		b.leavingSince, b.leavingDoubted = now, false
 		b.apply(leave)
-	case Unreached:
+	case NotSent:
 		if b.state == live {
 			b.failed(now, p.mayEject())
 		}
--- a/core/route/resolve.go
+++ b/core/route/resolve.go
@@ -6,9 +6,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Ended handles the end of an attempt. If the request has already been
+// AttemptEnded handles the end of an attempt. If the request has already been
 // answered, it only frees the slot.
-func (r *Router) Ended(now unit.Instant, res Result) {
+func (r *Router) AttemptEnded(now unit.Instant, res Result) {
 	p := r.pools[res.Service]
 	if p == nil {
 		r.endOrphan(res)
@@ -21,12 +21,12 @@
 	switch res.Outcome {
 	case Busy:
 		p.decreaseLimit(now)
-	case Whole:
+	case Complete:
 		p.recordAnswer(res.Took)
 	}
 	req := r.requests[res.Request]
-	if req != nil && req.flying == res.Number {
-		req.flying = 0
+	if req != nil && req.attemptInFlight == res.Number {
+		req.attemptInFlight = 0
 		r.resolve(now, p, req, res)
 	}
 	r.dispatch(now, p)
@@ -36,13 +36,13 @@
 // in flight.
 func (r *Router) endOrphan(res Result) {
 	req := r.requests[res.Request]
-	if req == nil || req.flying != res.Number {
+	if req == nil || req.attemptInFlight != res.Number {
 		return
 	}
-	req.flying = 0
-	req.unsure = req.unsure || res.Outcome == Broken
-	if res.Outcome == Whole {
-		r.answer(req, Reply{Relay: res.Number, Ran: RanYes})
+	req.attemptInFlight = 0
+	req.mayHaveRun = req.mayHaveRun || res.Outcome == Broken
+	if res.Outcome == Complete {
+		r.answer(req, Reply{RelayedAttempt: res.Number, Ran: RanYes})
 		return
 	}
 	r.refuse(req, CodeNoService, 0)
@@ -51,12 +51,12 @@
 // resolve decides after the end of an attempt whether the request is answered,
 // retried or queued again.
 func (r *Router) resolve(now unit.Instant, p *pool, req *request, res Result) {
-	if res.Outcome == Whole {
-		r.answer(req, Reply{Relay: res.Number, Ran: RanYes})
+	if res.Outcome == Complete {
+		r.answer(req, Reply{RelayedAttempt: res.Number, Ran: RanYes})
 		return
 	}
 	if res.Outcome == Broken {
-		req.unsure = true
+		req.mayHaveRun = true
 		if now >= req.Deadline {
 			r.answer(req, Reply{Code: CodeTimeout, Ran: RanUnknown, RetryAfter: time.Second})
 			return
@@ -72,7 +72,7 @@
 			r.send(now, p, req, b)
 			return
 		}
-		requeue = !req.unsure
+		requeue = !req.mayHaveRun
 	}
 	if requeue && p.waiting.Push(req.Customer, req.weight, req) == nil {
 		// Nothing ran, so the request may wait for a slot and any backend
@@ -87,7 +87,7 @@
 // may have run.
 func (r *Router) refuse(req *request, code Code, after time.Duration) {
 	ran := RanNo
-	if req.unsure || req.flying != 0 {
+	if req.mayHaveRun || req.attemptInFlight != 0 {
 		ran = RanUnknown
 	}
 	r.answer(req, Reply{Code: code, Ran: ran, RetryAfter: after})
@@ -95,7 +95,7 @@
 
 // answer sends the final answer and drops the request.
 func (r *Router) answer(req *request, rep Reply) {
-	if rep.Ran == RanNo && (req.unsure || req.flying != 0) {
+	if rep.Ran == RanNo && (req.mayHaveRun || req.attemptInFlight != 0) {
 		r.violations = append(r.violations, ErrRefusedAfterSend)
 		rep.Ran = RanUnknown
 	}
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -26,16 +26,16 @@
 	weight int
 	// sends counts the attempts that this host has sent.
 	sends int
-	// unsure is set if an attempt may have run although no complete answer
+	// mayHaveRun is set if an attempt may have run although no complete answer
 	// came.
-	unsure bool
+	mayHaveRun bool
 	// claimPending is set while the log decides on the claim of the key, until
 	// claimDeadline at the latest.
 	claimPending  bool
 	claimDeadline unit.Instant
-	// flying is the number of the attempt in flight, 0 if there is none.
-	flying int
-	tried  []id.Backend
+	// attemptInFlight is the number of the attempt in flight, 0 if there is none.
+	attemptInFlight int
+	tried           []id.Backend
 }
 
 // Router routes the requests of one host. It is not safe for concurrent use.
@@ -58,8 +58,8 @@
 	}
 }
 
-// Flying returns the number of requests that have no final answer yet.
-func (r *Router) Flying() int { return len(r.requests) }
+// InFlight returns the number of requests that have no final answer yet.
+func (r *Router) InFlight() int { return len(r.requests) }
 
 // Take returns and clears the actions to carry out and the invariant violations
 // since the last call.
@@ -125,10 +125,10 @@
 		switch {
 		case !list[backendID]:
 			b.apply(leave)
-		case b.state == leaving && b.left == 0:
+		case b.state == leaving && b.leavingSince == 0:
 			b.apply(rejoin)
-		case b.state == leaving && now.Sub(b.left) > leavingMaxAge:
-			b.doubted = true
+		case b.state == leaving && now.Sub(b.leavingSince) > leavingMaxAge:
+			b.leavingDoubted = true
 		}
 	}
 }
@@ -212,13 +212,13 @@
 }
 
 func (r *Router) send(_ unit.Instant, p *pool, req *request, b *backend) {
-	if req.Once && req.unsure {
+	if req.Once && req.mayHaveRun {
 		r.violations = append(r.violations, ErrSentTwice)
 		r.answer(req, Reply{Code: CodeInterrupted, Ran: RanUnknown})
 		return
 	}
 	req.sends++
-	req.flying = req.sends
+	req.attemptInFlight = req.sends
 	req.tried = append(req.tried, b.id)
 	b.inFlight++
 	p.inFlight++
@@ -227,9 +227,9 @@
 	})
 }
 
-// Gone handles a caller that went away. Its request gets no answer; an attempt
+// CallerGone handles a caller that went away. Its request gets no answer; an attempt
 // in flight still holds its slot until it ends.
-func (r *Router) Gone(reqID id.Request) {
+func (r *Router) CallerGone(reqID id.Request) {
 	req := r.requests[reqID]
 	if req == nil {
 		return
@@ -256,7 +256,7 @@
 		switch {
 		case req.claimPending && now >= req.claimDeadline:
 			r.refuse(req, CodeLogDown, 2*time.Second)
-		case req.flying != 0 && now >= req.Deadline:
+		case req.attemptInFlight != 0 && now >= req.Deadline:
 			r.answer(req, Reply{Code: CodeTimeout, Ran: RanUnknown, RetryAfter: time.Second})
 		}
 	}
--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -55,7 +55,7 @@
 		return started
 	}
 	s.preempt(now, best.block, "the guarantee of customer "+string(j.Customer)+" is reclaimed")
-	s.inventory.Keep(best.block, best.cell, best.home)
+	s.inventory.Reserve(best.block, best.cell, best.home)
 	return preempting
 }
 
@@ -89,7 +89,7 @@
 func (s *Scheduler) optionIn(now unit.Instant, j record.Job, cell record.Cell, size int) (option, bool) {
 	home, used := s.inventory.Home(cell)
 	if !used {
-		spare, ok := s.inventory.Spare(cell)
+		spare, ok := s.inventory.UnusedCellPlace(cell)
 		if !ok {
 			return option{}, false
 		}
@@ -99,7 +99,7 @@
 	if r == nil {
 		return option{}, false
 	}
-	free := r.Live & home.Mask() &^ r.Pinned & s.usableFor(r, j)
+	free := r.Live & home.Mask() &^ r.NonPreemptible & s.usableFor(r, j)
 	b, cost, ok := s.cheapestStart(now, free, r, j.Accelerators)
 	return option{
 		cell: cell, home: home, block: b, cost: cost, vacant: b.Mask()&r.Taken() == 0,
@@ -193,7 +193,7 @@
 	if s.reserved.Size > 0 && s.reservedFor != j.ID && s.expectedRunTime(j.Customer, j.Declared) > s.reservedFreeIn {
 		excluded = s.reserved.Mask()
 	}
-	rooms := make([]place.Room, 0, len(s.inventory.Racks))
+	rooms := make([]place.RackSpace, 0, len(s.inventory.Racks))
 	for i := range s.inventory.Racks {
 		r := &s.inventory.Racks[i]
 		free := r.Live &^ r.Taken() & s.usableFor(r, j)
@@ -201,7 +201,7 @@
 			free &^= excluded
 		}
 		if free != 0 {
-			rooms = append(rooms, place.Room{Rack: r.ID, Free: free, Avoid: r.Guarded()})
+			rooms = append(rooms, place.RackSpace{Rack: r.ID, Free: free, Avoid: r.Guarded()})
 		}
 	}
 	choose := s.policy.Choose
@@ -218,7 +218,7 @@
 // chooseForNonPreemptible chooses a block for a gang that can't be preempted. It
 // prefers a block that overlaps no place of a guarantee; otherwise it takes one
 // where the overlapped places of unused cells can be moved elsewhere.
-func (s *Scheduler) chooseForNonPreemptible(rooms []place.Room, size int, demand []int) (block.Block, bool) {
+func (s *Scheduler) chooseForNonPreemptible(rooms []place.RackSpace, size int, demand []int) (block.Block, bool) {
 	unguarded := slices.Clone(rooms)
 	for i := range unguarded {
 		unguarded[i].Free &^= unguarded[i].Avoid
@@ -230,7 +230,7 @@
 		room := rooms[i : i+1]
 		// The blocks of cells in use can't be moved.
 		room[0].Free &^= s.inventory.Rack(room[0].Rack).Firm
-		if b, ok := s.policy.Choose(room, size, demand); ok && s.inventory.Clears(s.state.Config, b) {
+		if b, ok := s.policy.Choose(room, size, demand); ok && s.inventory.FitsGuarantees(s.state.Config, b) {
 			return b, true
 		}
 	}
@@ -284,7 +284,7 @@
 		return false
 	}
 	s.preempt(now, best, "an urgent job needs the room")
-	s.inventory.Keep(best, record.Cell{}, block.Block{})
+	s.inventory.Reserve(best, record.Cell{}, block.Block{})
 	return true
 }
 
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -86,14 +86,14 @@
 	s.markForAdvance(r)
 	s.requestSync(r)
 	if r.State == gang.Stopping {
-		s.inventory.Leave(r.Job.ID)
+		s.inventory.MarkStopping(r.Job.ID)
 	}
 }
 
 // checkSilent marks the gangs that have a silent member.
 func (s *Scheduler) checkSilent(now unit.Instant) {
 	for _, r := range s.gangs {
-		if r.Silent(now) {
+		if r.HasSilentMember(now) {
 			s.markForAdvance(r)
 		}
 	}
@@ -111,7 +111,7 @@
 			s.markUnresponsive(r)
 		}
 		if r.State == gang.Stopping {
-			s.inventory.Leave(jobID)
+			s.inventory.MarkStopping(jobID)
 		}
 		if r.State == gang.Open {
 			delete(s.toAdvance, jobID)
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -29,7 +29,7 @@
 	if !s.backlog.Has(s.reservedFor) {
 		s.reserved, s.reservedFor = block.Block{}, ""
 	}
-	s.inventory.Begin(s.state.Config, s.state.Spare)
+	s.inventory.BeginPass(s.state.Config, s.state.Spare)
 	all := s.backlog.Groups()
 	s.updateDemand(all)
 	groups := s.eligible(all, full)
@@ -46,14 +46,14 @@
 func (s *Scheduler) eligible(groups []*backlog.Group, full bool) []*backlog.Group {
 	var out []*backlog.Group
 	for _, group := range groups {
-		if group.Checked != s.indexedConfig {
-			if reason := s.unrunnableReason(group.Head()); reason != "" {
+		if group.RunnableAt != s.indexedConfig {
+			if reason := s.unrunnableReason(group.Oldest()); reason != "" {
 				s.refuseGroup(group, reason)
 				continue
 			}
-			group.Checked = s.indexedConfig
+			group.RunnableAt = s.indexedConfig
 		}
-		if full || group.Failed != s.inventory.Room()+1 {
+		if full || group.NoRoomAt != s.inventory.FreedCount()+1 {
 			out = append(out, group)
 		}
 	}
@@ -76,16 +76,16 @@
 // the pass is done with the group.
 func (s *Scheduler) startGuaranteed(now unit.Instant, group *backlog.Group) bool {
 	for len(group.Jobs) > 0 {
-		if s.overQuota(group.Head()) {
+		if s.overQuota(group.Oldest()) {
 			return false
 		}
-		switch s.tryGuaranteed(now, group.Head()) {
+		switch s.tryGuaranteed(now, group.Oldest()) {
 		case noRoom:
 			return false
 		case preempting:
 			// Blocks are set aside for one pass only, so every pass must try this
 			// group until the job starts.
-			group.Failed = 0
+			group.NoRoomAt = 0
 			return true
 		}
 	}
@@ -95,7 +95,7 @@
 // overQuota reports whether starting the job would exceed its customer's quota.
 func (s *Scheduler) overQuota(j record.Job) bool {
 	c := s.state.Config.Customers[j.Customer]
-	return c.Quota > 0 && s.inventory.Held(j.Customer)+j.Accelerators > c.Quota
+	return c.Quota > 0 && s.inventory.HeldBy(j.Customer)+j.Accelerators > c.Quota
 }
 
 // startBorrowed starts jobs on borrowed accelerators, one at a time: urgent jobs
@@ -106,11 +106,11 @@
 		i := s.next(groups)
 		group := groups[i]
 		result := noRoom
-		if !s.overQuota(group.Head()) {
-			result = s.tryOutsideGuarantees(now, group.Head())
+		if !s.overQuota(group.Oldest()) {
+			result = s.tryOutsideGuarantees(now, group.Oldest())
 		}
 		if result == noRoom {
-			group.Failed = s.inventory.Room() + 1
+			group.NoRoomAt = s.inventory.FreedCount() + 1
 		}
 		if result != started || len(group.Jobs) == 0 {
 			groups = slices.Delete(groups, i, i+1)
@@ -135,14 +135,14 @@
 	}
 	return cmp.Or(
 		cmp.Compare(s.weightedShare(a.Class.Customer), s.weightedShare(b.Class.Customer)),
-		backlog.Older(a.Head(), b.Head()),
+		backlog.Older(a.Oldest(), b.Oldest()),
 	) < 0
 }
 
 // weightedShare returns the number of accelerators that a customer holds, divided
 // by its weight.
 func (s *Scheduler) weightedShare(c id.Customer) float64 {
-	return float64(s.inventory.Held(c)) / float64(max(s.state.Config.Customers[c].Weight, 1))
+	return float64(s.inventory.HeldBy(c)) / float64(max(s.state.Config.Customers[c].Weight, 1))
 }
 
 // tryOutsideGuarantees starts the job on borrowed accelerators. If there is no
@@ -190,7 +190,7 @@
 func (s *Scheduler) couldClear(size int) bool {
 	ok, known := s.couldClearSize[size]
 	if !known {
-		ok = inventory.CouldClear(s.state.Config, size)
+		ok = inventory.CouldFitGuarantees(s.state.Config, size)
 		s.couldClearSize[size] = ok
 	}
 	return ok
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -211,7 +211,7 @@
 	if r.State != gang.Open {
 		// The gang was stopped before the verdict arrived. The log holds its
 		// placement, so its end must be written as well.
-		r.Commit()
+		r.MarkCommitted()
 	}
 	s.markForAdvance(r)
 	s.requestSync(r)
@@ -259,7 +259,7 @@
 			continue
 		}
 		listed[t.Job] = true
-		r.Report(now, rep.Worker, rep.Clock, t.State)
+		r.RecordState(now, rep.Worker, rep.Clock, t.State)
 		s.countTaskEnd(now, r, rep.Worker, h, t.State)
 		s.markForAdvance(r)
 	}
@@ -268,7 +268,7 @@
 		// processed a sync that omitted the task, it doesn't hold the task.
 		seq, omitted := r.omittedSeq[rep.Worker]
 		if !listed[jobID] && (restarted || omitted && rep.Seq >= seq) {
-			r.Report(now, rep.Worker, rep.Clock, worker.Missing)
+			r.RecordState(now, rep.Worker, rep.Clock, worker.Missing)
 			s.markForAdvance(r)
 		}
 	}
@@ -281,7 +281,7 @@
 		return
 	}
 	for _, r := range s.runsOn[rep.Worker] {
-		r.Heard(now, rep.Worker, rep.Clock)
+		r.RecordAnswer(now, rep.Worker, rep.Clock)
 	}
 }
 
--- a/core/state/check.go
+++ b/core/state/check.go
@@ -104,7 +104,7 @@
 	for _, n := range needs(s.Config, bound) {
 		b := s.Spare[n.Cell]
 		if b.Size != n.Size || b.Mask()&^free[b.Rack] != 0 {
-			return fmt.Errorf("%w: guarantee %s, block %d at %s", witness.ErrNone, n.Cell.Guarantee, n.Cell.Index, b)
+			return fmt.Errorf("%w: guarantee %s, block %d at %s", witness.ErrNoPlace, n.Cell.Guarantee, n.Cell.Index, b)
 		}
 		free[b.Rack] &^= b.Mask()
 	}
@@ -115,7 +115,7 @@
 // added if it isn't nil. It keeps the places of the current witness if possible.
 func (s *State) find(c config.Config, added *record.Place) (witness.Witness, error) {
 	firm, bound := s.firm(c, added)
-	return witness.Keep(rooms(c, firm), s.Spare, needs(c, bound))
+	return witness.Update(rooms(c, firm), s.Spare, needs(c, bound))
 }
 
 // firm returns the accelerators of each rack that firm jobs hold, and the cells of c
@@ -170,10 +170,10 @@
 }
 
 // rooms returns, for each rack, the usable accelerators that no firm job holds.
-func rooms(c config.Config, firm map[id.Rack]uint64) []witness.Room {
-	out := make([]witness.Room, 0, len(c.Racks))
+func rooms(c config.Config, firm map[id.Rack]uint64) []witness.RackSpace {
+	out := make([]witness.RackSpace, 0, len(c.Racks))
 	for _, k := range config.SortedKeys(c.Racks) {
-		out = append(out, witness.Room{Rack: k, Free: Usable(c, k) &^ firm[k]})
+		out = append(out, witness.RackSpace{Rack: k, Free: Usable(c, k) &^ firm[k]})
 	}
 	return out
 }
--- a/core/witness/witness.go
+++ b/core/witness/witness.go
@@ -22,13 +22,13 @@
 	"curlewsill.org/curlewsill/core/record"
 )
 
-// ErrNone reports that no place was found for a cell. The search is greedy, so
+// ErrNoPlace reports that no place was found for a cell. The search is greedy, so
 // ErrNone doesn't prove that there is none: the error is on the safe side,
 // towards refusing a decision.
-var ErrNone = errors.New("witness: no place for a guaranteed block")
+var ErrNoPlace = errors.New("witness: no place for a guaranteed block")
 
-// Room describes what one rack offers to the cells that are not in use.
-type Room struct {
+// RackSpace describes what one rack offers to the cells that are not in use.
+type RackSpace struct {
 	Rack id.Rack
 	// Free has a bit for each accelerator that is neither part of a home, nor
 	// held by a task that can't be preempted, nor on a lost worker.
@@ -54,7 +54,7 @@
 
 // Find returns a witness, or ErrNone with the first cell for which it found no
 // place. It sorts needs in place and doesn't change rooms.
-func Find(rooms []Room, needs []Need) (Witness, error) {
+func Find(rooms []RackSpace, needs []Need) (Witness, error) {
 	remaining := slices.Clone(rooms)
 	slices.SortFunc(needs, largestFirst)
 	w := make(Witness, len(needs))
@@ -62,18 +62,18 @@
 		b, ok := bestFit(remaining, n.Size)
 		if !ok {
 			return nil, fmt.Errorf("%w: guarantee %s, block %d of size %d",
-				ErrNone, n.Cell.Guarantee, n.Cell.Index, n.Size)
+				ErrNoPlace, n.Cell.Guarantee, n.Cell.Index, n.Size)
 		}
 		w[n.Cell] = b
 	}
 	return w, nil
 }
 
-// Keep returns a witness for needs that keeps the places of old as far as they
+// Update returns a witness for needs that keeps the places of old as far as they
 // are still free. If the remaining cells don't fit beside them, it searches new
 // places for all cells. It sorts needs in place and changes neither rooms nor
 // old.
-func Keep(rooms []Room, old Witness, needs []Need) (Witness, error) {
+func Update(rooms []RackSpace, old Witness, needs []Need) (Witness, error) {
 	remaining := slices.Clone(rooms)
 	kept := make(Witness, len(needs))
 	var rest []Need
@@ -98,8 +98,8 @@
 
 // takeBlock removes a block from the free accelerators of its rack if all of
 // them are free.
-func takeBlock(rooms []Room, b block.Block) bool {
-	i := slices.IndexFunc(rooms, func(r Room) bool { return r.Rack == b.Rack })
+func takeBlock(rooms []RackSpace, b block.Block) bool {
+	i := slices.IndexFunc(rooms, func(r RackSpace) bool { return r.Rack == b.Rack })
 	if i < 0 || b.Mask()&^rooms[i].Free != 0 {
 		return false
 	}
@@ -118,7 +118,7 @@
 // bestFit takes size accelerators from the shortest run that is long enough. It
 // prefers a start that is a multiple of the size, so that the halves of a rack
 // stay unbroken for larger blocks.
-func bestFit(rooms []Room, size int) (block.Block, bool) {
+func bestFit(rooms []RackSpace, size int) (block.Block, bool) {
 	best, start, shortest := -1, 0, block.MaxSize+1
 	for i, r := range rooms {
 		if bits.OnesCount64(r.Free) < size {
--- a/core/witness/witness_test.go
+++ b/core/witness/witness_test.go
@@ -15,10 +15,10 @@
 
 const seed = 1
 
-func rooms(free []uint64) []witness.Room {
-	out := make([]witness.Room, len(free))
+func rooms(free []uint64) []witness.RackSpace {
+	out := make([]witness.RackSpace, len(free))
 	for i, f := range free {
-		out[i] = witness.Room{Rack: id.Rack(fmt.Sprint("r", i)), Free: f}
+		out[i] = witness.RackSpace{Rack: id.Rack(fmt.Sprint("r", i)), Free: f}
 	}
 	return out
 }
@@ -33,7 +33,7 @@
 
 // valid reports whether w has a free place of the right size for each of ns,
 // and no two of them overlap.
-func valid(w witness.Witness, rs []witness.Room, ns []witness.Need) bool {
+func valid(w witness.Witness, rs []witness.RackSpace, ns []witness.Need) bool {
 	remaining := map[id.Rack]uint64{}
 	for _, r := range rs {
 		remaining[r.Rack] = r.Free
@@ -66,7 +66,7 @@
 		if err != nil {
 			return true
 		}
-		kept, err := witness.Keep(rs, w, ns)
+		kept, err := witness.Update(rs, w, ns)
 		return err == nil && fmt.Sprint(kept) == fmt.Sprint(w)
 	}, free, sizes))
 	p.Property("Keep repairs a witness that lost places, or returns an error", prop.ForAll(func(free, lost []uint64, sizes []int) bool {
@@ -78,7 +78,7 @@
 		for i := range rs {
 			rs[i].Free &^= lost[i] & (lost[i] >> 3)
 		}
-		kept, err := witness.Keep(rs, w, ns)
+		kept, err := witness.Update(rs, w, ns)
 		return err != nil || valid(kept, rs, ns)
 	}, free, gen.SliceOfN(4, gen.UInt64()), sizes))
 	p.TestingRun(t)
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -151,7 +151,7 @@
 		return
 	}
 	o.plannedPass = at
-	w.agenda.Plan(at, func() {
+	w.agenda.Add(at, func() {
 		if o.plannedPass != at || o.ended {
 			return
 		}
@@ -290,7 +290,7 @@
 	w := o.world
 	o.enqueue(workItem{cost: w.setup.Costs.Order, onEnd: func() {
 		w.linkFreeAt = max(w.linkFreeAt, w.now).Add(w.setup.Times.LinkTime)
-		w.agenda.Plan(w.linkFreeAt, transmit)
+		w.agenda.Add(w.linkFreeAt, transmit)
 	}})
 }
 
--- a/core/world/store.go
+++ b/core/world/store.go
@@ -37,7 +37,7 @@
 	t := w.setup.Times
 	begin := max(w.now, s.freeAt, s.upAt)
 	s.freeAt = begin.Add(scale(t.AppendGap, s.slowdown))
-	w.agenda.Plan(begin.Add(scale(t.Append, s.slowdown)), func() {
+	w.agenda.Add(begin.Add(scale(t.Append, s.slowdown)), func() {
 		if e != 0 && e < s.fences[l] {
 			done(false)
 			return
--- a/core/world/world.go
+++ b/core/world/world.go
@@ -109,7 +109,7 @@
 func (w *World) Now() unit.Instant { return w.now }
 
 // Schedule schedules a function after a delay.
-func (w *World) Schedule(after time.Duration, do func()) { w.agenda.Plan(w.now.Add(after), do) }
+func (w *World) Schedule(after time.Duration, do func()) { w.agenda.Add(w.now.Add(after), do) }
 
 // Run advances the virtual time by d and runs what is scheduled until then.
 func (w *World) Run(d time.Duration) {
@@ -120,7 +120,7 @@
 			break
 		}
 		var do func()
-		w.now, do = w.agenda.Take()
+		w.now, do = w.agenda.Pop()
 		do()
 	}
 	w.now = end
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -249,12 +249,12 @@
 // writeReply writes the final response to the caller.
 func (e *Edge) writeReply(w http.ResponseWriter, c *call, rep route.Reply) route.Ran {
 	setWriteDeadline(w)
-	if rep.Relay == 0 {
+	if rep.RelayedAttempt == 0 {
 		problem.Write(w, problem.FromReply(rep))
 		return rep.Ran
 	}
 	c.mu.Lock()
-	a := c.responses[rep.Relay]
+	a := c.responses[rep.RelayedAttempt]
 	c.mu.Unlock()
 	h := w.Header()
 	for k, v := range a.header {
@@ -303,7 +303,7 @@
 
 // recordOutcome sets the span's status to error unless the response was complete.
 func recordOutcome(span oteltrace.Span, o route.Outcome) {
-	if o != route.Whole {
+	if o != route.Complete {
 		span.SetStatus(codes.Error, string(o))
 	}
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -39,8 +39,8 @@
 func (o *oneBackend) Push(_ context.Context, ev node.Event) bool {
 	if e, ok := ev.(node.Ended); ok {
 		o.ended = append(o.ended, e.Result.Outcome)
-		rep := route.Reply{Request: e.Result.Request, Relay: 1, Ran: route.RanYes}
-		if e.Result.Outcome != route.Whole {
+		rep := route.Reply{Request: e.Result.Request, RelayedAttempt: 1, Ran: route.RanYes}
+		if e.Result.Outcome != route.Complete {
 			rep = route.Reply{Request: e.Result.Request, Code: route.CodeInterrupted, Ran: route.RanUnknown}
 		}
 		o.edge.Reply(rep)
@@ -132,10 +132,10 @@
 		}, route.Leaving},
 		{"unavailable, and it may have run", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
-		}, route.Whole},
+		}, route.Complete},
 		{"any other status is an answer", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusTeapot)
-		}, route.Whole},
+		}, route.Complete},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			_, _, ended, _ := call(t, x.backend, http.Header{})
--- a/internal/edge/probe.go
+++ b/internal/edge/probe.go
@@ -33,12 +33,12 @@
 	}
 	resp, err := e.clients.Probes.Do(req)
 	if err != nil {
-		return route.Unreached, ctx.Err() == nil
+		return route.NotSent, ctx.Err() == nil
 	}
 	defer func() { _ = resp.Body.Close() }()
 	_, _ = io.CopyN(io.Discard, resp.Body, maxProbeBody)
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(RefusalHeader) == string(route.Leaving) {
 		return route.Leaving, true
 	}
-	return route.Whole, true
+	return route.Complete, true
 }
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -37,7 +37,7 @@
 	if c == nil {
 		// The caller has disconnected and the core didn't know it yet. Nothing was
 		// sent.
-		go e.core.Push(context.Background(), node.Ended{Result: route.Result{Attempt: a, Outcome: route.Unreached, Load: -1}})
+		go e.core.Push(context.Background(), node.Ended{Result: route.Result{Attempt: a, Outcome: route.NotSent, Load: -1}})
 		return
 	}
 	go e.attempt(c, a)
@@ -64,7 +64,7 @@
 
 // exchange sends the request once and reads the complete response.
 func (e *Edge) exchange(ctx context.Context, c *call, a route.Attempt) route.Result {
-	res := route.Result{Attempt: a, Outcome: route.Unreached, Load: -1}
+	res := route.Result{Attempt: a, Outcome: route.NotSent, Load: -1}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -92,7 +92,7 @@
 		return res
 	}
 	res.Outcome = classify(resp)
-	if res.Outcome == route.Whole {
+	if res.Outcome == route.Complete {
 		c.store(a.Number, &response{resp.StatusCode, endToEndHeaders(resp.Header), body})
 	}
 	return res
@@ -152,7 +152,7 @@
 // classify tells a backend server's refusal from a response of the service.
 func classify(resp *http.Response) route.Outcome {
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get(RanHeader) != string(route.RanNo) {
-		return route.Whole
+		return route.Complete
 	}
 	if resp.Header.Get(RefusalHeader) == string(route.Leaving) {
 		return route.Leaving
--- a/internal/entry/front.go
+++ b/internal/entry/front.go
@@ -166,7 +166,7 @@
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	q := inForce.Find(host, c.r.URL.Path)
+	q := inForce.QueueFor(host, c.r.URL.Path)
 	if q == nil {
 		return reply{status: http.StatusNotFound, why: "no such queue"}
 	}
@@ -199,7 +199,7 @@
 // false if the key is unknown and the queue needs one.
 func customerOf(c *catalog.Catalog, q *catalog.Queue, r *http.Request) (id.Customer, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	if customer, known := c.Holder(key); ok && known {
+	if customer, known := c.CustomerByKey(key); ok && known {
 		return customer, true
 	}
 	return "", q.Anonymous
