--- a/cmd/curlewsill/cmd/jobs.go
+++ b/cmd/curlewsill/cmd/jobs.go
@@ -50,7 +50,7 @@
 	off, err := cl.Submit(c.env.ctx, record.Job{
 		ID: id.Job(c.ID), Customer: id.Customer(c.Customer), Accelerators: c.Accelerators,
 		Cores: c.Cores, Memory: unit.Bytes(c.MemoryMiB) * unit.MiB, Declared: c.Declared,
-		Once: c.Once, Urgent: c.Urgent, Command: c.Command,
+		AtMostOnce: c.Once, Urgent: c.Urgent, Command: c.Command,
 	})
 	if err != nil {
 		return err
--- a/cmd/curlewsilld/cmd/process_test.go
+++ b/cmd/curlewsilld/cmd/process_test.go
@@ -196,7 +196,7 @@
 	}
 	frozen, leaving, observer := rest[0], rest[1], rest[2]
 	if _, err := observer.client.Submit(ctx, record.Job{
-		ID: "once", Customer: "excursion", Accelerators: 16, Once: true, Declared: time.Minute, Command: "run 12s",
+		ID: "once", Customer: "excursion", Accelerators: 16, AtMostOnce: true, Declared: time.Minute, Command: "run 12s",
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/core/backlog/backlog.go
+++ b/core/backlog/backlog.go
@@ -77,7 +77,7 @@
 	}
 	c := Class{
 		Customer: j.Customer, Accelerators: j.Accelerators, Cores: j.Cores, Memory: j.Memory,
-		Once: j.Once, Urgent: j.Urgent, DurationClass: bits.Len64(uint64(max(j.Declared, 0) / time.Second)),
+		Once: j.AtMostOnce, Urgent: j.Urgent, DurationClass: bits.Len64(uint64(max(j.Declared, 0) / time.Second)),
 	}
 	if alone {
 		c.SoleJob = j.ID
--- a/core/election/election.go
+++ b/core/election/election.go
@@ -102,9 +102,9 @@
 // New returns the election of a host.
 func New(self Member) *Election { return &Election{self: self} }
 
-// Look records a poll of the group. The owner is the host that wrote the newest
+// ObserveGroup records a poll of the group. The owner is the host that wrote the newest
 // claim, or empty if there is none.
-func (e *Election) Look(now unit.Instant, members []Member, owner id.Host) {
+func (e *Election) ObserveGroup(now unit.Instant, members []Member, owner id.Host) {
 	if now.Sub(e.polledAt) > maxViewAge {
 		e.probes.agreedAt = 0 // this host may have been partitioned itself
 	}
@@ -120,10 +120,10 @@
 	e.misses++
 }
 
-// Known records the owner when this host first learns of it. Earlier polls count as
+// LearnOwner records the owner when this host first learns of it. Earlier polls count as
 // misses because no owner was known; if the newest poll shows the owner, those
 // misses are reset.
-func (e *Election) Known(owner id.Host) {
+func (e *Election) LearnOwner(owner id.Host) {
 	if contains(e.members, owner) {
 		e.misses = 0
 	}
@@ -142,33 +142,33 @@
 	}
 }
 
-// Claimed records that some host has claimed. The claimant counts as live until
+// ObserveClaim records that some host has claimed. The claimant counts as live until
 // polls miss it; otherwise every host that has missed the former owner would claim
 // as well.
-func (e *Election) Claimed(now unit.Instant) {
+func (e *Election) ObserveClaim(now unit.Instant) {
 	e.misses, e.missingSince, e.claimedAt = 0, now, now
 	e.probes = probeResults{}
 }
 
-// Owned records that this host has become the owner.
-func (e *Election) Owned(now unit.Instant) { e.ownedAt = now }
+// BecomeOwner records that this host has become the owner.
+func (e *Election) BecomeOwner(now unit.Instant) { e.ownedAt = now }
 
-// Yields reports whether this host, as the owner, should hand ownership over to a
+// ShouldHandOver reports whether this host, as the owner, should hand ownership over to a
 // host of higher ability.
-func (e *Election) Yields(now unit.Instant) bool {
+func (e *Election) ShouldHandOver(now unit.Instant) bool {
 	return e.ablerSince != 0 && now.Sub(e.ablerSince) >= handoverAfter && now.Sub(e.ownedAt) >= minTenure && now.Sub(e.polledAt) <= maxViewAge
 }
 
-// Released records that the owner has released ownership.
-func (e *Election) Released(now unit.Instant) {
+// ObserveRelease records that the owner has released ownership.
+func (e *Election) ObserveRelease(now unit.Instant) {
 	e.claimedAt = 0
 	if e.misses < missesBeforeClaim {
 		e.misses, e.missingSince = missesBeforeClaim, now
 	}
 }
 
-// Claim reports whether this host should claim now.
-func (e *Election) Claim(now unit.Instant) bool {
+// ShouldClaim reports whether this host should claim now.
+func (e *Election) ShouldClaim(now unit.Instant) bool {
 	if now.Sub(e.polledAt) > maxViewAge || !contains(e.members, e.self.Host) {
 		return false
 	}
@@ -201,10 +201,10 @@
 // claim. It also reports true before the first poll of the group.
 func (e *Election) Standby() bool { return len(e.members) == 0 || e.position() < standbyHosts }
 
-// NextLook returns the pause until the next poll of the group.
-func (e *Election) NextLook() time.Duration {
+// PollInterval returns the pause until the next poll of the group.
+func (e *Election) PollInterval() time.Duration {
 	switch {
-	case e.Suspects():
+	case e.MissesInGroup():
 		return fastPollInterval
 	case len(e.members) > 0 && e.position() >= slowPollFrom:
 		return slowPollInterval
@@ -212,8 +212,8 @@
 	return pollInterval
 }
 
-// Suspects reports whether the newest poll missed the owner.
-func (e *Election) Suspects() bool { return e.misses > 0 }
+// MissesInGroup reports whether the newest poll missed the owner.
+func (e *Election) MissesInGroup() bool { return e.misses > 0 }
 
 // contains reports whether a host is a member.
 func contains(members []Member, host id.Host) bool {
--- a/core/election/election_test.go
+++ b/core/election/election_test.go
@@ -50,19 +50,19 @@
 		case "self":
 			e = election.New(member(t, f[1]))
 		case "look":
-			e.Look(at(t, f[1]), members(t, f[3:]), id.Host(strings.TrimPrefix(f[2], "-")))
+			e.ObserveGroup(at(t, f[1]), members(t, f[3:]), id.Host(strings.TrimPrefix(f[2], "-")))
 		case "released":
-			e.Released(at(t, f[1]))
+			e.ObserveRelease(at(t, f[1]))
 		case "owned":
-			e.Owned(at(t, f[1]))
+			e.BecomeOwner(at(t, f[1]))
 		case "yields":
-			expect(t, i, l, e.Yields(at(t, f[1])), f[2])
+			expect(t, i, l, e.ShouldHandOver(at(t, f[1])), f[2])
 		case "claimed":
-			e.Claimed(at(t, f[1]))
+			e.ObserveClaim(at(t, f[1]))
 		case "claim":
-			expect(t, i, l, e.Claim(at(t, f[1])), f[2])
+			expect(t, i, l, e.ShouldClaim(at(t, f[1])), f[2])
 		case "next":
-			if got := e.NextLook().String(); got != f[1] {
+			if got := e.PollInterval().String(); got != f[1] {
 				t.Errorf("line %d: %s: got %s", i+1, l, got)
 			}
 		case "standby":
@@ -78,23 +78,23 @@
 	line := strings.Join(f, " ")
 	switch f[0] {
 	case "known":
-		e.Known(id.Host(f[1]))
+		e.LearnOwner(id.Host(f[1]))
 	case "heard":
-		e.Heard(at(t, f[1]), id.Host(f[2]))
+		e.ProbeAnswered(at(t, f[1]), id.Host(f[2]))
 	case "unanswered":
-		e.Unanswered(id.Host(f[1]))
+		e.ProbeTimedOut(id.Host(f[1]))
 	case "gone":
-		e.Gone(id.Host(f[1]))
+		e.ProbeRefused(id.Host(f[1]))
 	case "misses":
-		expect(t, i, line, e.Misses(at(t, f[1]), id.Host(f[2])), f[3])
+		expect(t, i, line, e.OwnerUnresponsive(at(t, f[1]), id.Host(f[2])), f[3])
 	case "witness":
-		expect(t, i, line, e.Witness(at(t, f[1]), id.Host(f[2])), f[3])
+		expect(t, i, line, e.ConfirmUnresponsive(at(t, f[1]), id.Host(f[2])), f[3])
 	case "agreed":
 		n, err := strconv.Atoi(f[3])
 		if err != nil {
 			t.Fatal(err)
 		}
-		expect(t, i, line, e.Agreed(at(t, f[1]), id.Host(f[2]), n), f[4])
+		expect(t, i, line, e.RecordAgreement(at(t, f[1]), id.Host(f[2]), n), f[4])
 	case "watchers":
 		got := e.Watchers(id.Host(f[1]))
 		expect(t, i, line+fmt.Sprintf(" (%v)", got), slices.Equal(got, hosts(f[2:])), "true")
--- a/core/election/silence.go
+++ b/core/election/silence.go
@@ -77,43 +77,43 @@
 	return out
 }
 
-// Heard records that the owner has answered a probe.
-func (e *Election) Heard(now unit.Instant, owner id.Host) {
+// ProbeAnswered records that the owner has answered a probe.
+func (e *Election) ProbeAnswered(now unit.Instant, owner id.Host) {
 	e.probes = probeResults{owner: owner, answeredAt: now}
 }
 
-// Unanswered records that a probe of the owner timed out.
-func (e *Election) Unanswered(owner id.Host) {
+// ProbeTimedOut records that a probe of the owner timed out.
+func (e *Election) ProbeTimedOut(owner id.Host) {
 	if e.probes.owner == owner {
 		e.probes.unanswered++
 	}
 }
 
-// Gone records that the owner's address refused the connection, or that another
+// ProbeRefused records that the owner's address refused the connection, or that another
 // incarnation of its host answered there.
-func (e *Election) Gone(owner id.Host) {
+func (e *Election) ProbeRefused(owner id.Host) {
 	if e.probes.owner == owner {
 		e.probes.refused = true
 	}
 }
 
-// Misses reports whether the owner is unresponsive to this host, in which case this
+// OwnerUnresponsive reports whether the owner is unresponsive to this host, in which case this
 // host should ask the other watchers.
-func (e *Election) Misses(now unit.Instant, owner id.Host) bool {
+func (e *Election) OwnerUnresponsive(now unit.Instant, owner id.Host) bool {
 	return e.probes.misses(now, owner, missAfter)
 }
 
-// Witness reports, in answer to another watcher, whether the owner is unresponsive
+// ConfirmUnresponsive reports, in answer to another watcher, whether the owner is unresponsive
 // to this host as well.
-func (e *Election) Witness(now unit.Instant, owner id.Host) bool {
+func (e *Election) ConfirmUnresponsive(now unit.Instant, owner id.Host) bool {
 	return e.probes.misses(now, owner, confirmAfter)
 }
 
-// Agreed records how many other watchers miss the owner as well. It reports true
+// RecordAgreement records how many other watchers miss the owner as well. It reports true
 // when the owner is first considered failed: a majority of the watchers must miss
 // it, at least one of them besides this host.
-func (e *Election) Agreed(now unit.Instant, owner id.Host, others int) bool {
-	if others == 0 || 2*(others+1) <= len(e.Watchers(owner)) || !e.Misses(now, owner) {
+func (e *Election) RecordAgreement(now unit.Instant, owner id.Host, others int) bool {
+	if others == 0 || 2*(others+1) <= len(e.Watchers(owner)) || !e.OwnerUnresponsive(now, owner) {
 		return false
 	}
 	if e.claimedAt != 0 && now.Sub(e.claimedAt) < probesCountFrom {
--- a/core/gang/gang.go
+++ b/core/gang/gang.go
@@ -254,7 +254,7 @@
 // requeued, or counts as lost if it must run at most once.
 func (g *Gang) endPartlyRun(now unit.Instant, reason string) {
 	outcome := record.Requeued
-	if g.Job.Once {
+	if g.Job.AtMostOnce {
 		outcome = record.Lost
 	}
 	g.End(now, broken, outcome, reason)
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -113,7 +113,7 @@
 	inv.Racks, inv.rackIndex = nil, map[id.Rack]int{}
 	for _, k := range config.SortedKeys(c.Racks) {
 		inv.rackIndex[k] = len(inv.Racks)
-		usable := state.Usable(c, k)
+		usable := state.UsableAccelerators(c, k)
 		inv.Racks = append(inv.Racks, Rack{ID: k, Config: c.Racks[k], Usable: usable, Live: live[k] & usable})
 	}
 	for _, h := range inv.holdings {
--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -91,7 +91,7 @@
 	n := j.nextBatchLen()
 	raw, err := record.Encode(record.Batch{
 		Version: record.Version, Host: j.host, Incarnation: j.incarnation,
-		Seq: j.seq + 1, Basis: basis, Entries: j.waiting[:n],
+		Seq: j.seq + 1, BasisOffset: basis, Entries: j.waiting[:n],
 	})
 	if err != nil {
 		return nil, err
--- a/core/node/bench_test.go
+++ b/core/node/bench_test.go
@@ -43,7 +43,7 @@
 func (s *single) write(b testing.TB, entries ...record.Entry) {
 	s.seq++
 	raw, err := record.Encode(record.Batch{
-		Version: record.Version, Host: "other", Incarnation: 1, Seq: s.seq, Basis: s.offset, Entries: entries,
+		Version: record.Version, Host: "other", Incarnation: 1, Seq: s.seq, BasisOffset: s.offset, Entries: entries,
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -53,9 +53,9 @@
 }
 
 func (s *single) hosts(n, backends int) {
-	ev := node.Hosts{Backends: map[id.Service]map[id.Backend]bool{"s": {}}}
+	ev := node.HostList{Backends: map[id.Service]map[id.Backend]bool{"s": {}}}
 	for i := range n {
-		ev.Entry = append(ev.Entry, id.Host(fmt.Sprintf("h%d", i)))
+		ev.EntryHosts = append(ev.EntryHosts, id.Host(fmt.Sprintf("h%d", i)))
 	}
 	for i := range backends {
 		ev.Backends["s"][id.Backend(fmt.Sprintf("10.0.0.%d:80", i))] = true
@@ -73,11 +73,11 @@
 			n := id.Request(0)
 			for b.Loop() {
 				n++
-				a := s.Step(s.now, node.Arrived{Request: route.Request{ID: n, Service: "s", Customer: "c"}})
+				a := s.Step(s.now, node.RequestArrived{Request: route.Request{ID: n, Service: "s", Customer: "c"}})
 				if len(a.Sends) != 1 {
 					b.Fatalf("not sent: %+v", a)
 				}
-				s.Step(s.now, node.Ended{Result: route.Result{Attempt: a.Sends[0], Outcome: route.Complete, Load: 1, Took: time.Millisecond}})
+				s.Step(s.now, node.AttemptEnded{Result: route.Result{Attempt: a.Sends[0], Outcome: route.Complete, Load: 1, Took: time.Millisecond}})
 			}
 		})
 	}
@@ -107,9 +107,9 @@
 					}
 					s.Step(s.now, node.Records{First: s.offset + 1, Head: s.offset})
 				}
-				for i := range min(peer.Neighbors, hosts-1) {
+				for i := range min(peer.MaxNeighbors, hosts-1) {
 					for range 2 {
-						s.Step(s.now, node.Heard{Frame: peer.Frame{From: id.Host(fmt.Sprintf("h%d", i+1)), Applied: s.offset}})
+						s.Step(s.now, node.FrameReceived{Frame: peer.Frame{From: id.Host(fmt.Sprintf("h%d", i+1)), Applied: s.offset}})
 					}
 				}
 			}
@@ -174,7 +174,7 @@
 			b.ReportAllocs()
 			size := 0
 			for b.Loop() {
-				data, err := s.Shared().Snapshot()
+				data, err := s.ReplayedState().Snapshot()
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/core/node/message.go
+++ b/core/node/message.go
@@ -36,41 +36,41 @@
 	LogDown struct{}
 	// AppendFailed reports that an append was rejected or got no answer.
 	AppendFailed struct{}
-	// Heard holds a frame received from a peer.
-	Heard struct{ Frame peer.Frame }
-	// Hosts holds the platform's host list.
-	Hosts struct {
-		// Entry lists the entry hosts.
-		Entry []id.Host
+	// FrameReceived holds a frame received from a peer.
+	FrameReceived struct{ Frame peer.Frame }
+	// HostList holds the platform's host list.
+	HostList struct {
+		// EntryHosts lists the entry hosts.
+		EntryHosts []id.Host
 		// Backends lists the backend servers of each service; the value is false
 		// for a backend server that is shutting down.
 		Backends map[id.Service]map[id.Backend]bool
 	}
 	// Report holds a worker's answer to a sync.
 	Report struct{ Report worker.Report }
-	// Arrived holds a new request of a caller.
-	Arrived struct{ Request route.Request }
-	// Ended holds the result of an attempt.
-	Ended struct{ Result route.Result }
-	// Probed holds the result of a probe.
-	Probed struct {
+	// RequestArrived holds a new request of a caller.
+	RequestArrived struct{ Request route.Request }
+	// AttemptEnded holds the result of an attempt.
+	AttemptEnded struct{ Result route.Result }
+	// ProbeEnded holds the result of a probe.
+	ProbeEnded struct {
 		Probe   route.Probe
 		Outcome route.Outcome
 	}
-	// Gone reports that the caller of a request has disconnected.
-	Gone struct{ Request id.Request }
+	// CallerGone reports that the caller of a request has disconnected.
+	CallerGone struct{ Request id.Request }
 	// Propose requests that an entry be written to the log; Settled answers it.
 	Propose struct {
 		Ticket Ticket
 		Entry  record.Entry
 	}
-	// Draw requests a plan for configuration changes; Drawn answers it.
-	Draw struct {
+	// PlanRequest requests a plan for configuration changes; Drawn answers it.
+	PlanRequest struct {
 		Ticket  Ticket
 		Changes []config.Change
 	}
-	// Inspect requests a view; Inspected answers it. Jobs includes the jobs.
-	Inspect struct {
+	// ViewRequest requests a view; Inspected answers it. Jobs includes the jobs.
+	ViewRequest struct {
 		Ticket Ticket
 		Jobs   bool
 	}
@@ -79,21 +79,21 @@
 	Stop struct{}
 )
 
-func (Tick) event()         {}
-func (Records) event()      {}
-func (LogDown) event()      {}
-func (AppendFailed) event() {}
-func (Heard) event()        {}
-func (Hosts) event()        {}
-func (Report) event()       {}
-func (Arrived) event()      {}
-func (Ended) event()        {}
-func (Probed) event()       {}
-func (Gone) event()         {}
-func (Propose) event()      {}
-func (Draw) event()         {}
-func (Inspect) event()      {}
-func (Stop) event()         {}
+func (Tick) event()           {}
+func (Records) event()        {}
+func (LogDown) event()        {}
+func (AppendFailed) event()   {}
+func (FrameReceived) event()  {}
+func (HostList) event()       {}
+func (Report) event()         {}
+func (RequestArrived) event() {}
+func (AttemptEnded) event()   {}
+func (ProbeEnded) event()     {}
+func (CallerGone) event()     {}
+func (Propose) event()        {}
+func (PlanRequest) event()    {}
+func (ViewRequest) event()    {}
+func (Stop) event()           {}
 
 // Actions lists what the caller of Step has to do. The actions may be carried out
 // in any order and concurrently.
@@ -108,10 +108,10 @@
 	Sends   []route.Attempt
 	Probes  []route.Probe
 	Replies []route.Reply
-	// Settled, Drawn and Inspected answer earlier events by their tickets.
-	Settled   []Settled
-	Drawn     []Drawn
-	Inspected []Inspected
+	// Verdicts, Drawn and Inspected answer earlier events by their tickets.
+	Verdicts []EntryVerdict
+	Plans    []PlanResult
+	Views    []ViewResult
 	// Stopped is set once a planned stop is complete.
 	Stopped bool
 	// Faults lists violated invariants, which the caller logs and counts. The
@@ -125,23 +125,23 @@
 	Frame peer.Frame
 }
 
-// Settled is the verdict on an entry of a Propose event.
-type Settled struct {
+// EntryVerdict is the verdict on an entry of a Propose event.
+type EntryVerdict struct {
 	Ticket Ticket
 	Offset id.Offset
 	// Verdict is nil if the entry was accepted.
 	Verdict error
 }
 
-// Drawn is the plan that a Draw event requested.
-type Drawn struct {
+// PlanResult is the plan that a Draw event requested.
+type PlanResult struct {
 	Ticket Ticket
 	Plan   plan.Plan
 	Err    error
 }
 
-// Inspected is the view that an Inspect event requested.
-type Inspected struct {
+// ViewResult is the view that an Inspect event requested.
+type ViewResult struct {
 	Ticket Ticket
 	View   View
 }
@@ -160,8 +160,8 @@
 	Heartbeat owner.Heartbeat `json:"heartbeat"`
 	Jobs      []state.Job     `json:"jobs"`
 	Peers     []id.Host       `json:"peers"`
-	// Flying is the number of requests in flight, which have no final answer yet.
-	Flying int `json:"flying"`
+	// InFlight is the number of requests in flight, which have no final answer yet.
+	InFlight int `json:"flying"`
 	// Sched is set on the owner only.
 	Sched sched.Stats `json:"sched"`
 	// LogAge is the time since the log was last read.
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -33,7 +33,7 @@
 	Ready    State = "ready"
 	Isolated State = "isolated"
 	Draining State = "draining"
-	Done     State = "stopped"
+	Stopped  State = "stopped"
 )
 
 const (
@@ -175,30 +175,30 @@
 		n.readFailed = true
 	case AppendFailed:
 		n.journal.AppendFailed(now)
-	case Heard:
+	case FrameReceived:
 		n.receiveFrame(now, ev.Frame)
-	case Hosts:
+	case HostList:
 		n.setHosts(now, ev)
 	case Report:
 		if n.sched != nil {
 			n.sched.Report(now, ev.Report)
 			n.schedule(now)
 		}
-	case Arrived:
+	case RequestArrived:
 		n.arrived(now, ev.Request)
-	case Ended:
+	case AttemptEnded:
 		n.router.AttemptEnded(now, ev.Result)
-	case Probed:
+	case ProbeEnded:
 		n.router.Probed(now, ev.Probe, ev.Outcome)
-	case Gone:
+	case CallerGone:
 		n.router.CallerGone(ev.Request)
 	case Propose:
 		n.propose(ev)
-	case Draw:
+	case PlanRequest:
 		p, err := plan.New(n.state, ev.Changes)
-		n.out.Drawn = append(n.out.Drawn, Drawn{ev.Ticket, p, err})
-	case Inspect:
-		n.out.Inspected = append(n.out.Inspected, Inspected{ev.Ticket, n.view(now, ev.Jobs)})
+		n.out.Plans = append(n.out.Plans, PlanResult{ev.Ticket, p, err})
+	case ViewRequest:
+		n.out.Views = append(n.out.Views, ViewResult{ev.Ticket, n.view(now, ev.Jobs)})
 	case Stop:
 		n.stop(now)
 	}
@@ -244,7 +244,7 @@
 	n.advanceHostState(now)
 	n.router.Tick(now)
 	n.router.Probe(now, n.self, n.peers.Near(now))
-	if now.Sub(n.heartbeatAt) >= peer.Every {
+	if now.Sub(n.heartbeatAt) >= peer.FrameInterval {
 		n.heartbeatAt = now
 		n.sendHeartbeats(now)
 	}
@@ -300,7 +300,7 @@
 // isolated reports whether for isolatedAfter the log could not be read and no peer's
 // frame arrived.
 func (n *Node) isolated(now unit.Instant) bool {
-	return now.Sub(n.readAt) > isolatedAfter && !n.peers.Heard(now, isolatedAfter)
+	return now.Sub(n.readAt) > isolatedAfter && !n.peers.AnyFrameWithin(now, isolatedAfter)
 }
 
 // stop starts a planned stop.
@@ -349,9 +349,9 @@
 }
 
 // setHosts applies the platform's host list.
-func (n *Node) setHosts(now unit.Instant, ev Hosts) {
-	n.peers.List(now, ev.Entry)
-	n.hostCount = max(len(ev.Entry), 1)
+func (n *Node) setHosts(now unit.Instant, ev HostList) {
+	n.peers.SetHosts(now, ev.EntryHosts)
+	n.hostCount = max(len(ev.EntryHosts), 1)
 	n.backends = ev.Backends
 	n.configureRouter(now)
 }
--- a/core/node/own.go
+++ b/core/node/own.go
@@ -12,11 +12,11 @@
 // propose queues the entry of a Propose event.
 func (n *Node) propose(ev Propose) {
 	if n.halted != nil {
-		n.out.Settled = append(n.out.Settled, Settled{Ticket: ev.Ticket, Verdict: ErrHalted})
+		n.out.Verdicts = append(n.out.Verdicts, EntryVerdict{Ticket: ev.Ticket, Verdict: ErrHalted})
 		return
 	}
 	if err := n.write(origin{entry: ev.Entry, ticket: ev.Ticket}); err != nil {
-		n.out.Settled = append(n.out.Settled, Settled{Ticket: ev.Ticket, Verdict: err})
+		n.out.Verdicts = append(n.out.Verdicts, EntryVerdict{Ticket: ev.Ticket, Verdict: err})
 	}
 }
 
@@ -32,10 +32,10 @@
 
 // claimKey queues the claim or the release of a request's idempotency key.
 func (n *Node) claimKey(now unit.Instant, c route.Claim) {
-	once := &record.Once{Customer: c.Customer, Key: c.Key, Host: n.self, Request: c.Request}
-	o := origin{entry: record.Entry{Once: once}, request: c.Request}
+	once := &record.KeyClaim{Customer: c.Customer, Key: c.Key, Host: n.self, Request: c.Request}
+	o := origin{entry: record.Entry{ClaimKey: once}, request: c.Request}
 	if c.Release {
-		o = origin{entry: record.Entry{Release: once}}
+		o = origin{entry: record.Entry{ReleaseKey: once}}
 	}
 	if err := n.write(o); err != nil && !c.Release {
 		n.router.ClaimDecided(now, c.Request, err)
@@ -48,7 +48,7 @@
 	delete(n.origins, t)
 	switch {
 	case o.ticket != 0:
-		n.out.Settled = append(n.out.Settled, Settled{o.ticket, off, verdict})
+		n.out.Verdicts = append(n.out.Verdicts, EntryVerdict{o.ticket, off, verdict})
 	case o.request != 0:
 		n.router.ClaimDecided(now, o.request, verdict)
 	case n.sched != nil && (o.entry.Place != nil || o.entry.End != nil):
@@ -62,7 +62,7 @@
 		return
 	}
 	current := n.state.Owner.Epoch
-	if !n.election.Claim(now, current, n.peers.Live(now)) {
+	if !n.election.ShouldClaim(now, current, n.peers.Live(now)) {
 		return
 	}
 	n.counts.Claims++
--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -57,7 +57,7 @@
 		n.sched.Reload()
 	}
 	n.snapshotOffset, n.snapshotAt = n.state.Applied, now
-	own := n.state.Writers[state.Life{Host: n.self, Incarnation: n.incarnation}]
+	own := n.state.Writers[state.WriterID{Host: n.self, Incarnation: n.incarnation}]
 	for _, t := range n.journal.SnapshotRestored(own.Seq) {
 		n.settle(now, t, 0, ErrUnknownVerdict)
 	}
@@ -89,7 +89,7 @@
 
 // observeEntries updates this host from the entries of a batch of any host: the
 // newest snapshot, the owned epoch and the scheduler. It then checks the witness.
-func (n *Node) observeEntries(now unit.Instant, a state.Applied) {
+func (n *Node) observeEntries(now unit.Instant, a state.ApplyResult) {
 	mayAffectWitness := false
 	for i, e := range a.Batch.Entries {
 		if a.Verdicts[i] != nil {
@@ -105,7 +105,7 @@
 		if n.sched != nil {
 			n.sched.Accepted(now, e)
 		}
-		mayAffectWitness = mayAffectWitness || e.Snapshot == nil && e.Submit == nil && e.Once == nil
+		mayAffectWitness = mayAffectWitness || e.Snapshot == nil && e.Submit == nil && e.ClaimKey == nil
 	}
 	if !mayAffectWitness {
 		return
@@ -134,9 +134,9 @@
 func (n *Node) followOwner(now unit.Instant) {
 	o := n.state.Owner
 	if o.Epoch > n.election.Heartbeat().Epoch {
-		n.election.Accepted(now, o.Epoch)
+		n.election.ClaimAccepted(now, o.Epoch)
 	}
-	mine := o.Host == n.self && n.hostState != Draining && n.hostState != Done
+	mine := o.Host == n.self && n.hostState != Draining && n.hostState != Stopped
 	switch {
 	case !mine || n.halted != nil || n.election.Heartbeat().Epoch > o.Epoch:
 		n.sched = nil
@@ -170,7 +170,7 @@
 // frame returns a frame without records.
 func (n *Node) frame(now unit.Instant, b owner.Heartbeat) peer.Frame {
 	return peer.Frame{
-		From: n.self, Applied: n.state.Applied, Heartbeat: b, CheckAt: n.digestAt, Check: n.digest,
+		From: n.self, Applied: n.state.Applied, Heartbeat: b, DigestAt: n.digestAt, Digest: n.digest,
 		Leaving: n.router.Departures(now), Stopping: n.hostState == Draining,
 	}
 }
@@ -180,13 +180,13 @@
 func (n *Node) catchUp(now unit.Instant, f peer.Frame) {
 	reply := n.frame(now, n.election.Heartbeat())
 	switch {
-	case f.Behind && f.Applied < n.state.Applied:
+	case f.WantsRecords && f.Applied < n.state.Applied:
 		reply.First, reply.Records = n.recent.after(f.Applied)
 		if len(reply.Records) == 0 {
 			return
 		}
 	case f.Applied > n.state.Applied && !n.logUp(now):
-		reply.Behind = true
+		reply.WantsRecords = true
 	default:
 		return
 	}
@@ -195,15 +195,15 @@
 
 // receiveFrame handles a frame of a peer.
 func (n *Node) receiveFrame(now unit.Instant, f peer.Frame) {
-	n.peers.Hear(now, f)
-	n.election.Hear(now, f.Heartbeat)
+	n.peers.ReceiveFrame(now, f)
+	n.election.ReceiveHeartbeat(now, f.Heartbeat)
 	n.peerHeard = n.peerHeard || n.backends != nil
 	for _, d := range f.Leaving {
 		n.router.PeerReportedLeaving(now, d)
 	}
-	if f.CheckAt != 0 && f.CheckAt == n.digestAt && f.Check != n.digest {
+	if f.DigestAt != 0 && f.DigestAt == n.digestAt && f.Digest != n.digest {
 		n.counts.Diverged++
-		n.fault(fmt.Errorf("%w: %s at offset %d", ErrDiverged, f.From, f.CheckAt))
+		n.fault(fmt.Errorf("%w: %s at offset %d", ErrDiverged, f.From, f.DigestAt))
 	}
 	if len(f.Records) > 0 && f.First <= n.state.Applied+1 {
 		n.records(now, Records{First: f.First, Raw: f.Records})
--- a/core/node/view.go
+++ b/core/node/view.go
@@ -12,7 +12,7 @@
 	v := View{
 		Host: n.self, State: n.hostState, Applied: n.state.Applied, ConfigAt: n.state.ConfigAt,
 		Config: n.state.Config, Owner: n.state.Owner, Heartbeat: n.election.Heartbeat(),
-		Peers: n.peers.Live(now), Flying: n.router.InFlight(), Counts: n.counts, Now: now,
+		Peers: n.peers.Live(now), InFlight: n.router.InFlight(), Counts: n.counts, Now: now,
 		LogAge: now.Sub(n.readAt),
 	}
 	if n.sched != nil {
@@ -39,5 +39,5 @@
 // Digest returns the digest of the replayed state.
 func (n *Node) Digest() (uint64, error) { return n.state.Digest() }
 
-// Shared returns the replayed state. The caller must not change it.
-func (n *Node) Shared() *state.State { return n.state }
+// ReplayedState returns the replayed state. The caller must not change it.
+func (n *Node) ReplayedState() *state.State { return n.state }
--- a/core/owner/owner.go
+++ b/core/owner/owner.go
@@ -60,8 +60,8 @@
 	return &Election{self: self, lastAt: now}
 }
 
-// Hear records a heartbeat received from any peer.
-func (e *Election) Hear(now unit.Instant, b Heartbeat) {
+// ReceiveHeartbeat records a heartbeat received from any peer.
+func (e *Election) ReceiveHeartbeat(now unit.Instant, b Heartbeat) {
 	if b.after(e.last) {
 		e.last, e.lastAt = b, now
 	}
@@ -73,18 +73,18 @@
 
 // Advance increments the owner's own heartbeat and returns it.
 func (e *Election) Advance(now unit.Instant, epoch id.Epoch, leaving bool) Heartbeat {
-	e.Hear(now, Heartbeat{Epoch: epoch, Count: e.last.Count + 1, Leaving: leaving})
+	e.ReceiveHeartbeat(now, Heartbeat{Epoch: epoch, Count: e.last.Count + 1, Leaving: leaving})
 	return e.last
 }
 
-// Accepted records that the claim of epoch was accepted in the log.
-func (e *Election) Accepted(now unit.Instant, epoch id.Epoch) {
-	e.Hear(now, Heartbeat{Epoch: epoch})
+// ClaimAccepted records that the claim of epoch was accepted in the log.
+func (e *Election) ClaimAccepted(now unit.Instant, epoch id.Epoch) {
+	e.ReceiveHeartbeat(now, Heartbeat{Epoch: epoch})
 }
 
-// Claim reports whether the host should claim now. The epoch in force is current;
+// ShouldClaim reports whether the host should claim now. The epoch in force is current;
 // live lists the live hosts, including this one, in any order.
-func (e *Election) Claim(now unit.Instant, current id.Epoch, live []id.Host) bool {
+func (e *Election) ShouldClaim(now unit.Instant, current id.Epoch, live []id.Host) bool {
 	if e.last.Epoch > current {
 		// A peer knows of a newer owner, whose claim this host has yet to read from
 		// the log.
--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -22,10 +22,10 @@
 
 // Intervals and timeouts of the heartbeats, and the number of their receivers.
 const (
-	// Every is the interval between two frames to the same neighbor.
-	Every = 500 * time.Millisecond
-	// Neighbors is the number of hosts to which one host sends frames.
-	Neighbors = 4
+	// FrameInterval is the interval between two frames to the same neighbor.
+	FrameInterval = 500 * time.Millisecond
+	// MaxNeighbors is the number of hosts to which one host sends frames.
+	MaxNeighbors = 4
 	// LiveTimeout is how long after its last frame a host counts as live if the
 	// platform's host list doesn't contain it.
 	LiveTimeout = 4 * time.Second
@@ -43,15 +43,15 @@
 	Applied   id.Offset       `cbor:"2,keyasint"`
 	Heartbeat owner.Heartbeat `cbor:"3,keyasint"`
 	// Check is the digest of the sender's state at offset CheckAt.
-	CheckAt id.Offset `cbor:"4,keyasint,omitempty"`
-	Check   uint64    `cbor:"5,keyasint,omitempty"`
+	DigestAt id.Offset `cbor:"4,keyasint,omitempty"`
+	Digest   uint64    `cbor:"5,keyasint,omitempty"`
 	// Leaving lists backend servers that the sender knows to be shutting down.
 	Leaving []route.LeavingEvidence `cbor:"6,keyasint,omitempty"`
 	// Stopping is set while the sender is draining.
 	Stopping bool `cbor:"7,keyasint,omitempty"`
-	// Behind requests the records after Applied from the receiver, because the
+	// WantsRecords requests the records after Applied from the receiver, because the
 	// sender can't read the log.
-	Behind bool `cbor:"10,keyasint,omitempty"`
+	WantsRecords bool `cbor:"10,keyasint,omitempty"`
 	// Records are consecutive records of the log, the first at offset First.
 	First   id.Offset `cbor:"8,keyasint,omitempty"`
 	Records [][]byte  `cbor:"9,keyasint,omitempty"`
@@ -76,10 +76,10 @@
 	return &Table{self: self, peers: map[id.Host]*entry{}}
 }
 
-// List applies the platform's list of live hosts, which may be out of date. An
+// SetHosts applies the platform's list of live hosts, which may be out of date. An
 // unlisted host without a frame for forgetAfter is removed, so that the table
 // doesn't grow as hosts are replaced.
-func (t *Table) List(now unit.Instant, hosts []id.Host) {
+func (t *Table) SetHosts(now unit.Instant, hosts []id.Host) {
 	for _, p := range t.peers {
 		p.listed = false
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-// Hear records a received frame.
-func (t *Table) Hear(now unit.Instant, f Frame) {
+// ReceiveFrame records a received frame.
+func (t *Table) ReceiveFrame(now unit.Instant, f Frame) {
 	p := t.get(f.From)
 	p.frameAt, p.applied, p.stopping = now, f.Applied, f.Stopping
 }
@@ -128,7 +128,7 @@
 // peer even if all its neighbors are unreachable.
 func (t *Table) Targets(now unit.Instant, extra bool, round int) []id.Host {
 	live := t.Live(now)
-	out := rank.Neighbors(t.self, live, Neighbors)
+	out := rank.Neighbors(t.self, live, MaxNeighbors)
 	if extra {
 		if h := live[round%len(live)]; h != t.self && !slices.Contains(out, h) {
 			out = append(out, h)
@@ -159,8 +159,8 @@
 	return config.SortedKeys(near)
 }
 
-// Heard reports whether any peer sent a frame within d.
-func (t *Table) Heard(now unit.Instant, d time.Duration) bool {
+// AnyFrameWithin reports whether any peer sent a frame within d.
+func (t *Table) AnyFrameWithin(now unit.Instant, d time.Duration) bool {
 	for _, p := range t.peers {
 		if p.frameAt != 0 && now.Sub(p.frameAt) <= d {
 			return true
--- a/core/peer/peer_test.go
+++ b/core/peer/peer_test.go
@@ -18,8 +18,8 @@
 	now := unit.Instant(time.Hour)
 	for i := range replaced {
 		h := id.Host(fmt.Sprint("h", i))
-		table.Hear(now, peer.Frame{From: h})
-		table.List(now, []id.Host{"self", h})
+		table.ReceiveFrame(now, peer.Frame{From: h})
+		table.SetHosts(now, []id.Host{"self", h})
 		now = now.Add(time.Minute)
 	}
 	if n := table.Len(); n > 15 {
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -111,7 +111,7 @@
 	}
 	var out []id.Job
 	for _, k := range config.SortedKeys(st.Jobs) {
-		if j := st.Jobs[k]; j.State == state.Running && !j.Firm() {
+		if j := st.Jobs[k]; j.State == state.Running && !j.NonPreemptible() {
 			out = append(out, k)
 		}
 	}
--- a/core/proof/check_test.go
+++ b/core/proof/check_test.go
@@ -88,7 +88,7 @@
 // once reports whether a job must not be repeated, according to its submission.
 func (w *world) once(j id.Job) bool {
 	s, ok := w.submitted[j]
-	return ok && s.Once
+	return ok && s.AtMostOnce
 }
 
 // gangSize returns the number of workers in the job's gang, which follows from
--- a/core/proof/disturb_test.go
+++ b/core/proof/disturb_test.go
@@ -59,7 +59,7 @@
 	queued := m.queued
 	m.queued = nil
 	for _, ev := range queued {
-		if q, ok := ev.(node.Arrived); ok {
+		if q, ok := ev.(node.RequestArrived); ok {
 			// A paused process accepts a request only once it is resumed.
 			w.calls[callID{m.name, q.Request.ID}].arrivedAt = w.now
 		}
--- a/core/proof/long_test.go
+++ b/core/proof/long_test.go
@@ -145,7 +145,7 @@
 	name := c.newName("j")
 	c.propose(m, name, record.Entry{Submit: &record.Submit{Job: record.Job{
 		ID: id.Job(name), Customer: []id.Customer{"frost", "ghent"}[c.rng.IntN(2)],
-		Accelerators: sizes[c.rng.IntN(len(sizes))], Once: c.rng.IntN(3) == 0, Urgent: c.rng.IntN(5) == 0,
+		Accelerators: sizes[c.rng.IntN(len(sizes))], AtMostOnce: c.rng.IntN(3) == 0, Urgent: c.rng.IntN(5) == 0,
 		Declared: time.Duration(1+c.rng.IntN(100)) * time.Second, Command: commands[c.rng.IntN(len(commands))],
 		Submitted: c.now,
 	}}})
@@ -203,7 +203,7 @@
 			c.scheduleWithin(time.Second, func() {
 				if x := c.calls[callID{m.name, req}]; x != nil && len(x.replies) == 0 && x.incarnation == m.incarnation {
 					x.callerGone = true
-					c.step(m, node.Gone{Request: req})
+					c.step(m, node.CallerGone{Request: req})
 				}
 			})
 		}
@@ -224,7 +224,7 @@
 				ID: "extra", Customer: "ghent", Size: 1 << c.rng.IntN(6), Count: 1 + c.rng.IntN(3),
 			}}
 		}
-		p, err := plan.New(m.core.Shared(), []config.Change{change})
+		p, err := plan.New(m.core.ReplayedState(), []config.Change{change})
 		if err != nil {
 			c.reportViolation("plan: %v", err)
 			return
--- a/core/proof/script_test.go
+++ b/core/proof/script_test.go
@@ -253,7 +253,7 @@
 		changes = append(changes, config.Change{DeleteService: id.Service(w.named["delete"])})
 	}
 	m := s.machines[id.Host(w.at(1))]
-	p, err := plan.New(m.core.Shared(), changes)
+	p, err := plan.New(m.core.ReplayedState(), changes)
 	s.plans[w.at(0)] = p
 	if err == nil && p.Problem != "" {
 		return fmt.Errorf("%s", p.Problem)
@@ -285,7 +285,7 @@
 	}
 	s.propose(m, w.at(0), record.Entry{Submit: &record.Submit{Job: record.Job{
 		ID: id.Job(w.at(0)), Customer: id.Customer(w.named["customer"]), Accelerators: w.number("size", 1),
-		Declared: w.duration("declared", time.Hour), Once: w.named["once"] == "yes", Urgent: w.named["urgent"] == "yes",
+		Declared: w.duration("declared", time.Hour), AtMostOnce: w.named["once"] == "yes", Urgent: w.named["urgent"] == "yes",
 		Command: strings.ReplaceAll(w.named["run"], "-", " "), Submitted: s.now,
 		Cores: w.number("cores", 0),
 	}}})
@@ -338,7 +338,7 @@
 	for k, c := range s.calls {
 		if c.name == w.at(0) {
 			c.callerGone = true
-			s.step(s.machines[k.host], node.Gone{Request: k.req})
+			s.step(s.machines[k.host], node.CallerGone{Request: k.req})
 		}
 	}
 	return nil
--- a/core/proof/world_test.go
+++ b/core/proof/world_test.go
@@ -358,7 +358,7 @@
 	for _, r := range a.Replies {
 		w.reply(m, r)
 	}
-	for _, s := range a.Settled {
+	for _, s := range a.Verdicts {
 		w.verdicts[w.tickets[s.Ticket]] = s.Verdict
 	}
 	if a.Stopped {
@@ -436,10 +436,10 @@
 // sendHostList delivers the host list to a host. The list shows a leaving
 // backend server as leaving only after listLag.
 func (w *world) sendHostList(m *machine) {
-	ev := node.Hosts{Backends: map[id.Service]map[id.Backend]bool{"svc": {}}}
+	ev := node.HostList{Backends: map[id.Service]map[id.Backend]bool{"svc": {}}}
 	for _, h := range config.SortedKeys(w.machines) {
 		if w.machines[h].up {
-			ev.Entry = append(ev.Entry, h)
+			ev.EntryHosts = append(ev.EntryHosts, h)
 		}
 	}
 	for _, b := range config.SortedKeys(w.backends) {
@@ -456,7 +456,7 @@
 		return
 	}
 	incarnation := to.incarnation
-	w.schedule(w.delay(), func() { w.stepIncarnation(to, incarnation, node.Heard{Frame: f.Frame}) })
+	w.schedule(w.delay(), func() { w.stepIncarnation(to, incarnation, node.FrameReceived{Frame: f.Frame}) })
 }
 
 // sendSync sends a sync to a worker, and the worker's report back. Either may
@@ -557,7 +557,7 @@
 	case b.mode == "hang":
 		return
 	}
-	w.schedule(w.delay(), func() { w.stepIncarnation(m, incarnation, node.Probed{Probe: p, Outcome: o}) })
+	w.schedule(w.delay(), func() { w.stepIncarnation(m, incarnation, node.ProbeEnded{Probe: p, Outcome: o}) })
 }
 
 // sendAttempt sends an attempt of a request to a backend server.
@@ -574,7 +574,7 @@
 			if o == route.Complete && c.wholeAttempts != nil {
 				c.wholeAttempts[a.Number] = true
 			}
-			w.stepIncarnation(m, incarnation, node.Ended{Result: res})
+			w.stepIncarnation(m, incarnation, node.AttemptEnded{Result: res})
 		})
 	}
 	w.checkSend(m, b, a)
@@ -641,7 +641,7 @@
 	w.lastRequest++
 	q.ID = w.lastRequest
 	w.calls[callID{m.name, q.ID}] = &call{name: name, request: q, wholeAttempts: map[int]bool{}, arrivedAt: w.now, incarnation: m.incarnation}
-	w.step(m, node.Arrived{Request: q})
+	w.step(m, node.RequestArrived{Request: q})
 }
 
 // anyHost returns the first host that is ready, not paused and able to reach
--- a/core/record/batch.go
+++ b/core/record/batch.go
@@ -42,9 +42,9 @@
 	// Seq increases by one with each batch of a writer. A retried append has the
 	// same Seq.
 	Seq id.Seq `cbor:"4,keyasint"`
-	// Basis is the last offset that the writer had applied when it wrote the batch.
-	Basis   id.Offset `cbor:"5,keyasint"`
-	Entries []Entry   `cbor:"6,keyasint"`
+	// BasisOffset is the last offset that the writer had applied when it wrote the batch.
+	BasisOffset id.Offset `cbor:"5,keyasint"`
+	Entries     []Entry   `cbor:"6,keyasint"`
 }
 
 var batches = codec.New[Batch]()
--- a/core/record/entry.go
+++ b/core/record/entry.go
@@ -11,15 +11,15 @@
 
 // Entry is one change of the state within a batch. Exactly one field is set.
 type Entry struct {
-	Claim     *Claim     `cbor:"1,keyasint,omitempty"`
-	Configure *Configure `cbor:"2,keyasint,omitempty"`
-	Submit    *Submit    `cbor:"3,keyasint,omitempty"`
-	Cancel    *Cancel    `cbor:"4,keyasint,omitempty"`
-	Place     *Place     `cbor:"5,keyasint,omitempty"`
-	End       *End       `cbor:"6,keyasint,omitempty"`
-	Once      *Once      `cbor:"7,keyasint,omitempty"`
-	Snapshot  *Chunk     `cbor:"8,keyasint,omitempty"`
-	Release   *Once      `cbor:"9,keyasint,omitempty"`
+	Claim      *Claim         `cbor:"1,keyasint,omitempty"`
+	Configure  *Configure     `cbor:"2,keyasint,omitempty"`
+	Submit     *Submit        `cbor:"3,keyasint,omitempty"`
+	Cancel     *Cancel        `cbor:"4,keyasint,omitempty"`
+	Place      *Place         `cbor:"5,keyasint,omitempty"`
+	End        *End           `cbor:"6,keyasint,omitempty"`
+	ClaimKey   *KeyClaim      `cbor:"7,keyasint,omitempty"`
+	Snapshot   *SnapshotChunk `cbor:"8,keyasint,omitempty"`
+	ReleaseKey *KeyClaim      `cbor:"9,keyasint,omitempty"`
 }
 
 // Claim makes a host the owner of scheduling. It is accepted only if the epoch it
@@ -50,8 +50,8 @@
 	Memory unit.Bytes `cbor:"5,keyasint,omitempty" json:"memory,omitempty"`
 	// Declared is the run time as estimated by the customer. It isn't trusted.
 	Declared time.Duration `cbor:"6,keyasint" json:"declared"`
-	// Once marks a job that must never be started a second time.
-	Once bool `cbor:"7,keyasint,omitempty" json:"once,omitempty"`
+	// AtMostOnce marks a job that must never be started a second time.
+	AtMostOnce bool `cbor:"7,keyasint,omitempty" json:"once,omitempty"`
 	// Urgent puts the job before all other jobs of the same customer and lets it
 	// preempt gangs on borrowed capacity.
 	Urgent bool `cbor:"8,keyasint,omitempty" json:"urgent,omitempty"`
@@ -128,19 +128,19 @@
 	Reason  string   `cbor:"5,keyasint,omitempty"`
 }
 
-// Once claims the idempotency key of a request that must not be repeated. The first
+// KeyClaim claims the idempotency key of a request that must not be repeated. The first
 // accepted claim holds the key; only its writer may send the request, and only once.
 // In Entry.Release it releases the claim, which the writer does only if it hasn't
 // sent the request.
-type Once struct {
+type KeyClaim struct {
 	Customer id.Customer `cbor:"1,keyasint"`
 	Key      string      `cbor:"2,keyasint"`
 	Host     id.Host     `cbor:"3,keyasint"`
 	Request  id.Request  `cbor:"4,keyasint"`
 }
 
-// Chunk is one part of a snapshot of the state.
-type Chunk struct {
+// SnapshotChunk is one part of a snapshot of the state.
+type SnapshotChunk struct {
 	// Covers is the offset of the last record that the snapshot includes.
 	Covers id.Offset `cbor:"1,keyasint"`
 	// Index counts the chunks from 0 to Count-1.
--- a/core/record/record_test.go
+++ b/core/record/record_test.go
@@ -10,7 +10,7 @@
 
 func batch() record.Batch {
 	return record.Batch{
-		Version: record.Version, Host: "h", Incarnation: 7, Seq: 3, Basis: 9,
+		Version: record.Version, Host: "h", Incarnation: 7, Seq: 3, BasisOffset: 9,
 		Entries: []record.Entry{{Claim: &record.Claim{Host: "h", Replaces: 4}}, {Cancel: &record.Cancel{Job: "j"}}},
 	}
 }
--- a/core/recovery/recovery.go
+++ b/core/recovery/recovery.go
@@ -44,11 +44,11 @@
 type Loader struct {
 	records []Record
 	// chunks has the collected chunks of each snapshot, by Chunk.Index.
-	chunks map[snapshotKey]map[int]record.Chunk
+	chunks map[snapshotKey]map[int]record.SnapshotChunk
 }
 
 // New returns an empty loader.
-func New() *Loader { return &Loader{chunks: map[snapshotKey]map[int]record.Chunk{}} }
+func New() *Loader { return &Loader{chunks: map[snapshotKey]map[int]record.SnapshotChunk{}} }
 
 // Add adds the next record. If its offset doesn't follow that of the previous
 // record, the loader first drops everything that it has collected.
@@ -68,10 +68,10 @@
 	}
 }
 
-func (l *Loader) collect(c record.Chunk) {
+func (l *Loader) collect(c record.SnapshotChunk) {
 	k := snapshotKey{c.Covers, c.Digest}
 	if l.chunks[k] == nil {
-		l.chunks[k] = map[int]record.Chunk{}
+		l.chunks[k] = map[int]record.SnapshotChunk{}
 	}
 	l.chunks[k][c.Index] = c
 }
@@ -105,14 +105,14 @@
 	return nil, false
 }
 
-func complete(chunks map[int]record.Chunk) bool {
+func complete(chunks map[int]record.SnapshotChunk) bool {
 	for _, c := range chunks {
 		return len(chunks) == c.Count
 	}
 	return false
 }
 
-func joinChunks(chunks map[int]record.Chunk) []byte {
+func joinChunks(chunks map[int]record.SnapshotChunk) []byte {
 	var out []byte
 	for i := range len(chunks) {
 		out = append(out, chunks[i].Data...)
@@ -129,7 +129,7 @@
 	digest := xxhash.Sum64(data)
 	var out []record.Entry
 	for part := range slices.Chunk(data, int(ChunkSize)) {
-		out = append(out, record.Entry{Snapshot: &record.Chunk{
+		out = append(out, record.Entry{Snapshot: &record.SnapshotChunk{
 			Covers: st.Applied, Index: len(out), Digest: digest, Data: part,
 		}})
 	}
--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -70,7 +70,7 @@
 func (x *benchSite) write(b testing.TB, entries ...record.Entry) []error {
 	x.seq++
 	raw, err := record.Encode(record.Batch{
-		Version: record.Version, Host: "h", Incarnation: 1, Seq: x.seq, Basis: x.st.Applied, Entries: entries,
+		Version: record.Version, Host: "h", Incarnation: 1, Seq: x.seq, BasisOffset: x.st.Applied, Entries: entries,
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -51,7 +51,7 @@
 	}
 	if best.vacant {
 		s.startGang(now, j, best.block, best.cell, best.home)
-		s.inventory.Refresh(s.state.Config, s.state.Spare)
+		s.inventory.Refresh(s.state.Config, s.state.Witness)
 		return started
 	}
 	s.preempt(now, best.block, "the guarantee of customer "+string(j.Customer)+" is reclaimed")
@@ -205,7 +205,7 @@
 		}
 	}
 	choose := s.policy.Choose
-	if j.Once {
+	if j.AtMostOnce {
 		choose = s.chooseForNonPreemptible
 	}
 	b, ok := choose(rooms, j.Accelerators, s.demand)
@@ -241,7 +241,7 @@
 func (s *Scheduler) preempt(now unit.Instant, b block.Block, reason string) {
 	for _, jobID := range config.SortedKeys(s.gangsInRack(b.Rack)) {
 		r := s.gangs[jobID]
-		if r.Cell.Guarantee != "" || r.Job.Once || !r.Block.Overlaps(b) {
+		if r.Cell.Guarantee != "" || r.Job.AtMostOnce || !r.Block.Overlaps(b) {
 			continue
 		}
 		if r.State == gang.Stopping || r.State == gang.Released {
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -41,7 +41,7 @@
 	s.gangs[r.Job.ID] = r
 	s.inventory.Add(r.Job.ID, inventory.Holding{
 		Customer: r.Job.Customer, Block: r.Block, Cell: r.Cell, Home: r.Home,
-		Once: r.Job.Once, Urgent: r.Job.Urgent,
+		Once: r.Job.AtMostOnce, Urgent: r.Job.Urgent,
 	})
 	for _, m := range r.Members {
 		if s.runsOn[m.Worker] == nil {
@@ -173,10 +173,10 @@
 // finalOutcome turns a crash of a repeatable job into a requeue while the worker
 // may be the cause, and a requeue into a loss if the job must not be repeated.
 func finalOutcome(r *run) record.Outcome {
-	if r.Outcome == record.Requeued && r.Job.Once {
+	if r.Outcome == record.Requeued && r.Job.AtMostOnce {
 		return record.Lost
 	}
-	if r.Outcome == record.Failed && !r.Job.Once && r.Attempt < maxAttempts {
+	if r.Outcome == record.Failed && !r.Job.AtMostOnce && r.Attempt < maxAttempts {
 		return record.Requeued
 	}
 	return r.Outcome
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -29,14 +29,14 @@
 	if !s.backlog.Has(s.reservedFor) {
 		s.reserved, s.reservedFor = block.Block{}, ""
 	}
-	s.inventory.BeginPass(s.state.Config, s.state.Spare)
+	s.inventory.BeginPass(s.state.Config, s.state.Witness)
 	all := s.backlog.Groups()
 	s.updateDemand(all)
 	groups := s.eligible(all, full)
 	// Guarantees are served first: otherwise a borrower that was preempted for one
 	// could take the freed accelerators again.
 	groups = slices.DeleteFunc(groups, func(group *backlog.Group) bool { return s.startGuaranteed(now, group) })
-	s.inventory.Refresh(s.state.Config, s.state.Spare)
+	s.inventory.Refresh(s.state.Config, s.state.Witness)
 	s.startBorrowed(now, groups)
 	s.updateStats()
 }
@@ -152,7 +152,7 @@
 	if s.tryBorrow(now, j) {
 		return started
 	}
-	if j.Urgent && !j.Once && s.preemptForUrgent(now, j) {
+	if j.Urgent && !j.AtMostOnce && s.preemptForUrgent(now, j) {
 		return preempting
 	}
 	s.reserve(now, j)
@@ -175,7 +175,7 @@
 		if block.LongestRun(s.usableFor(&s.inventory.Racks[i], j)) < j.Accelerators {
 			continue
 		}
-		if j.Once && !s.hasGuaranteeOf(j.Customer, j.Accelerators) && !s.couldClear(j.Accelerators) {
+		if j.AtMostOnce && !s.hasGuaranteeOf(j.Customer, j.Accelerators) && !s.couldClear(j.Accelerators) {
 			return "a job that can't be stopped would leave a guarantee without a place"
 		}
 		return ""
--- a/core/state/apply.go
+++ b/core/state/apply.go
@@ -21,8 +21,8 @@
 	eventCancel record.Outcome = "cancel"
 )
 
-// Applied is the result of applying one record.
-type Applied struct {
+// ApplyResult is the result of applying one record.
+type ApplyResult struct {
 	Offset id.Offset
 	// Batch is the zero batch if the record was damaged or was applied before.
 	Batch record.Batch
@@ -35,27 +35,27 @@
 // Apply applies the record at offset off. Records that were applied before are
 // skipped. The returned error is ErrGap or record.ErrUnknown; in both cases the
 // state is unchanged and the host must stop making decisions.
-func (s *State) Apply(off id.Offset, raw []byte) (Applied, error) {
+func (s *State) Apply(off id.Offset, raw []byte) (ApplyResult, error) {
 	if off <= s.Applied {
-		return Applied{Offset: off}, nil
+		return ApplyResult{Offset: off}, nil
 	}
 	if off != s.Applied+1 {
-		return Applied{}, fmt.Errorf("%w: have %d, got %d", ErrGap, s.Applied, off)
+		return ApplyResult{}, fmt.Errorf("%w: have %d, got %d", ErrGap, s.Applied, off)
 	}
 	b, err := record.Decode(raw)
 	if errors.Is(err, record.ErrUnknown) {
-		return Applied{}, fmt.Errorf("offset %d: %w", off, err)
+		return ApplyResult{}, fmt.Errorf("offset %d: %w", off, err)
 	}
 	s.Applied = off
 	s.prune()
 	if err != nil {
-		return Applied{Offset: off, Damaged: err}, nil
+		return ApplyResult{Offset: off, Damaged: err}, nil
 	}
 	return s.applyBatch(b), nil
 }
 
-func (s *State) applyBatch(b record.Batch) Applied {
-	a := Applied{Offset: s.Applied, Batch: b, Verdicts: make([]error, len(b.Entries))}
+func (s *State) applyBatch(b record.Batch) ApplyResult {
+	a := ApplyResult{Offset: s.Applied, Batch: b, Verdicts: make([]error, len(b.Entries))}
 	if err := s.admit(b); err != nil {
 		for i := range a.Verdicts {
 			a.Verdicts[i] = err
@@ -71,10 +71,10 @@
 // admit reports why a whole batch is void, or records it as the last one of its
 // writer.
 func (s *State) admit(b record.Batch) error {
-	if b.Basis+Window < s.Applied {
+	if b.BasisOffset+Window < s.Applied {
 		return ErrLate
 	}
-	life := Life{b.Host, b.Incarnation}
+	life := WriterID{b.Host, b.Incarnation}
 	if b.Seq <= s.Writers[life].Seq {
 		return ErrDuplicate
 	}
@@ -96,10 +96,10 @@
 		return s.place(*e.Place)
 	case e.End != nil:
 		return s.end(*e.End)
-	case e.Once != nil:
-		return s.claimKey(*e.Once)
-	case e.Release != nil:
-		return s.releaseKey(*e.Release)
+	case e.ClaimKey != nil:
+		return s.claimKey(*e.ClaimKey)
+	case e.ReleaseKey != nil:
+		return s.releaseKey(*e.ReleaseKey)
 	}
 	// Snapshots are used by package recovery only; they don't change the state.
 	return nil
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	s.Config, s.ConfigAt, s.Spare = next, s.Applied, spare
+	s.Config, s.ConfigAt, s.Witness = next, s.Applied, spare
 	return nil
 }
 
@@ -158,7 +158,7 @@
 		return ErrNoJob
 	case p.Attempt != j.Attempt+1:
 		return fmt.Errorf("%w: attempt %d, want %d", ErrJobState, p.Attempt, j.Attempt+1)
-	case j.Spec.Once && p.Attempt > 1:
+	case j.Spec.AtMostOnce && p.Attempt > 1:
 		return ErrNotRepeatable
 	}
 	spare, err := s.CheckPlace(p)
@@ -169,7 +169,7 @@
 		return err
 	}
 	j.Attempt, j.Lease, j.Block, j.Cell, j.Home = p.Attempt, p.Lease, p.Block, p.Cell, p.Home
-	s.Spare = spare
+	s.Witness = spare
 	return nil
 }
 
@@ -183,7 +183,7 @@
 		return ErrNoJob
 	case e.Attempt != j.Attempt:
 		return fmt.Errorf("%w: attempt %d, want %d", ErrJobState, e.Attempt, j.Attempt)
-	case e.Outcome == record.Requeued && j.Spec.Once:
+	case e.Outcome == record.Requeued && j.Spec.AtMostOnce:
 		return ErrNotRepeatable
 	case e.Outcome == eventPlace || e.Outcome == eventCancel:
 		return fmt.Errorf("%w: %s is not an outcome", ErrJobState, e.Outcome)
@@ -216,7 +216,7 @@
 	return nil
 }
 
-func (s *State) claimKey(o record.Once) error {
+func (s *State) claimKey(o record.KeyClaim) error {
 	k := Key{o.Customer, o.Key}
 	if _, ok := s.Keys[k]; ok {
 		return ErrKeyTaken
@@ -224,12 +224,12 @@
 	if len(s.Keys) >= maxKeys {
 		return fmt.Errorf("%w: %d keys", ErrFull, maxKeys)
 	}
-	s.Keys[k] = Claim{Host: o.Host, Request: o.Request, At: s.Applied}
+	s.Keys[k] = KeyHolder{Host: o.Host, Request: o.Request, At: s.Applied}
 	s.keyOrder = append(s.keyOrder, k)
 	return nil
 }
 
-func (s *State) releaseKey(o record.Once) error {
+func (s *State) releaseKey(o record.KeyClaim) error {
 	k := Key{o.Customer, o.Key}
 	c := s.Keys[k]
 	if c.Host != o.Host || c.Request != o.Request {
@@ -258,12 +258,12 @@
 	}
 	// If a batch of a removed writer appears in the log again, its basis is older
 	// than Window, so it is void although its sequence number is forgotten.
-	maps.DeleteFunc(s.Writers, func(_ Life, w Writer) bool { return w.Last+2*Window < s.Applied })
+	maps.DeleteFunc(s.Writers, func(_ WriterID, w Writer) bool { return w.Last+2*Window < s.Applied })
 }
 
 // sortedWriters returns the keys of s.Writers in ascending order.
-func (s *State) sortedWriters() []Life {
-	return slices.SortedFunc(maps.Keys(s.Writers), func(a, b Life) int {
+func (s *State) sortedWriters() []WriterID {
+	return slices.SortedFunc(maps.Keys(s.Writers), func(a, b WriterID) int {
 		return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 }
--- a/core/state/check.go
+++ b/core/state/check.go
@@ -22,16 +22,16 @@
 	if !p.Block.Valid() || p.Block.Size != j.Spec.Accelerators {
 		return nil, fmt.Errorf("%w: %s for a gang of %d", ErrBlockTaken, p.Block, j.Spec.Accelerators)
 	}
-	free := Usable(s.Config, p.Block.Rack) &^ s.inUse(p.Block.Rack)
+	free := UsableAccelerators(s.Config, p.Block.Rack) &^ s.inUse(p.Block.Rack)
 	if p.Block.Mask()&^free != 0 {
 		return nil, fmt.Errorf("%w: %s", ErrBlockTaken, p.Block)
 	}
 	if err := s.checkHome(j, p); err != nil {
 		return nil, err
 	}
-	if p.Cell.Guarantee == "" && !j.Spec.Once {
+	if p.Cell.Guarantee == "" && !j.Spec.AtMostOnce {
 		// A gang that can be preempted takes no accelerators from a guarantee.
-		return s.Spare, nil
+		return s.Witness, nil
 	}
 	return s.find(s.Config, &p)
 }
@@ -45,11 +45,11 @@
 			return err
 		}
 		required = p.Home
-	} else if !j.Spec.Once {
+	} else if !j.Spec.AtMostOnce {
 		return nil
 	}
 	for _, other := range s.running {
-		if !other.Firm() {
+		if !other.NonPreemptible() {
 			continue
 		}
 		sameCell := p.Cell.Guarantee != "" && other.Cell == p.Cell
@@ -74,7 +74,7 @@
 	case !p.Home.Valid() || p.Home.Size != g.Size || p.Home.Rack != p.Block.Rack,
 		p.Block.Mask()&^p.Home.Mask() != 0:
 		return fmt.Errorf("%w: %s is not within a home of size %d", ErrBlockTaken, p.Block, g.Size)
-	case p.Home.Mask()&^Usable(s.Config, p.Home.Rack) != 0:
+	case p.Home.Mask()&^UsableAccelerators(s.Config, p.Home.Rack) != 0:
 		return fmt.Errorf("%w: home %s is not usable", ErrBlockTaken, p.Home)
 	}
 	return nil
@@ -102,7 +102,7 @@
 		free[r.Rack] = r.Free
 	}
 	for _, n := range needs(s.Config, bound) {
-		b := s.Spare[n.Cell]
+		b := s.Witness[n.Cell]
 		if b.Size != n.Size || b.Mask()&^free[b.Rack] != 0 {
 			return fmt.Errorf("%w: guarantee %s, block %d at %s", witness.ErrNoPlace, n.Cell.Guarantee, n.Cell.Index, b)
 		}
@@ -115,7 +115,7 @@
 // added if it isn't nil. It keeps the places of the current witness if possible.
 func (s *State) find(c config.Config, added *record.Place) (witness.Witness, error) {
 	firm, bound := s.firm(c, added)
-	return witness.Update(rooms(c, firm), s.Spare, needs(c, bound))
+	return witness.Update(rooms(c, firm), s.Witness, needs(c, bound))
 }
 
 // firm returns the accelerators of each rack that firm jobs hold, and the cells of c
@@ -128,12 +128,12 @@
 		if cell.Guarantee != "" {
 			b = home
 			fits := c.Guarantees[cell.Guarantee].Size == home.Size
-			bound[cell] = bound[cell] || fits && home.Mask()&^Usable(c, home.Rack) == 0
+			bound[cell] = bound[cell] || fits && home.Mask()&^UsableAccelerators(c, home.Rack) == 0
 		}
 		firm[b.Rack] |= b.Mask()
 	}
 	for _, j := range s.running {
-		if j.Firm() {
+		if j.NonPreemptible() {
 			hold(j.Cell, j.Home, j.Block)
 		}
 	}
@@ -151,12 +151,12 @@
 		return
 	}
 	for _, o := range s.running {
-		if o.Firm() && o.Cell == j.Cell {
+		if o.NonPreemptible() && o.Cell == j.Cell {
 			return
 		}
 	}
-	if _, has := s.Spare[j.Cell]; !has {
-		s.Spare[j.Cell] = j.Home
+	if _, has := s.Witness[j.Cell]; !has {
+		s.Witness[j.Cell] = j.Home
 	}
 }
 
@@ -173,7 +173,7 @@
 func rooms(c config.Config, firm map[id.Rack]uint64) []witness.RackSpace {
 	out := make([]witness.RackSpace, 0, len(c.Racks))
 	for _, k := range config.SortedKeys(c.Racks) {
-		out = append(out, witness.RackSpace{Rack: k, Free: Usable(c, k) &^ firm[k]})
+		out = append(out, witness.RackSpace{Rack: k, Free: UsableAccelerators(c, k) &^ firm[k]})
 	}
 	return out
 }
@@ -204,8 +204,8 @@
 	return m
 }
 
-// Usable returns the accelerators of a rack on which new tasks may be placed.
-func Usable(c config.Config, rack id.Rack) uint64 {
+// UsableAccelerators returns the accelerators of a rack on which new tasks may be placed.
+func UsableAccelerators(c config.Config, rack id.Rack) uint64 {
 	r := c.Racks[rack]
 	var m uint64
 	for i, w := range r.Workers {
--- a/core/state/script_test.go
+++ b/core/state/script_test.go
@@ -58,7 +58,7 @@
 func (s *script) write(t *testing.T, e record.Entry) string {
 	s.seq++
 	raw, err := record.Encode(record.Batch{
-		Version: record.Version, Host: "h", Incarnation: 1, Seq: s.seq, Basis: s.st.Applied, Entries: []record.Entry{e},
+		Version: record.Version, Host: "h", Incarnation: 1, Seq: s.seq, BasisOffset: s.st.Applied, Entries: []record.Entry{e},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 		}}})
 	case "submit":
 		return s.write(t, record.Entry{Submit: &record.Submit{Job: record.Job{
-			ID: id.Job(f[1]), Customer: id.Customer(f[2]), Accelerators: num(3), Once: len(f) > 4,
+			ID: id.Job(f[1]), Customer: id.Customer(f[2]), Accelerators: num(3), AtMostOnce: len(f) > 4,
 		}}})
 	case "place":
 		p := &record.Place{Job: id.Job(f[1]), Epoch: id.Epoch(num(2)), Attempt: num(3), Block: span(4)}
@@ -129,11 +129,11 @@
 	case "cancel":
 		return s.write(t, record.Entry{Cancel: &record.Cancel{Job: id.Job(f[1])}})
 	case "once", "release":
-		o := &record.Once{Customer: "a", Key: f[1], Host: "h", Request: id.Request(num(2))}
+		o := &record.KeyClaim{Customer: "a", Key: f[1], Host: "h", Request: id.Request(num(2))}
 		if f[0] == "once" {
-			return s.write(t, record.Entry{Once: o})
+			return s.write(t, record.Entry{ClaimKey: o})
 		}
-		return s.write(t, record.Entry{Release: o})
+		return s.write(t, record.Entry{ReleaseKey: o})
 	}
 	t.Fatalf("unknown entry %v", f)
 	return ""
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -60,10 +60,10 @@
 	Changed id.Offset `cbor:"8,keyasint" json:"changed"`
 }
 
-// Firm reports whether the job runs and can't be preempted, because it uses a
+// NonPreemptible reports whether the job runs and can't be preempted, because it uses a
 // guarantee or must not be repeated.
-func (j *Job) Firm() bool {
-	return j.State == Running && (j.Cell.Guarantee != "" || j.Spec.Once)
+func (j *Job) NonPreemptible() bool {
+	return j.State == Running && (j.Cell.Guarantee != "" || j.Spec.AtMostOnce)
 }
 
 // Owner is the host that owns scheduling.
@@ -82,8 +82,8 @@
 	Last id.Offset `cbor:"2,keyasint"`
 }
 
-// Life identifies a writer: one incarnation of one host.
-type Life struct {
+// WriterID identifies a writer: one incarnation of one host.
+type WriterID struct {
 	Host        id.Host        `cbor:"1,keyasint"`
 	Incarnation id.Incarnation `cbor:"2,keyasint"`
 }
@@ -95,8 +95,8 @@
 	Key      string      `cbor:"2,keyasint"`
 }
 
-// Claim is the holder of a Key.
-type Claim struct {
+// KeyHolder is the holder of a Key.
+type KeyHolder struct {
 	Host    id.Host    `cbor:"1,keyasint"`
 	Request id.Request `cbor:"2,keyasint"`
 	// At is the offset of the claim, which is removed Window records later.
@@ -114,12 +114,12 @@
 	ConfigAt id.Offset
 	Owner    Owner
 	Jobs     map[id.Job]*Job
-	Writers  map[Life]Writer
-	Keys     map[Key]Claim
-	// Spare is the current witness (see package witness): a place for each
+	Writers  map[WriterID]Writer
+	Keys     map[Key]KeyHolder
+	// Witness is the current witness (see package witness): a place for each
 	// guaranteed block that isn't in use. The places are usable and overlap neither
 	// each other nor a job that can't be preempted.
-	Spare witness.Witness
+	Witness witness.Witness
 
 	// running is the subset of Jobs in state Running.
 	running map[id.Job]*Job
@@ -134,9 +134,9 @@
 	return &State{
 		Config:  config.New(),
 		Jobs:    map[id.Job]*Job{},
-		Writers: map[Life]Writer{},
-		Keys:    map[Key]Claim{},
-		Spare:   witness.Witness{},
+		Writers: map[WriterID]Writer{},
+		Keys:    map[Key]KeyHolder{},
+		Witness: witness.Witness{},
 		running: map[id.Job]*Job{},
 	}
 }
@@ -160,13 +160,13 @@
 }
 
 type writerImage struct {
-	Life   Life   `cbor:"1,keyasint"`
-	Writer Writer `cbor:"2,keyasint"`
+	Life   WriterID `cbor:"1,keyasint"`
+	Writer Writer   `cbor:"2,keyasint"`
 }
 
 type keyImage struct {
-	Key   Key   `cbor:"1,keyasint"`
-	Claim Claim `cbor:"2,keyasint"`
+	Key   Key       `cbor:"1,keyasint"`
+	Claim KeyHolder `cbor:"2,keyasint"`
 }
 
 var images = codec.New[image]()
@@ -186,8 +186,8 @@
 	for _, k := range s.keyOrder {
 		im.Keys = append(im.Keys, keyImage{k, s.Keys[k]})
 	}
-	for _, c := range s.Spare.Cells() {
-		im.Spare = append(im.Spare, spareImage{c, s.Spare[c]})
+	for _, c := range s.Witness.Cells() {
+		im.Spare = append(im.Spare, spareImage{c, s.Witness[c]})
 	}
 	return images.Encode(im)
 }
@@ -221,7 +221,7 @@
 		n.keyOrder = append(n.keyOrder, k.Key)
 	}
 	for _, p := range im.Spare {
-		n.Spare[p.Cell] = p.Block
+		n.Witness[p.Cell] = p.Block
 	}
 	*s = *n
 	return nil
--- a/core/world/host.go
+++ b/core/world/host.go
@@ -85,9 +85,9 @@
 	if w.now < w.store.upAt {
 		return // the store is unavailable
 	}
-	h.election.Look(w.now, w.group(), w.table.Owner().Host)
+	h.election.ObserveGroup(w.now, w.group(), w.table.Owner().Host)
 	if w.owner != nil && w.owner.host == h {
-		if h.election.Yields(w.now) {
+		if h.election.ShouldHandOver(w.now) {
 			h.handOver()
 		}
 		return
@@ -98,7 +98,7 @@
 // claimDue reports whether the host has to claim the ownership.
 func (h *host) claimDue() bool {
 	vacant := h.lostEpoch != 0 && h.world.table.Owner().Epoch == h.lostEpoch
-	return vacant || h.election.Claim(h.world.now)
+	return vacant || h.election.ShouldClaim(h.world.now)
 }
 
 // claimIfDue claims the ownership if it is the host's turn. While the owner is
@@ -109,7 +109,7 @@
 		return
 	}
 	if !h.claimDue() {
-		if h.election.Suspects() {
+		if h.election.MissesInGroup() {
 			w.Schedule(handoverDelay, func() { h.claimIfDue(incarnation) })
 		}
 		return
@@ -130,7 +130,7 @@
 func (h *host) claimStored(incarnation int, epoch id.Epoch) {
 	w := h.world
 	for _, o := range w.hosts {
-		o.election.Claimed(w.now)
+		o.election.ObserveClaim(w.now)
 	}
 	if !h.hasNewestClaim(incarnation, epoch) {
 		h.claiming = false
@@ -166,7 +166,7 @@
 	}
 	w.store.append(jobsLog, epoch, []jobtable.Record{r}, func(bool) {
 		for _, o := range w.hosts {
-			o.election.Released(w.now)
+			o.election.ObserveRelease(w.now)
 			incarnation := o.incarnation
 			w.Schedule(handoverDelay, func() { o.claimIfDue(incarnation) })
 		}
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -50,7 +50,7 @@
 	}
 	o := &owner{world: w, host: h, epoch: epoch, dispatcher: w.setup.NewDispatcher(epoch, w.table), nextPass: w.now, connected: map[*machine]int{}}
 	w.owner = o
-	h.election.Owned(w.now)
+	h.election.BecomeOwner(w.now)
 	for _, g := range w.setup.Guarantees {
 		o.dispatcher.Guarantee(g.Customer, g.Accelerators)
 	}
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -99,7 +99,7 @@
 		j := record.Job{
 			ID: id.Job(fmt.Sprintf("demo-%02d", i)), Customer: d.customers[i%len(d.customers)],
 			Accelerators: sizes[i%len(sizes)], Declared: 3 * time.Second,
-			Command: fmt.Sprintf("run %ds", 1+i%4), Once: i%5 == 0, Urgent: i%7 == 0,
+			Command: fmt.Sprintf("run %ds", 1+i%4), AtMostOnce: i%5 == 0, Urgent: i%7 == 0,
 		}
 		if err := d.submit(ctx, j); err != nil {
 			return err
@@ -235,7 +235,7 @@
 		rep.Violations = append(rep.Violations, err.Error())
 	}
 	for _, j := range js {
-		if j.Spec.Once && len(leases[j.Spec.ID]) > 1 {
+		if j.Spec.AtMostOnce && len(leases[j.Spec.ID]) > 1 {
 			rep.Twice++
 		}
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -168,14 +168,14 @@
 	}
 	e.register(c)
 	defer e.unregister(c)
-	if !e.core.Offer(node.Arrived{Request: q}) {
+	if !e.core.Offer(node.RequestArrived{Request: q}) {
 		return q.Service, refuse(w, route.CodeQueueFull, time.Second), route.RanNo
 	}
 	select {
 	case rep := <-c.reply:
 		return q.Service, rep.Code, e.writeReply(w, c, rep)
 	case <-r.Context().Done():
-		e.core.Push(context.WithoutCancel(ctx), node.Gone{Request: q.ID})
+		e.core.Push(context.WithoutCancel(ctx), node.CallerGone{Request: q.ID})
 		return q.Service, "caller-gone", route.RanUnknown
 	}
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -29,7 +29,7 @@
 }
 
 func (o *oneBackend) Offer(ev node.Event) bool {
-	q := ev.(node.Arrived).Request
+	q := ev.(node.RequestArrived).Request
 	o.edge.Send(route.Attempt{
 		Request: q.ID, Service: q.Service, Number: 1, Backend: o.backend, Deadline: unit.At(time.Now().Add(time.Minute)),
 	})
@@ -37,7 +37,7 @@
 }
 
 func (o *oneBackend) Push(_ context.Context, ev node.Event) bool {
-	if e, ok := ev.(node.Ended); ok {
+	if e, ok := ev.(node.AttemptEnded); ok {
 		o.ended = append(o.ended, e.Result.Outcome)
 		rep := route.Reply{Request: e.Result.Request, RelayedAttempt: 1, Ran: route.RanYes}
 		if e.Result.Outcome != route.Complete {
--- a/internal/edge/probe.go
+++ b/internal/edge/probe.go
@@ -17,7 +17,7 @@
 func (e *Edge) Probe(ctx context.Context, p route.Probe) {
 	go func() {
 		if o, ok := e.sendProbe(ctx, p); ok {
-			e.core.Push(ctx, node.Probed{Probe: p, Outcome: o})
+			e.core.Push(ctx, node.ProbeEnded{Probe: p, Outcome: o})
 		}
 	}()
 }
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -37,7 +37,7 @@
 	if c == nil {
 		// The caller has disconnected and the core didn't know it yet. Nothing was
 		// sent.
-		go e.core.Push(context.Background(), node.Ended{Result: route.Result{Attempt: a, Outcome: route.NotSent, Load: -1}})
+		go e.core.Push(context.Background(), node.AttemptEnded{Result: route.Result{Attempt: a, Outcome: route.NotSent, Load: -1}})
 		return
 	}
 	go e.attempt(c, a)
@@ -59,7 +59,7 @@
 	res := e.exchange(ctx, c, a)
 	res.Took = time.Since(began)
 	recordOutcome(span, res.Outcome)
-	e.core.Push(context.WithoutCancel(ctx), node.Ended{Result: res})
+	e.core.Push(context.WithoutCancel(ctx), node.AttemptEnded{Result: res})
 }
 
 // exchange sends the request once and reads the complete response.
--- a/internal/edge/unread_test.go
+++ b/internal/edge/unread_test.go
@@ -26,7 +26,7 @@
 
 // Offer implements edge.Core.
 func (l *slowCore) Offer(ev node.Event) bool {
-	q := ev.(node.Arrived).Request
+	q := ev.(node.RequestArrived).Request
 	time.AfterFunc(time.Minute, func() { l.edge.Reply(route.Reply{Request: q.ID, Code: route.CodeInterrupted, Ran: route.RanUnknown}) })
 	return true
 }
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	vacant := h.lost != 0 && h.table.Owner().Epoch == h.lost
-	return vacant || h.election.Claim(now)
+	return vacant || h.election.ShouldClaim(now)
 }
 
 // noteFormerLife marks the ownership as vacant if the owner is an earlier
@@ -130,7 +130,7 @@
 	o := h.table.Owner()
 	newClaim := o.Epoch > h.newest
 	if newClaim {
-		h.election.Claimed(now)
+		h.election.ObserveClaim(now)
 		h.newest = o.Epoch
 	}
 	if h.owner != nil && (o.Host != h.self || o.Epoch != h.owner.epoch) {
@@ -144,7 +144,7 @@
 	}
 	if o.Host == "" && o.Epoch > 0 && h.releasedEpoch != o.Epoch {
 		h.releasedEpoch = o.Epoch
-		h.election.Released(now)
+		h.election.ObserveRelease(now)
 	}
 	if newClaim {
 		h.followOwner()
@@ -178,7 +178,7 @@
 		reports: ring.New[dispatch.WaveReport](maxQueuedReports),
 	}
 	h.owner = o
-	h.election.Owned(now)
+	h.election.BecomeOwner(now)
 	h.metrics.owning.Store(true)
 	h.metrics.takeovers.Inc()
 	h.log.Info("owner", zap.Uint64("epoch", uint64(epoch)), zap.Int("jobs", len(h.table.Jobs())), zap.Uint64("applied", uint64(h.table.NextOffset())),
@@ -204,7 +204,7 @@
 // append is in flight. Until the store has the release, this host doesn't
 // claim: it would find the ownership vacant.
 func (h *Host) yield(ctx context.Context, now unit.Instant) {
-	if h.owner == nil || h.stopping.Load() || !h.election.Yields(now) {
+	if h.owner == nil || h.stopping.Load() || !h.election.ShouldHandOver(now) {
 		return
 	}
 	r := h.retire("an abler host is there")
--- a/internal/entry/claim_internal_test.go
+++ b/internal/entry/claim_internal_test.go
@@ -49,8 +49,8 @@
 			}
 			group := []election.Member{{Host: "small#1", Ability: 100}, {Host: "large#1", Ability: 500}}
 			for range 10 {
-				h.election.Look(h.now(), group, h.table.Owner().Host)
-				time.Sleep(h.election.NextLook())
+				h.election.ObserveGroup(h.now(), group, h.table.Owner().Host)
+				time.Sleep(h.election.PollInterval())
 			}
 			rec, err := jobtable.New().OwnerRecord(jobtable.Owner{Host: c.owner, Epoch: 7})
 			if err != nil {
@@ -80,8 +80,8 @@
 		h.loadJobs(h.now(), nil, 0)
 		group := []election.Member{{Host: "a#1", Ability: 100}, {Host: "b#1", Ability: 100}}
 		for range 3 {
-			h.election.Look(h.now(), group, h.table.Owner().Host)
-			time.Sleep(h.election.NextLook())
+			h.election.ObserveGroup(h.now(), group, h.table.Owner().Host)
+			time.Sleep(h.election.PollInterval())
 		}
 		rec, err := jobtable.New().OwnerRecord(jobtable.Owner{Host: "a#1", Epoch: 7})
 		if err != nil {
@@ -109,7 +109,7 @@
 			election: election.New(election.Member{Host: "b#1", Ability: 100}), peerAddresses: map[id.Host]string{"a#1": "there"},
 		}
 		h.loadJobs(h.now(), nil, 0)
-		h.election.Look(h.now(), []election.Member{{Host: "a#1", Ability: 100}, {Host: "b#1", Ability: 100}}, "")
+		h.election.ObserveGroup(h.now(), []election.Member{{Host: "a#1", Ability: 100}, {Host: "b#1", Ability: 100}}, "")
 		rec, err := jobtable.New().OwnerRecord(jobtable.Owner{Host: "a#1", Epoch: 7})
 		if err != nil {
 			t.Fatal(err)
@@ -139,8 +139,8 @@
 			store: platform.NewStore("store", &http.Client{Transport: store}), loaded: true,
 			election: election.New(election.Member{Host: "a#1", Ability: 100}),
 		}
-		h.election.Look(h.now(), []election.Member{{Host: "a#1", Ability: 100}}, "gone#1")
-		h.election.Look(h.now(), []election.Member{{Host: "a#1", Ability: 100}}, "gone#1")
+		h.election.ObserveGroup(h.now(), []election.Member{{Host: "a#1", Ability: 100}}, "gone#1")
+		h.election.ObserveGroup(h.now(), []election.Member{{Host: "a#1", Ability: 100}}, "gone#1")
 		go h.decide(ctx)
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -165,9 +165,9 @@
 		}
 		h.owner = &owner{host: h, epoch: 0, cancel: func() {}}
 		group := []election.Member{{Host: "small", Ability: 100}, {Host: "large", Ability: 500}}
-		h.election.Look(h.now(), group, "small")
+		h.election.ObserveGroup(h.now(), group, "small")
 		time.Sleep(10 * time.Second)
-		h.election.Look(h.now(), group, "small")
+		h.election.ObserveGroup(h.now(), group, "small")
 		h.yield(t.Context(), h.now())
 		if h.owner != nil {
 			t.Fatal("the owner has not handed over")
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -108,12 +108,12 @@
 			h.recordsPath.SetPeers(peers)
 			h.watchPath.SetPeers(peers)
 			next, ok := ask(ctx, h, func(now unit.Instant) time.Duration {
-				h.election.Look(now, members, h.table.Owner().Host)
+				h.election.ObserveGroup(now, members, h.table.Owner().Host)
 				h.standby.Store(h.election.Standby())
 				h.peerAddresses = addresses
 				h.followOwner()
 				h.remember(now, members, addresses)
-				return h.election.NextLook()
+				return h.election.PollInterval()
 			})
 			if ok {
 				wait = next
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -90,7 +90,7 @@
 		h.log.Error("earlier-version", zap.String("why", why))
 	}
 	h.noteFormerLife()
-	h.election.Known(table.Owner().Host)
+	h.election.LearnOwner(table.Owner().Host)
 	h.ownership(now)
 	for _, j := range table.Jobs() {
 		h.jobChanged(now, j)
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -128,20 +128,20 @@
 	switch {
 	case err == nil && answer.Host == w.owner:
 		h.metrics.heard.Inc()
-		h.post(ctx, func(now unit.Instant) { h.election.Heard(now, w.owner) })
+		h.post(ctx, func(now unit.Instant) { h.election.ProbeAnswered(now, w.owner) })
 		return true
 	case err == nil, errors.Is(err, syscall.ECONNREFUSED):
-		h.post(ctx, func(unit.Instant) { h.election.Gone(w.owner) })
+		h.post(ctx, func(unit.Instant) { h.election.ProbeRefused(w.owner) })
 	default:
-		h.post(ctx, func(unit.Instant) { h.election.Unanswered(w.owner) })
+		h.post(ctx, func(unit.Instant) { h.election.ProbeTimedOut(w.owner) })
 	}
-	missed, ok := ask(ctx, h, func(now unit.Instant) bool { return h.election.Misses(now, w.owner) })
+	missed, ok := ask(ctx, h, func(now unit.Instant) bool { return h.election.OwnerUnresponsive(now, w.owner) })
 	if !ok || !missed {
 		return false
 	}
 	others := h.askWatchers(ctx, w)
 	h.post(ctx, func(now unit.Instant) {
-		if h.election.Agreed(now, w.owner, others) {
+		if h.election.RecordAgreement(now, w.owner, others) {
 			h.log.Info("owner-missed", zap.String("owner", string(w.owner)), zap.Int("others", others), zap.Error(err))
 		}
 	})
@@ -204,7 +204,7 @@
 	p := presence{Host: t.host.self}
 	if q.Owner != t.host.self {
 		known, _ := ask(req.Context(), t.host, func(now unit.Instant) bool {
-			p.Misses = t.host.election.Witness(now, q.Owner)
+			p.Misses = t.host.election.ConfirmUnresponsive(now, q.Owner)
 			return !t.host.loaded || t.host.table.Owner().Host == q.Owner // before this host has read the jobs it can't be the owner
 		})
 		if !known {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -117,7 +117,7 @@
 		onFault:   onFault,
 	}
 	h.links = peerlink.New(log, links, tls, func(ctx context.Context, f peer.Frame) {
-		h.events.Push(ctx, node.Heard{Frame: f})
+		h.events.Push(ctx, node.FrameReceived{Frame: f})
 	})
 	// Each incarnation uses a random seed, so that hosts don't make the same
 	// choices.
@@ -148,7 +148,7 @@
 	for {
 		select {
 		case ev := <-h.events.C():
-			if q, ok := ev.(node.Arrived); ok {
+			if q, ok := ev.(node.RequestArrived); ok {
 				h.calls.Reply(route.Reply{
 					Request: q.Request.ID, Code: route.CodeStopping, Ran: route.RanNo, RetryAfter: time.Second,
 				})
@@ -220,13 +220,13 @@
 	for _, s := range a.Syncs {
 		h.sync(ctx, s)
 	}
-	for _, s := range a.Settled {
+	for _, s := range a.Verdicts {
 		h.deliver(s.Ticket, s)
 	}
-	for _, d := range a.Drawn {
+	for _, d := range a.Plans {
 		h.deliver(d.Ticket, d)
 	}
-	for _, i := range a.Inspected {
+	for _, i := range a.Views {
 		h.deliver(i.Ticket, i)
 	}
 	for _, err := range a.Faults {
@@ -291,10 +291,10 @@
 			sleep(ctx, listInterval)
 			continue
 		}
-		ev := node.Hosts{Backends: map[id.Service]map[id.Backend]bool{}}
+		ev := node.HostList{Backends: map[id.Service]map[id.Backend]bool{}}
 		at := map[id.Host]string{}
 		for _, e := range list.Entry {
-			ev.Entry = append(ev.Entry, e.ID)
+			ev.EntryHosts = append(ev.EntryHosts, e.ID)
 			at[e.ID] = e.Peers
 		}
 		for _, s := range config.SortedKeys(list.Services) {
@@ -370,27 +370,27 @@
 	if err != nil {
 		return 0, err
 	}
-	s := a.(node.Settled)
+	s := a.(node.EntryVerdict)
 	return s.Offset, s.Verdict
 }
 
 // Draw returns the plan for the changes.
 func (h *Host) Draw(ctx context.Context, changes []config.Change) (plan.Plan, error) {
-	a, err := h.query(ctx, func(t node.Ticket) node.Event { return node.Draw{Ticket: t, Changes: changes} })
+	a, err := h.query(ctx, func(t node.Ticket) node.Event { return node.PlanRequest{Ticket: t, Changes: changes} })
 	if err != nil {
 		return plan.Plan{}, err
 	}
-	d := a.(node.Drawn)
+	d := a.(node.PlanResult)
 	return d.Plan, d.Err
 }
 
 // View returns the host's view of the state, with the jobs if requested.
 func (h *Host) View(ctx context.Context, jobs bool) (node.View, error) {
-	a, err := h.query(ctx, func(t node.Ticket) node.Event { return node.Inspect{Ticket: t, Jobs: jobs} })
+	a, err := h.query(ctx, func(t node.Ticket) node.Event { return node.ViewRequest{Ticket: t, Jobs: jobs} })
 	if err != nil {
 		return node.View{}, err
 	}
-	return a.(node.Inspected).View, nil
+	return a.(node.ViewResult).View, nil
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -41,7 +41,7 @@
 	}()
 	taken := 0
 	for stopping := false; ; {
-		if h.Offer(node.Arrived{Request: route.Request{ID: 1, Service: "s", Customer: "c"}}) {
+		if h.Offer(node.RequestArrived{Request: route.Request{ID: 1, Service: "s", Customer: "c"}}) {
 			taken++
 		} else if stopping {
 			break
--- a/internal/peerlink/silent_test.go
+++ b/internal/peerlink/silent_test.go
@@ -61,7 +61,7 @@
 	w := &pair{}
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	t.Cleanup(w.stop)
-	other := peerlink.New(zap.NewNop(), http.DefaultClient, false, func(_ context.Context, f peer.Frame) { w.heard.Store(f.Check) })
+	other := peerlink.New(zap.NewNop(), http.DefaultClient, false, func(_ context.Context, f peer.Frame) { w.heard.Store(f.Digest) })
 	server := httptest.NewServer(other)
 	t.Cleanup(server.Close)
 	proxy, err := faultproxy.New(strings.TrimPrefix(server.URL, "http://"))
@@ -100,7 +100,7 @@
 // beat sends frames until the host stops.
 func (w *pair) beat() {
 	for w.ctx.Err() == nil {
-		w.links.Send(w.ctx, "other", peer.Frame{From: "self", Check: w.sent.Add(1)})
+		w.links.Send(w.ctx, "other", peer.Frame{From: "self", Digest: w.sent.Add(1)})
 		time.Sleep(every)
 	}
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -209,7 +209,7 @@
 func (sim *simulation) write(entries ...record.Entry) []error {
 	sim.seq++
 	raw, err := record.Encode(record.Batch{
-		Version: record.Version, Host: "replay", Incarnation: 1, Seq: sim.seq, Basis: sim.state.Applied, Entries: entries,
+		Version: record.Version, Host: "replay", Incarnation: 1, Seq: sim.seq, BasisOffset: sim.state.Applied, Entries: entries,
 	})
 	if err != nil {
 		panic(fmt.Sprintf("replay: failed to encode the replay's own entries: %v", err))
@@ -230,7 +230,7 @@
 		sim.jobs[e.Job] = &job{event: e, reclaims: sim.mustReclaim(e), leases: map[id.Lease]bool{}, running: map[id.Worker]bool{}}
 		sim.pending = append(sim.pending, record.Entry{Submit: &record.Submit{Job: record.Job{
 			ID: e.Job, Customer: e.Customer, Accelerators: e.Accelerators, Declared: e.Declared,
-			Once: e.Once, Urgent: e.Urgent, Submitted: sim.now,
+			AtMostOnce: e.Once, Urgent: e.Urgent, Submitted: sim.now,
 		}}})
 	case Cancel:
 		sim.pending = append(sim.pending, record.Entry{Cancel: &record.Cancel{Job: e.Job}})
@@ -353,7 +353,7 @@
 func (sim *simulation) totalAccelerators() int {
 	n := 0
 	for k := range sim.state.Config.Racks {
-		n += bits.OnesCount64(state.Usable(sim.state.Config, k))
+		n += bits.OnesCount64(state.UsableAccelerators(sim.state.Config, k))
 	}
 	return n
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -96,7 +96,7 @@
 	add("curlewsill_owner", "1 if the host owns scheduling.", prometheus.GaugeValue,
 		func(v node.View) float64 { return boolValue(v.Owner.Host == v.Host) })
 	add("curlewsill_requests_flying", "Requests in flight, without a final response.", prometheus.GaugeValue,
-		func(v node.View) float64 { return float64(v.Flying) })
+		func(v node.View) float64 { return float64(v.InFlight) })
 	add("curlewsill_jobs_pending", "Pending jobs, on the owner.", prometheus.GaugeValue,
 		func(v node.View) float64 { return float64(v.Sched.Pending) })
 	add("curlewsill_jobs_running", "Gangs whose start gates are open, on the owner.", prometheus.GaugeValue,
