--- a/core/fake/log/log.go
+++ b/core/fake/log/log.go
@@ -35,8 +35,8 @@
 // next record will get if the log is empty.
 func (l *Log) Oldest() id.Offset { return l.oldest }
 
-// Forget drops all records with an offset below off.
-func (l *Log) Forget(off id.Offset) {
+// DropBefore drops all records with an offset below off.
+func (l *Log) DropBefore(off id.Offset) {
 	for l.oldest < off && len(l.records) > 0 {
 		l.records = l.records[1:]
 		l.oldest++
--- a/core/fake/worker/worker.go
+++ b/core/fake/worker/worker.go
@@ -30,16 +30,16 @@
 
 // Run describes how a task behaves once its gate is open.
 type Run struct {
-	// For is the time that the task runs.
-	For time.Duration
+	// Duration is the time that the task runs.
+	Duration time.Duration
 	// Crash makes the task end as crashed instead of exited.
 	Crash bool
 }
 
 // Hooks are callbacks of a worker. Each may be nil.
 type Hooks struct {
-	// Plan returns how a task will behave. By default it exits after a second.
-	Plan func(worker.WantedTask) Run
+	// RunOf returns how a task will behave. By default it exits after a second.
+	RunOf func(worker.WantedTask) Run
 	// Started is called when the gate of a task opens, and Ended when a task
 	// ends.
 	Started func(id.Job, id.Lease)
@@ -87,15 +87,15 @@
 // New returns a worker with the given number of accelerators. Each restart of a
 // worker needs a new incarnation number.
 func New(w id.Worker, accelerators int, incarnation uint64, h Hooks) *Worker {
-	if h.Plan == nil {
-		h.Plan = func(worker.WantedTask) Run { return Run{For: time.Second} }
+	if h.RunOf == nil {
+		h.RunOf = func(worker.WantedTask) Run { return Run{Duration: time.Second} }
 	}
 	freeMask := uint64(1)<<accelerators - 1
 	return &Worker{id: w, incarnation: incarnation, hooks: h, freeMask: freeMask, tasks: map[taskKey]*task{}}
 }
 
-// Break sets whether each task that starts from now on crashes at once.
-func (w *Worker) Break(faulty bool) { w.faulty = faulty }
+// SetFaulty sets whether each task that starts from now on crashes at once.
+func (w *Worker) SetFaulty(faulty bool) { w.faulty = faulty }
 
 // Advance sets the worker's clock and ends the tasks whose lease or run ends by
 // then. It also drops tasks that ended more than endedRetention ago.
@@ -214,11 +214,11 @@
 	}
 	held.leaseEnd = max(held.leaseEnd, t.Until)
 	if t.Open && held.state == worker.Gated {
-		held.run = w.hooks.Plan(t)
+		held.run = w.hooks.RunOf(t)
 		if w.faulty {
 			held.run = Run{Crash: true}
 		}
-		held.runEnd = w.clock + held.run.For
+		held.runEnd = w.clock + held.run.Duration
 		w.step(n, held, open)
 	}
 	return w.taskReport(n, held.state, t.Mask)
--- a/core/proof/disturb_test.go
+++ b/core/proof/disturb_test.go
@@ -79,7 +79,7 @@
 	case "silent", "answer":
 		f.silent = verb == "silent"
 	case "break", "mend":
-		f.Break(verb == "break")
+		f.SetFaulty(verb == "break")
 	default:
 		return errUnknownAction
 	}
--- a/core/proof/long_test.go
+++ b/core/proof/long_test.go
@@ -355,7 +355,7 @@
 	for _, name := range config.SortedKeys(c.workers) {
 		f := c.workers[name]
 		f.silent = false
-		f.Break(false)
+		f.SetFaulty(false)
 		if f.down {
 			c.addWorker(name, workerAccelerators)
 		}
--- a/core/proof/script_test.go
+++ b/core/proof/script_test.go
@@ -408,10 +408,10 @@
 	case "damage":
 		s.appendToLog([]byte("this is no record of ours"))
 	case "forget":
-		s.log.Forget(s.log.Head() + 1)
+		s.log.DropBefore(s.log.Head() + 1)
 	case "forget-old":
 		// The newest snapshot and the records after it remain.
-		s.log.Forget(s.log.Head() - 2)
+		s.log.DropBefore(s.log.Head() - 2)
 	default:
 		s.lateBy = w.duration("by", 2*time.Minute)
 		s.setLog(logMode(w.at(0)))
--- a/core/proof/world_test.go
+++ b/core/proof/world_test.go
@@ -504,7 +504,7 @@
 	f.incarnation++
 	f.down, f.startedAt = false, w.now
 	f.Worker = fakeworker.New(name, accelerators, f.incarnation, fakeworker.Hooks{
-		Plan:    func(t worker.WantedTask) fakeworker.Run { return parseRun(t.Command) },
+		RunOf:   func(t worker.WantedTask) fakeworker.Run { return parseRun(t.Command) },
 		Started: func(j id.Job, n id.Lease) { w.taskStarted(name, j, n) },
 		Ended:   func(j id.Job, n id.Lease, st worker.TaskState) { w.taskEnded(name, j, n, st) },
 	})
@@ -519,7 +519,7 @@
 	if err != nil {
 		d = time.Second
 	}
-	return fakeworker.Run{For: d, Crash: verb == "crash"}
+	return fakeworker.Run{Duration: d, Crash: verb == "crash"}
 }
 
 // runWorkerClock advances a worker's clock every 200 ms.
--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -46,7 +46,7 @@
 		for k := range min(8, workers-i) {
 			w := id.Worker(fmt.Sprintf("%sw%d", r.ID, k))
 			r.Workers = append(r.Workers, config.Worker{ID: w, Accelerators: 8, Cores: 60, Memory: 250 * unit.GiB})
-			x.workers[w] = worker.New(w, 8, 1, worker.Hooks{Plan: runForever})
+			x.workers[w] = worker.New(w, 8, 1, worker.Hooks{RunOf: runForever})
 		}
 		changes = append(changes, config.Change{SetRack: r})
 	}
@@ -64,7 +64,7 @@
 }
 
 // runForever makes tasks run longer than any benchmark.
-func runForever(protocol.WantedTask) worker.Run { return worker.Run{For: 1000 * time.Hour} }
+func runForever(protocol.WantedTask) worker.Run { return worker.Run{Duration: 1000 * time.Hour} }
 
 // write appends entries to the log and returns their verdicts.
 func (x *benchSite) write(b testing.TB, entries ...record.Entry) []error {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -167,9 +167,9 @@
 func (sim *simulation) startWorker(w id.Worker, accelerators int) {
 	sim.incarnations[w]++
 	sim.workers[w] = fake.New(w, accelerators, sim.incarnations[w], fake.Hooks{
-		Plan: func(t worker.WantedTask) fake.Run {
+		RunOf: func(t worker.WantedTask) fake.Run {
 			e := sim.jobs[t.Job].event
-			return fake.Run{For: e.Run, Crash: e.Bad}
+			return fake.Run{Duration: e.Run, Crash: e.Bad}
 		},
 		Started: func(j id.Job, l id.Lease) { sim.gateOpened(sim.jobs[j], w, l) },
 		Ended:   func(j id.Job, _ id.Lease, st worker.TaskState) { sim.taskEnded(sim.jobs[j], w, st) },
--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -117,7 +117,7 @@
 	defer s.mu.Unlock()
 	s.faults = f
 	if f.Keep > 0 && s.log.Head() > id.Offset(f.Keep) {
-		s.log.Forget(s.log.Head() - id.Offset(f.Keep) + 1)
+		s.log.DropBefore(s.log.Head() - id.Offset(f.Keep) + 1)
 	}
 }
 
--- a/internal/standin/workersvc/workersvc.go
+++ b/internal/standin/workersvc/workersvc.go
@@ -134,7 +134,7 @@
 	w := s.workers[name]
 	if w == nil {
 		w = fake.New(name, accelerators, uint64(time.Now().UnixNano()), fake.Hooks{
-			Plan: plan,
+			RunOf: plan,
 			Started: func(j id.Job, l id.Lease) {
 				s.ledger.Starts = append(s.ledger.Starts, Start{name, j, l})
 			},
@@ -142,7 +142,7 @@
 		})
 		s.workers[name] = w
 	}
-	w.Break(s.faulty[name])
+	w.SetFaulty(s.faulty[name])
 	return w
 }
 
@@ -153,7 +153,7 @@
 	if err != nil {
 		d = defaultRun
 	}
-	return fake.Run{For: d, Crash: verb == "crash"}
+	return fake.Run{Duration: d, Crash: verb == "crash"}
 }
 
 func (s *Service) setFaults(c iris.Context) {
