--- a/cmd/curlewsilld/cmd/process_test.go
+++ b/cmd/curlewsilld/cmd/process_test.go
@@ -184,7 +184,7 @@
 	ctx := t.Context()
 	owner := all["h1"].view(ctx).Owner.Host
 	var rest []*process
-	run := load.Run{
+	run := load.Config{
 		Service: "thermal-analytics", Customers: []id.Customer{"pharmacy", "excursion"},
 		Rate: 150, Duration: 14 * time.Second, OnceShare: 0.5, Body: 200, Name: "p", Seed: 1,
 	}
@@ -221,7 +221,7 @@
 	}
 	rep := <-done
 	t.Logf("%+v", rep)
-	if rep.RanTwice+rep.NotRunButRan+rep.Wrong+rep.Cut > 0 || rep.Whole == 0 {
+	if rep.RanTwice+rep.NotRunButRan+rep.Wrong+rep.Incomplete > 0 || rep.Whole == 0 {
 		t.Errorf("guarantees violated: %+v", rep)
 	}
 	waitFor(t, "the end of the gang", func() bool { return observer.job(ctx, "once").State == "finished" })
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -39,7 +39,7 @@
 // Host is the part of an entry host that operators use.
 type Host interface {
 	Propose(context.Context, record.Entry) (id.Offset, error)
-	Draw(context.Context, []config.Change) (plan.Plan, error)
+	PlanChanges(context.Context, []config.Change) (plan.Plan, error)
 	View(ctx context.Context, jobs bool) (node.View, error)
 }
 
@@ -206,7 +206,7 @@
 }
 
 func (a *server) planChanges(ctx context.Context, q Changes) (plan.Plan, error) {
-	return a.host.Draw(ctx, q.Changes)
+	return a.host.PlanChanges(ctx, q.Changes)
 }
 
 // errProblem reports the confirmation of a plan that has a problem.
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -82,7 +82,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	time.Sleep(2 * time.Second)
-	return "http://" + d.Callers() + edge.Prefix + "svc/x", "http://" + b.Addresses()[0] + "/x"
+	return "http://" + d.Callers() + edge.ServicePathPrefix + "svc/x", "http://" + b.Addresses()[0] + "/x"
 }
 
 func call(tb testing.TB, c *http.Client, url string, body []byte) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,10 +81,10 @@
 		Logs:    logs.New(s.LogURL, platform),
 		Hosts:   d.hosts,
 		Workers: workers.New(s.WorkersURL, platform),
-	}, &http.Client{}, s.CertFile != "", metrics.Fault)
-	d.edge = edge.New(s.Host, d.host, edge.Clients{Requests: backendClient(), Probes: backendClient()}, tracer, s.BodyLimit, s.Requests, metrics.Request)
-	metrics.Watch(d.host)
-	metrics.WatchLinks(d.host.Links())
+	}, &http.Client{}, s.CertFile != "", metrics.CountFault)
+	d.edge = edge.New(s.Host, d.host, edge.Clients{Requests: backendClient(), Probes: backendClient()}, tracer, s.BodyLimit, s.Requests, metrics.ObserveRequest)
+	metrics.RegisterHost(d.host)
+	metrics.RegisterLinks(d.host.Links())
 	api := admin.New(d.host, token, metrics.Registry(), tracer)
 	peers := http.NewServeMux()
 	peers.Handle(peerlink.Path, d.host.Links())
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -272,7 +272,7 @@
 // requests sends requests to all hosts for the given time and returns the
 // report on their answers.
 func (d *Demo) requests(ctx context.Context, length time.Duration) (load.Report, error) {
-	r := load.Run{
+	r := load.Config{
 		Service: d.service, Customers: d.customers, Rate: requestRate, Duration: length,
 		OnceShare: onceShare, Body: bodySize, Name: "demo", Seed: 1,
 	}
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -242,7 +242,7 @@
 	addViolation(rep.Twice, "jobs that must not be repeated were started more than once")
 	addViolation(rep.Requests.RanTwice, "requests that must not be repeated ran more than once")
 	addViolation(rep.Requests.NotRunButRan, "requests were refused as not run although they ran")
-	addViolation(rep.Requests.Wrong+rep.Requests.Cut, "callers got a truncated answer, or the answer to another request")
+	addViolation(rep.Requests.Wrong+rep.Requests.Incomplete, "callers got a truncated answer, or the answer to another request")
 	addViolation(rep.Jobs[state.Pending]+rep.Jobs[state.Running], "gangs did not end in time")
 	for _, c := range d.clients {
 		v, err := c.Status(ctx)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -39,9 +39,9 @@
 	CustomerHeader = "Curlewsill-Customer"
 	// OnceHeader with the value "true" marks a request that must run at most once.
 	OnceHeader = "Curlewsill-Once"
-	// KeyHeader carries the caller's idempotency key for a request that must run at
+	// IdempotencyKeyHeader carries the caller's idempotency key for a request that must run at
 	// most once.
-	KeyHeader = "Idempotency-Key"
+	IdempotencyKeyHeader = "Idempotency-Key"
 	// TimeoutHeader carries the caller's timeout in milliseconds.
 	TimeoutHeader = "Curlewsill-Timeout-Ms"
 	// RanHeader says in every response whether the request ran.
@@ -58,8 +58,8 @@
 	RequestHeader = "Curlewsill-Request"
 )
 
-// Prefix is the path prefix of services: /services/NAME/....
-const Prefix = "/services/"
+// ServicePathPrefix is the path prefix of services: /services/NAME/....
+const ServicePathPrefix = "/services/"
 
 // maxKeyBytes bounds the length of an idempotency key.
 const maxKeyBytes = 200
@@ -185,19 +185,19 @@
 	errPath    = errors.New("want a path like /services/NAME/PATH")
 	errOnce    = errors.New("want " + OnceHeader + " to be true or false")
 	errTimeout = errors.New("want " + TimeoutHeader + " to be a positive number of milliseconds")
-	errKey     = errors.New("want " + KeyHeader + " to have at most 200 bytes")
+	errKey     = errors.New("want " + IdempotencyKeyHeader + " to have at most 200 bytes")
 )
 
 // parse returns what the core needs to route the request.
 func (e *Edge) parse(r *http.Request) (route.Request, error) {
 	q := route.Request{ID: id.Request(e.lastID.Add(1)), Customer: id.Customer(r.Header.Get(CustomerHeader))}
-	rest, ok := strings.CutPrefix(r.URL.Path, Prefix)
+	rest, ok := strings.CutPrefix(r.URL.Path, ServicePathPrefix)
 	name, _, _ := strings.Cut(rest, "/")
 	if !ok || name == "" {
 		return q, errPath
 	}
 	q.Service = id.Service(name)
-	q.Key = r.Header.Get(KeyHeader)
+	q.Key = r.Header.Get(IdempotencyKeyHeader)
 	if len(q.Key) > maxKeyBytes {
 		return q, errKey
 	}
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -104,7 +104,7 @@
 }
 
 func (e *Edge) newBackendRequest(ctx context.Context, c *call, a route.Attempt) (*http.Request, error) {
-	path := strings.TrimPrefix(c.request.URL.EscapedPath(), Prefix+string(c.service))
+	path := strings.TrimPrefix(c.request.URL.EscapedPath(), ServicePathPrefix+string(c.service))
 	if path == "" {
 		path = "/"
 	}
--- a/internal/experiment/setup/kind.go
+++ b/internal/experiment/setup/kind.go
@@ -32,7 +32,7 @@
 	}
 	for _, name := range s.List("customers") {
 		if _, ok := c.Customers[id.Customer(name)]; !ok {
-			s.Fault("customers", "customers of the site")
+			s.Reject("customers", "customers of the site")
 		}
 		k.Customers = append(k.Customers, id.Customer(name))
 	}
@@ -40,7 +40,7 @@
 		k.Customers = config.SortedKeys(c.Customers)
 	}
 	if len(k.Customers) == 0 {
-		s.Fault("customers", "a customer of the site")
+		s.Reject("customers", "a customer of the site")
 	}
 	return k
 }
@@ -63,7 +63,7 @@
 	for _, v := range s.List("accelerators") {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < 0 || n > maxSize {
-			s.Fault("accelerators", fmt.Sprintf("whole numbers from 0 to %d", maxSize))
+			s.Reject("accelerators", fmt.Sprintf("whole numbers from 0 to %d", maxSize))
 			return []int{1}
 		}
 		out = append(out, n)
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -218,11 +218,11 @@
 	}
 	s.Policies = readPolicies(f)
 	if len(s.Kinds) == 0 {
-		e.Fault("", "a section [kind NAME] in the file")
+		e.Reject("", "a section [kind NAME] in the file")
 	}
 	s.TraceKind, s.UrgentKind = s.readKindName(e, "trace_kind"), s.readKindName(e, "urgent_kind")
 	if len(s.World.Workers) == 0 {
-		e.Fault("", "a section [rack NAME] in the site")
+		e.Reject("", "a section [rack NAME] in the site")
 	}
 	if err := f.Err(); err != nil {
 		return nil, err
@@ -270,11 +270,11 @@
 // readBurst reads one burst. Its kind must be one of kinds.
 func readBurst(b *inifile.Section, kinds []Kind) Burst {
 	out := Burst{
-		Kind: b.Need("kind"), At: b.Duration("at", 0, 0, maxTime), Lasts: b.Duration("lasts", time.Second, 0, maxTime),
+		Kind: b.Required("kind"), At: b.Duration("at", 0, 0, maxTime), Lasts: b.Duration("lasts", time.Second, 0, maxTime),
 		Factor: b.Number("factor", 1, 0, maxFactor),
 	}
 	if !slices.ContainsFunc(kinds, func(k Kind) bool { return k.Name == out.Kind }) {
-		b.Fault("kind", "the name of a section [kind NAME]")
+		b.Reject("kind", "the name of a section [kind NAME]")
 	}
 	return out
 }
@@ -285,7 +285,7 @@
 	for _, k := range world.FaultKinds() {
 		kinds = append(kinds, string(k))
 	}
-	x.Need("kind")
+	x.Required("kind")
 	return Fault{
 		At: x.Duration("at", 0, 0, maxTime),
 		Fault: world.Fault{
@@ -307,7 +307,7 @@
 		for _, name := range s.List("off") {
 			with, ok := p.Switches.With(name, false)
 			if !ok {
-				s.Fault("off", fmt.Sprintf("names of %v", policy.Names()))
+				s.Reject("off", fmt.Sprintf("names of %v", policy.Names()))
 			}
 			p.Switches = with
 		}
--- a/internal/experiment/setup/world.go
+++ b/internal/experiment/setup/world.go
@@ -105,7 +105,7 @@
 	for _, v := range s.List(key) {
 		x, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(x >= minCores && x <= maxCores) {
-			s.Fault(key, fmt.Sprintf("numbers from %g to %d", minCores, maxCores))
+			s.Reject(key, fmt.Sprintf("numbers from %g to %d", minCores, maxCores))
 			return def
 		}
 		out = append(out, x)
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -374,8 +374,8 @@
 	return s.Offset, s.Verdict
 }
 
-// Draw returns the plan for the changes.
-func (h *Host) Draw(ctx context.Context, changes []config.Change) (plan.Plan, error) {
+// PlanChanges returns the plan for the changes.
+func (h *Host) PlanChanges(ctx context.Context, changes []config.Change) (plan.Plan, error) {
 	a, err := h.query(ctx, func(t node.Ticket) node.Event { return node.PlanRequest{Ticket: t, Changes: changes} })
 	if err != nil {
 		return plan.Plan{}, err
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -147,8 +147,8 @@
 	return fmt.Errorf("%w: %s: found %s, want %s", ErrInvalid, where, found, want)
 }
 
-// Fault records that the value of a key isn't what the reader wants.
-func (s *Section) Fault(key, want string) { s.addFault(key, s.firstValue(key), want) }
+// Reject records that the value of a key isn't what the reader wants.
+func (s *Section) Reject(key, want string) { s.addFault(key, s.firstValue(key), want) }
 
 func (s *Section) addFault(key, found, want string) {
 	s.file.addFault(s.header, key, strconv.Quote(found), want)
@@ -180,8 +180,8 @@
 	return def
 }
 
-// Need returns a string. A missing or empty value is a fault.
-func (s *Section) Need(key string) string {
+// Required returns a string. A missing or empty value is a fault.
+func (s *Section) Required(key string) string {
 	v, ok := s.get(key)
 	if !ok {
 		s.addFault(key, "", "a value")
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -62,7 +62,7 @@
 	for _, s := range f.Sections("guarantee") {
 		out = append(out, config.Change{SetGuarantee: &config.Guarantee{
 			ID:       id.Guarantee(s.Name),
-			Customer: id.Customer(s.Need("customer")),
+			Customer: id.Customer(s.Required("customer")),
 			Size:     s.Int("size", 1, 1, block.MaxSize),
 			Count:    s.Int("count", 1, 1, maxCount),
 		}})
@@ -77,13 +77,13 @@
 }
 
 func readRack(s *inifile.Section) *config.Rack {
-	r := &config.Rack{ID: id.Rack(s.Name), Domain: id.Domain(s.Need("domain"))}
+	r := &config.Rack{ID: id.Rack(s.Name), Domain: id.Domain(s.Required("domain"))}
 	n := s.Int("workers", 8, 1, block.MaxSize)
 	accelerators := s.Int("accelerators", 8, 1, block.MaxSize)
 	cores := s.Int("cores", 1, 1, maxCores)
 	memory := s.Size("memory", unit.GiB, unit.MiB, maxMemory)
 	if n*accelerators > block.MaxSize {
-		s.Fault("accelerators", fmt.Sprintf("at most %d accelerators in the rack", block.MaxSize))
+		s.Reject("accelerators", fmt.Sprintf("at most %d accelerators in the rack", block.MaxSize))
 		return r
 	}
 	drained := map[id.Worker]bool{}
@@ -98,7 +98,7 @@
 		delete(drained, w)
 	}
 	if len(drained) > 0 {
-		s.Fault("drained", "workers of this rack, as in "+s.Name+"-w0")
+		s.Reject("drained", "workers of this rack, as in "+s.Name+"-w0")
 	}
 	return r
 }
@@ -128,6 +128,6 @@
 	case "service":
 		return config.Change{DeleteService: id.Service(name)}
 	}
-	s.Fault("", "a section [delete customer|guarantee|rack|service NAME]")
+	s.Reject("", "a section [delete customer|guarantee|rack|service NAME]")
 	return config.Change{}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -39,8 +39,8 @@
 // ErrTargets reports a run without targets, customers or a rate.
 var ErrTargets = errors.New("load: no target, customer or rate")
 
-// Run is the configuration of a load run.
-type Run struct {
+// Config is the configuration of a load run.
+type Config struct {
 	// Targets are the URLs of entry hosts for callers, used in rotation.
 	Targets []string
 	Service id.Service
@@ -69,10 +69,10 @@
 	// RefusedNotRun counts refusals of which the response says that nothing ran.
 	RefusedNotRun int `json:"refused_not_run"`
 	Unknown       int `json:"unknown"`
-	// Cut counts incomplete responses. Wrong counts responses to another request or
+	// Incomplete counts incomplete responses. Wrong counts responses to another request or
 	// with an unexpected body.
-	Cut   int `json:"cut"`
-	Wrong int `json:"wrong"`
+	Incomplete int `json:"cut"`
+	Wrong      int `json:"wrong"`
 	// RanTwice counts requests that ran more than once although they must run at most
 	// once.
 	RanTwice int `json:"ran_twice"`
@@ -109,7 +109,7 @@
 
 // runner is the state of a run in progress.
 type runner struct {
-	Run
+	Config
 	http *http.Client
 	body []byte
 	sum  string
@@ -121,13 +121,13 @@
 
 // Do executes the run. The function ledger returns what the backend servers ran. It may
 // be nil.
-func Do(ctx context.Context, r Run, ledger func(context.Context) (backendsvc.Ledger, error)) (Report, error) {
+func Do(ctx context.Context, r Config, ledger func(context.Context) (backendsvc.Ledger, error)) (Report, error) {
 	if len(r.Targets) == 0 || len(r.Customers) == 0 || r.Rate <= 0 {
 		return Report{}, ErrTargets
 	}
 	body := bytes.Repeat([]byte("x"), r.Body)
 	x := &runner{
-		Run: r, body: body, sum: strconv.FormatUint(uint64(crc32.ChecksumIEEE(body)), 16),
+		Config: r, body: body, sum: strconv.FormatUint(uint64(crc32.ChecksumIEEE(body)), 16),
 		http: &http.Client{Timeout: timeout, Transport: &http.Transport{
 			MaxIdleConnsPerHost: 1024, DisableCompression: true,
 		}},
@@ -198,7 +198,7 @@
 }
 
 func (x *runner) exchange(ctx context.Context, i int, tag string, once, key bool) result {
-	target := x.Targets[i%len(x.Targets)] + edge.Prefix + string(x.Service) + "/work"
+	target := x.Targets[i%len(x.Targets)] + edge.ServicePathPrefix + string(x.Service) + "/work"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(x.body))
 	if err != nil {
 		return unknown
@@ -211,7 +211,7 @@
 		req.GetBody = nil
 	}
 	if key {
-		req.Header.Set(edge.KeyHeader, tag)
+		req.Header.Set(edge.IdempotencyKeyHeader, tag)
 	}
 	resp, err := x.http.Do(req)
 	if err != nil {
@@ -253,7 +253,7 @@
 		P999: float64(x.latency.ValueAtQuantile(99.9)) / perMs,
 	}
 	counts := map[result]*int{
-		whole: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, cut: &out.Cut, wrong: &out.Wrong,
+		whole: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, cut: &out.Incomplete, wrong: &out.Wrong,
 	}
 	for _, s := range x.sent {
 		*counts[s.result]++
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -104,9 +104,9 @@
 // Dropped returns how many frames were dropped because a queue was full.
 func (l *Links) Dropped() uint64 { return l.dropped.Load() }
 
-// Silent returns how many connections were closed because nothing came from the
+// FoundDead returns how many connections were closed because nothing came from the
 // peer.
-func (l *Links) Silent() uint64 { return l.conns.FoundDead() }
+func (l *Links) FoundDead() uint64 { return l.conns.FoundDead() }
 
 // SetAddresses replaces the addresses at which the hosts listen.
 func (l *Links) SetAddresses(m map[id.Host]string) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -72,12 +72,12 @@
 	host, platform, limits := f.Section("host"), f.Section("platform"), f.Section("limits")
 	logs, traces, tls := f.Section("log"), f.Section("traces"), f.Section("tls")
 	s := Settings{
-		Host:        id.Host(host.Need("id")),
-		Domain:      id.Domain(host.Need("domain")),
+		Host:        id.Host(host.Required("id")),
+		Domain:      id.Domain(host.Required("domain")),
 		Callers:     host.Address("callers", "127.0.0.1:8080"),
 		Operators:   host.Address("operators", "127.0.0.1:8081"),
 		Peers:       host.Address("peers", "127.0.0.1:8082"),
-		TokenFile:   host.Need("token_file"),
+		TokenFile:   host.Required("token_file"),
 		StopWait:    host.Duration("stop_wait", time.Minute, time.Second, maxStopWait),
 		LogURL:      platform.URL("log"),
 		HostsURL:    platform.URL("hosts"),
@@ -96,7 +96,7 @@
 		traces.URL("url")
 	}
 	if (s.CertFile == "") != (s.KeyFile == "") {
-		tls.Fault("key_file", "cert_file and key_file, both or neither")
+		tls.Reject("key_file", "cert_file and key_file, both or neither")
 	}
 	return s
 }
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -82,8 +82,8 @@
 	host, store, limits := f.Section("host"), f.Section("store"), f.Section("limits")
 	workers, machines := f.Section("workers"), f.Section("machines")
 	return Site{
-		Host:        id.Host(host.Need("id")),
-		Domain:      id.Domain(host.Need("domain")),
+		Host:        id.Host(host.Required("id")),
+		Domain:      id.Domain(host.Required("domain")),
 		Callers:     host.Address("callers", "127.0.0.1:8080"),
 		Readiness:   host.Address("readiness", "127.0.0.1:8081"),
 		Peers:       host.Address("peers", "127.0.0.1:8082"),
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -65,11 +65,11 @@
 // Registry returns the registry for the scrape handler.
 func (s *Stats) Registry() *prometheus.Registry { return s.registry }
 
-// Fault counts a violated invariant.
-func (s *Stats) Fault(error) { s.faults.Inc() }
+// CountFault counts a violated invariant.
+func (s *Stats) CountFault(error) { s.faults.Inc() }
 
-// Request records a final response and its latency.
-func (s *Stats) Request(service id.Service, code route.Code, ran route.Ran, latency time.Duration) {
+// ObserveRequest records a final response and its latency.
+func (s *Stats) ObserveRequest(service id.Service, code route.Code, ran route.Ran, latency time.Duration) {
 	if code == route.CodeNoService {
 		// The name came from the caller. As a label it would let callers create
 		// any number of time series.
@@ -79,8 +79,8 @@
 	s.latency.WithLabelValues(string(service)).Observe(latency.Seconds())
 }
 
-// Watch registers the metrics of a host's state.
-func (s *Stats) Watch(v Viewer) {
+// RegisterHost registers the metrics of a host's state.
+func (s *Stats) RegisterHost(v Viewer) {
 	s.viewer = v
 	add := func(name, help string, kind prometheus.ValueType, value func(node.View) float64) {
 		s.gauges = append(s.gauges, gauge{prometheus.NewDesc(name, help, nil, nil), kind, value})
@@ -124,11 +124,11 @@
 type Links interface {
 	Bytes() (sent, received uint64)
 	Dropped() uint64
-	Silent() uint64
+	FoundDead() uint64
 }
 
-// WatchLinks registers the metrics of the connections to peers.
-func (s *Stats) WatchLinks(l Links) {
+// RegisterLinks registers the metrics of the connections to peers.
+func (s *Stats) RegisterLinks(l Links) {
 	add := func(name, help string, value func() float64) {
 		s.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, value))
 	}
@@ -144,7 +144,7 @@
 		return float64(l.Dropped())
 	})
 	add("curlewsill_peer_links_found_dead_total", "Connections to and from peers that were closed because nothing arrived from the peer.", func() float64 {
-		return float64(l.Silent())
+		return float64(l.FoundDead())
 	})
 }
 
