--- a/internal/entry/assure.go
+++ b/internal/entry/assure.go
@@ -44,10 +44,10 @@
 	seen    unit.Instant
 }
 
-// remember records the hosts that a read of the group has returned. A host that
+// rememberHosts records the hosts that a read of the group has returned. A host that
 // is missing from the group is kept for a while: it may be cut off from the
 // store and claim the ownership when the store becomes reachable again.
-func (h *Host) remember(now unit.Instant, members []election.Member, addresses map[id.Host]string) {
+func (h *Host) rememberHosts(now unit.Instant, members []election.Member, addresses map[id.Host]string) {
 	for _, m := range members {
 		if machine := machineOf(m.Host); machine != h.settings.Host {
 			h.others[machine] = otherHost{address: addresses[m.Host], seen: now}
--- a/internal/entry/checks_test.go
+++ b/internal/entry/checks_test.go
@@ -174,7 +174,7 @@
 
 // nonZero reports whether a counter is served and isn't zero.
 func (s *site) nonZero(host int, name string) bool {
-	resp, err := http.Get("http://" + s.hosts[host].Metrics() + "/metrics")
+	resp, err := http.Get("http://" + s.hosts[host].MetricsAddress() + "/metrics")
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -41,17 +41,17 @@
 	if !h.loaded || h.table.HasLegacyProgress() || h.stopping.Load() || h.owner != nil || h.takeover != nil {
 		return false
 	}
-	vacant := h.lost != 0 && h.table.Owner().Epoch == h.lost
+	vacant := h.endedEpoch != 0 && h.table.Owner().Epoch == h.endedEpoch
 	return vacant || h.election.ShouldClaim(now)
 }
 
-// noteFormerLife marks the ownership as vacant if the owner is an earlier
+// noteFormerIncarnation marks the ownership as vacant if the owner is an earlier
 // incarnation of this host, since that process has ended for certain. The store
 // would list it as a live host until its time to live expires.
-func (h *Host) noteFormerLife() {
+func (h *Host) noteFormerIncarnation() {
 	o := h.table.Owner()
 	if o.Host != h.self && machineOf(o.Host) == h.settings.Host {
-		h.lost = o.Epoch
+		h.endedEpoch = o.Epoch
 	}
 }
 
@@ -125,13 +125,13 @@
 	h.post(ctx, func(unit.Instant) { h.claiming = false })
 }
 
-// ownership starts or ends this host's ownership according to the table.
-func (h *Host) ownership(now unit.Instant) {
+// updateOwnership starts or ends this host's ownership according to the table.
+func (h *Host) updateOwnership(now unit.Instant) {
 	o := h.table.Owner()
-	newClaim := o.Epoch > h.newest
+	newClaim := o.Epoch > h.newestClaim
 	if newClaim {
 		h.election.ObserveClaim(now)
-		h.newest = o.Epoch
+		h.newestClaim = o.Epoch
 	}
 	if h.owner != nil && (o.Host != h.self || o.Epoch != h.owner.epoch) {
 		h.stepDown("a later claim is in the store")
@@ -139,7 +139,7 @@
 	if h.takeover != nil && (o.Host != h.self || o.Epoch != h.takeover.epoch) {
 		h.abandonTakeover()
 	}
-	if h.owner == nil && h.takeover == nil && o.Host == h.self && o.Epoch != h.lost && !h.stopping.Load() {
+	if h.owner == nil && h.takeover == nil && o.Host == h.self && o.Epoch != h.endedEpoch && !h.stopping.Load() {
 		h.beginTakeover(o.Epoch)
 	}
 	if o.Host == "" && o.Epoch > 0 && h.releasedEpoch != o.Epoch {
@@ -187,7 +187,7 @@
 		o.configure(c)
 	}
 	for _, j := range h.table.Jobs() {
-		o.learn(now, j)
+		o.updateJob(now, j)
 	}
 	o.evacuate()
 	o.setOperatorReadTime()
@@ -225,7 +225,7 @@
 	}
 	h.log.Warn("owner-ended", zap.Uint64("epoch", uint64(h.owner.epoch)), zap.String("why", why))
 	h.owner.cancel()
-	h.lost = h.owner.epoch
+	h.endedEpoch = h.owner.epoch
 	h.owner = nil
 	h.metrics.owning.Store(false)
 	h.metrics.inPlace.Store(0)
--- a/internal/entry/claim_internal_test.go
+++ b/internal/entry/claim_internal_test.go
@@ -135,7 +135,7 @@
 		store := &storeAnswer{status: http.StatusServiceUnavailable}
 		h := &Host{
 			log: zap.NewNop(), metrics: newMetrics(), health: newStoreHealth(zap.NewNop()), self: "a#1",
-			table: jobtable.New(), events: ring.New[event](events), clock: newTestClock(),
+			table: jobtable.New(), events: ring.New[event](eventCapacity), clock: newTestClock(),
 			store: platform.NewStore("store", &http.Client{Transport: store}), loaded: true,
 			election: election.New(election.Member{Host: "a#1", Ability: 100}),
 		}
@@ -159,7 +159,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &storeAnswer{silent: true}
 		h := &Host{
-			log: zap.NewNop(), metrics: newMetrics(), table: jobtable.New(), events: ring.New[event](events), clock: newTestClock(),
+			log: zap.NewNop(), metrics: newMetrics(), table: jobtable.New(), events: ring.New[event](eventCapacity), clock: newTestClock(),
 			store: platform.NewStore("store", &http.Client{Transport: store}), loaded: true,
 			election: election.New(election.Member{Host: "small", Ability: 100}),
 		}
--- a/internal/entry/clients_internal_test.go
+++ b/internal/entry/clients_internal_test.go
@@ -51,8 +51,8 @@
 func playClient(t *testing.T, listener, behavior string) string {
 	h := &Host{log: zap.NewNop(), metrics: newMetrics()}
 	h.links = relay.NewLinks((&net.Dialer{}).DialContext, zap.NewNop())
-	h.path = relay.New("http://store", relay.RouteStore, http.DefaultClient, h.links, zap.NewNop())
-	h.advicePath, h.recordsPath = h.path, h.path
+	h.storePath = relay.New("http://store", relay.RouteStore, http.DefaultClient, h.links, zap.NewNop())
+	h.advicePath, h.recordsPath = h.storePath, h.storePath
 	clientEnd, serverEnd := net.Pipe()
 	ended := make(chan struct{})
 	lis := &oneConn{conn: &closeSignalConn{Conn: serverEnd, ended: ended}, closed: make(chan struct{})}
--- a/internal/entry/dropped_internal_test.go
+++ b/internal/entry/dropped_internal_test.go
@@ -25,7 +25,7 @@
 // a log line nothing shows why leases expire.
 func TestDroppedRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOwnerOf(t, &hangingWorkers{under: map[string]int{}})
+		o := newOwnerOf(t, &hangingWorkers{inFlight: map[string]int{}})
 		core, lines := observer.New(zap.InfoLevel)
 		o.host.log = zap.New(core)
 		o.boxes.renewals = outbox.New[id.Worker](outbox.Limits{})
--- a/internal/entry/evacuations.go
+++ b/internal/entry/evacuations.go
@@ -12,9 +12,9 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// takeEvacuation applies a record that evacuates a failure domain or revokes
+// applyEvacuation applies a record that evacuates a failure domain or revokes
 // its evacuation.
-func (h *Host) takeEvacuation(at id.Offset, r jobtable.Record) {
+func (h *Host) applyEvacuation(at id.Offset, r jobtable.Record) {
 	domain, evacuated, err := platform.DecodeEvacuation(r)
 	if err != nil {
 		h.rejectEvacuation(r, err)
@@ -25,10 +25,10 @@
 	}
 }
 
-// takeEvacuations replaces the evacuations by those in the newest records of
+// replaceEvacuations replaces the evacuations by those in the newest records of
 // the operator's log, which ended at an offset. A record that can't be decoded
 // leaves its domain unchanged.
-func (h *Host) takeEvacuations(end id.Offset, recs []jobtable.Record) {
+func (h *Host) replaceEvacuations(end id.Offset, recs []jobtable.Record) {
 	var domains []id.Domain
 	for _, r := range recs {
 		if !platform.IsEvacuation(r) {
@@ -67,9 +67,9 @@
 	}
 }
 
-// inform records that this host knows all operator records up to the time when
+// noteOperatorRead records that this host knows all operator records up to the time when
 // a read was sent.
-func (h *Host) inform(sent unit.Instant) {
+func (h *Host) noteOperatorRead(sent unit.Instant) {
 	h.operatorReadAt = max(h.operatorReadAt, sent)
 	if h.owner != nil {
 		h.owner.setOperatorReadTime()
--- a/internal/entry/flush_internal_test.go
+++ b/internal/entry/flush_internal_test.go
@@ -65,7 +65,7 @@
 // of the owner and of its start order.
 func playFlush(t *testing.T, f []string) {
 	ctx, cancel := context.WithCancel(t.Context())
-	workers := &hangingWorkers{under: map[string]int{}}
+	workers := &hangingWorkers{inFlight: map[string]int{}}
 	o := newOwnerOf(t, workers)
 	h := o.host
 	h.owner = o
@@ -88,7 +88,7 @@
 	if h.owner == o {
 		owner = "owns"
 	}
-	if workers.at("/run-start") > 0 {
+	if workers.countInFlight("/run-start") > 0 {
 		order = "started"
 	}
 	if owner != f[2] || order != f[3] {
--- a/internal/entry/foreign_internal_test.go
+++ b/internal/entry/foreign_internal_test.go
@@ -22,7 +22,7 @@
 // workers without an address or without capacity.
 func TestForeignEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOwnerOf(t, &hangingWorkers{under: map[string]int{}})
+		o := newOwnerOf(t, &hangingWorkers{inFlight: map[string]int{}})
 		core, lines := observer.New(zap.InfoLevel)
 		o.host.log = zap.New(core)
 		o.core = dispatch.New(dispatch.Config{}, policy.New(), 1, jobtable.New())
@@ -47,7 +47,7 @@
 			{"w-2", []byte("{}"), false, 4},
 		}
 		for i, x := range steps {
-			o.list(o.host.now(), []jobtable.Record{{Key: x.key, Value: x.value}})
+			o.updateListings(o.host.now(), []jobtable.Record{{Key: x.key, Value: x.value}})
 			if _, listed := o.listed["w-1"]; listed != x.listed || lines.FilterMessage("listing-rejected").Len() != x.logged {
 				t.Errorf("step %d: listed %v, %d log lines about rejected entries", i, o.listed["w-1"], lines.FilterMessage("listing-rejected").Len())
 			}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -39,8 +39,8 @@
 )
 
 const (
-	// events is the capacity of the ring of events for the deciding goroutine.
-	events = 4096
+	// eventCapacity is the capacity of the ring of events for the deciding goroutine.
+	eventCapacity = 4096
 	// memoryShare is the part of the allowed memory that the runtime uses as
 	// its soft limit.
 	memoryShare = 0.6
@@ -66,9 +66,9 @@
 	metrics  *metrics
 	// links are the connections with peers, in both directions.
 	links *wslink.Links
-	// path and advicePath carry calls to the store and to the advice service,
+	// storePath and advicePath carry calls to the store and to the advice service,
 	// directly or through peers.
-	path, advicePath *relay.Transport
+	storePath, advicePath *relay.Transport
 	// recordsPath carries records to the writers of peers. gatherer is the
 	// address at which the owner accepts records; nil if it is unknown or this
 	// host is the owner.
@@ -101,16 +101,16 @@
 	catalog atomic.Pointer[catalog.Catalog]
 	// ready is the readiness that the load balancer sees.
 	ready atomic.Bool
-	// room is the number of hosts that fit into the group, as last seen by this
+	// groupCapacity is the number of hosts that fit into the group, as last seen by this
 	// host.
-	room atomic.Int32
+	groupCapacity atomic.Int32
 	// standby is set while this host would be among the first to claim.
 	standby atomic.Bool
-	// waiting counts the calls that wait for a job's end.
-	waiting  atomic.Int32
-	stopping atomic.Bool
-	stopOnce sync.Once
-	stopped  chan struct{}
+	// waitingCalls counts the calls that wait for a job's end.
+	waitingCalls atomic.Int32
+	stopping     atomic.Bool
+	stopOnce     sync.Once
+	stopped      chan struct{}
 
 	clock Clock
 	// suspended is the total time for which the machine had been suspended at
@@ -141,11 +141,11 @@
 	owner    *owner
 	claiming bool
 	takeover *takeover
-	// newest is the epoch of the newest claim that this host has read.
-	newest id.Epoch
-	// lost is the last epoch whose owner has ended for certain: this host gave
+	// newestClaim is the epoch of the newest claim that this host has read.
+	newestClaim id.Epoch
+	// endedEpoch is the last epoch whose owner has ended for certain: this host gave
 	// it up, or it was an earlier incarnation's.
-	lost id.Epoch
+	endedEpoch id.Epoch
 	// watchers are notified when a job ends.
 	watchers watchers
 	// peerAddresses holds the addresses at which the other hosts listen for
@@ -190,19 +190,19 @@
 	advicePath := relay.New("http://"+s.Advice, relay.RouteAdvice, client(toAdvice, adviceConns), links, log)
 	h := &Host{
 		settings: s, log: log, metrics: m, self: self,
-		links: links, path: path, advicePath: advicePath,
+		links: links, storePath: path, advicePath: advicePath,
 		store:    platform.NewStore(s.Store, &http.Client{Transport: path}),
 		workers:  platform.NewWorkers(platform.NewWorkerHTTPClient(workerConns, m.deadConnHandler(log, toWorkers)), log),
 		advice:   platform.NewAdviceClient(s.Advice, &http.Client{Transport: advicePath}, log),
 		machines: platform.NewMachineClient(s.Machines, s.Host, client(toMachines, machineConns), log),
-		events:   ring.New[event](events), stopped: make(chan struct{}),
+		events:   ring.New[event](eventCapacity), stopped: make(chan struct{}),
 		table: jobtable.New(), waves: map[id.Wave]upkeep.Wave{}, election: election.New(election.Member{Host: self, Ability: ability(s)}), clock: clock,
 		others: map[id.Host]otherHost{}, watchers: watchers{}, counts: counts{}, wake: make(chan struct{}, 1),
 	}
 	h.recordsPath = relay.New(recordsBase, relay.RouteRecords, &http.Client{Transport: recordsTransport{h}}, links, log)
 	h.watchPath = relay.New(watchBase, relay.RouteWatch, &http.Client{Transport: watchTransport{h}}, links, log)
 	h.metrics.watchLinks(links)
-	h.room.Store(fewMembers)
+	h.groupCapacity.Store(fewMembers)
 	h.health = newStoreHealth(log)
 	h.writer = newWriter(h.store, h.health, string(self), log, h.metrics)
 	if err := h.listen(); err != nil {
@@ -270,8 +270,8 @@
 	return nil
 }
 
-// Metrics returns the address at which metrics are served.
-func (h *Host) Metrics() string { return h.listeners[2].Addr().String() }
+// MetricsAddress returns the address at which metrics are served.
+func (h *Host) MetricsAddress() string { return h.listeners[2].Addr().String() }
 
 // Reload logs changed settings. Addresses and names stay as they are for the
 // lifetime of the process.
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -56,7 +56,7 @@
 // peerHandler serves the calls of other entry hosts.
 func (h *Host) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(string(relay.RouteStore), h.path.Handler())
+	mux.Handle(string(relay.RouteStore), h.storePath.Handler())
 	mux.Handle(string(relay.RouteAdvice), h.advicePath.Handler())
 	mux.Handle(string(relay.RouteRecords), h.recordsPath.Handler())
 	mux.Handle(string(relay.RouteWatch), h.watchPath.Handler())
--- a/internal/entry/lookup.go
+++ b/internal/entry/lookup.go
@@ -106,8 +106,8 @@
 // query just when the last task ends, before the host has read the record of
 // that, and would otherwise have to ask again.
 func (f *front) awaitEnd(ctx context.Context, j id.Job, l jobView) jobView {
-	f.host.waiting.Add(1)
-	defer f.host.waiting.Add(-1)
+	f.host.waitingCalls.Add(1)
+	defer f.host.waitingCalls.Add(-1)
 	ended := make(chan struct{})
 	if !f.host.post(ctx, func(unit.Instant) { f.host.watch(j, ended) }) {
 		return l
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -72,7 +72,7 @@
 	dep := dependency{log: h.log, name: "store group"}
 	generation := uint64(0)
 	for ctx.Err() == nil && !h.stopping.Load() {
-		topics := memberTopics(h.settings.Partitions, int(h.room.Load()))
+		topics := memberTopics(h.settings.Partitions, int(h.groupCapacity.Load()))
 		ended := h.health.begin()
 		g, err := h.store.Join(ctx, group, h.member(), topics, ttl, generation)
 		ended(err)
@@ -103,7 +103,7 @@
 		if err == nil {
 			members, peers, addresses := h.parseMembers(names)
 			h.growGroup(len(members))
-			h.path.SetPeers(peers)
+			h.storePath.SetPeers(peers)
 			h.advicePath.SetPeers(peers)
 			h.recordsPath.SetPeers(peers)
 			h.watchPath.SetPeers(peers)
@@ -112,7 +112,7 @@
 				h.standby.Store(h.election.Standby())
 				h.peerAddresses = addresses
 				h.followOwner()
-				h.remember(now, members, addresses)
+				h.rememberHosts(now, members, addresses)
 				return h.election.PollInterval()
 			})
 			if ok {
@@ -126,10 +126,10 @@
 // growGroup makes room for more hosts in the group if the listed members need
 // it.
 func (h *Host) growGroup(listed int) {
-	room := int(h.room.Load())
+	room := int(h.groupCapacity.Load())
 	larger := roomForMembers(listed, room)
 	if larger != room {
-		h.room.Store(int32(larger))
+		h.groupCapacity.Store(int32(larger))
 		h.log.Info("group-grows", zap.Int("members", listed), zap.Int("room", larger))
 	}
 }
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -35,18 +35,18 @@
 		for _, r := range recs {
 			h.applyOperatorRecord(ctx, r)
 		}
-		h.post(ctx, func(unit.Instant) { h.takeEvacuations(end, recs) })
+		h.post(ctx, func(unit.Instant) { h.replaceEvacuations(end, recs) })
 	}
 	t.more = func(recs []jobtable.Record, from id.Offset) {
 		for i, r := range recs {
 			h.applyOperatorRecord(ctx, r)
 			if platform.IsEvacuation(r) {
-				h.post(ctx, func(unit.Instant) { h.takeEvacuation(from+id.Offset(i), r) })
+				h.post(ctx, func(unit.Instant) { h.applyEvacuation(from+id.Offset(i), r) })
 			}
 		}
 	}
 	t.caughtUp = func(sentAt unit.Instant) {
-		h.post(ctx, func(unit.Instant) { h.inform(sentAt) }) // after the records of the same read
+		h.post(ctx, func(unit.Instant) { h.noteOperatorRead(sentAt) }) // after the records of the same read
 	}
 	t.run(ctx)
 }
@@ -68,7 +68,7 @@
 	case r.Key == platform.KeyConfig && len(r.Value) > 0:
 		h.applyConfig(ctx, r.Value)
 	case platform.IsWave(r):
-		h.takeWave(ctx, r.Value)
+		h.applyWave(ctx, r.Value)
 	}
 }
 
--- a/internal/entry/orders_internal_test.go
+++ b/internal/entry/orders_internal_test.go
@@ -24,8 +24,8 @@
 // none.
 type hangingWorkers struct {
 	mu sync.Mutex
-	// under counts the orders in flight by kind, and by kind and worker.
-	under map[string]int
+	// inFlight counts the orders in flight by kind, and by kind and worker.
+	inFlight map[string]int
 	// released is closed to end the orders in flight without an answer.
 	released chan struct{}
 }
@@ -64,16 +64,16 @@
 func (w *hangingWorkers) count(req *http.Request, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.under[req.URL.Path] += n
-	w.under[req.URL.Path+" "+req.URL.Host] += n
+	w.inFlight[req.URL.Path] += n
+	w.inFlight[req.URL.Path+" "+req.URL.Host] += n
 }
 
-// at returns how many orders of a kind, or of a kind to a worker, are in
+// countInFlight returns how many orders of a kind, or of a kind to a worker, are in
 // flight.
-func (w *hangingWorkers) at(what string) int {
+func (w *hangingWorkers) countInFlight(what string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.under[what]
+	return w.inFlight[what]
 }
 
 // TestOrdersAreBounded checks that a bounded number of goroutines sends orders.
@@ -83,7 +83,7 @@
 // core with 3,000 workers was not scheduled for 0.75 s.
 func TestOrdersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		workers := &hangingWorkers{under: map[string]int{}}
+		workers := &hangingWorkers{inFlight: map[string]int{}}
 		o := newOwnerOf(t, workers)
 		var orders dispatch.Orders
 		for n := range 3000 {
@@ -95,13 +95,13 @@
 		o.enqueueOrders(t.Context(), orders)
 		synctest.Wait()
 		for _, kind := range []string{"/run-start", "/hold", "/run-stop"} {
-			if got := workers.at(kind); got != maxFreshOrders {
+			if got := workers.countInFlight(kind); got != maxFreshOrders {
 				t.Errorf("%d orders %s were sent at once, want %d", got, kind, maxFreshOrders)
 			}
 		}
 		time.Sleep(7 * freshOrderAge)
 		synctest.Wait()
-		if got, most := workers.at("/run-start"), maxStarts; got > most || got <= maxFreshOrders {
+		if got, most := workers.countInFlight("/run-start"), maxStarts; got > most || got <= maxFreshOrders {
 			t.Errorf("%d starts are in flight to workers that hang, want at most %d and more than %d", got, most, maxFreshOrders)
 		}
 		o.cancel()
@@ -113,7 +113,7 @@
 // workers don't wait for it either.
 func TestNoOrderWaitsForOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		workers := &hangingWorkers{under: map[string]int{}}
+		workers := &hangingWorkers{inFlight: map[string]int{}}
 		o := newOwnerOf(t, workers)
 		var starts dispatch.Orders
 		for i := range 200 {
@@ -127,11 +127,11 @@
 			Stops:  []dispatch.Stop{{Target: target(0)}, {Target: target(1)}},
 		})
 		synctest.Wait()
-		if got := workers.at("/run-start worker-0"); got != startsPerWorker {
+		if got := workers.countInFlight("/run-start worker-0"); got != startsPerWorker {
 			t.Errorf("%d starts are in flight to a worker that hangs, want %d", got, startsPerWorker)
 		}
 		for _, what := range []string{"/hold worker-0", "/run-stop worker-0", "/run-start worker-1", "/hold worker-1", "/run-stop worker-1"} {
-			if workers.at(what) != 1 {
+			if workers.countInFlight(what) != 1 {
 				t.Errorf("%s was not sent", what)
 			}
 		}
@@ -148,7 +148,7 @@
 // before an evacuation would be sent seconds after it.
 func TestStartsAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		workers := &hangingWorkers{under: map[string]int{}}
+		workers := &hangingWorkers{inFlight: map[string]int{}}
 		o := newOwnerOf(t, workers)
 		var orders dispatch.Orders
 		for n, domain := range []id.Domain{"a", "b"} {
@@ -162,14 +162,14 @@
 		workers.release()
 		synctest.Wait()
 		for worker, want := range map[string]int{"worker-0": 0, "worker-1": 1} {
-			if got := workers.at("/run-start " + worker); got != want {
+			if got := workers.countInFlight("/run-start " + worker); got != want {
 				t.Errorf("%d starts are in flight to %s, want %d", got, worker, want)
 			}
 		}
 		o.startRules.Store(&dispatch.StartRules{ValidUntil: o.host.now() - 1})
 		o.enqueueOrders(t.Context(), dispatch.Orders{Starts: []dispatch.Start{{Target: target(2), Domain: "c"}}})
 		synctest.Wait()
-		if got := workers.at("/run-start worker-2"); got != 0 {
+		if got := workers.countInFlight("/run-start worker-2"); got != 0 {
 			t.Errorf("%d starts were sent although the operator's records were read too long ago", got)
 		}
 		o.cancel()
@@ -179,7 +179,7 @@
 // newOwnerOf returns an owner whose calls to workers use the given transport.
 func newOwnerOf(t *testing.T, workers http.RoundTripper) *owner {
 	h := &Host{
-		log: zap.NewNop(), metrics: newMetrics(), events: ring.New[event](events), clock: newTestClock(),
+		log: zap.NewNop(), metrics: newMetrics(), events: ring.New[event](eventCapacity), clock: newTestClock(),
 		workers: platform.NewWorkers(&http.Client{Transport: workers}, zap.NewNop()),
 	}
 	boxes := newOutboxes(1024)
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -68,8 +68,8 @@
 	rejected map[id.WorkerName]uint64
 }
 
-// learn updates a job in the dispatcher from the table.
-func (o *owner) learn(now unit.Instant, j id.Job) {
+// updateJob updates a job in the dispatcher from the table.
+func (o *owner) updateJob(now unit.Instant, j id.Job) {
 	e := o.host.table.Get(j)
 	if e == nil || e.Spec == nil {
 		return
@@ -87,8 +87,8 @@
 	}
 }
 
-// listAll replaces the list of workers.
-func (o *owner) listAll(now unit.Instant, recs []jobtable.Record) {
+// replaceListings replaces the list of workers.
+func (o *owner) replaceListings(now unit.Instant, recs []jobtable.Record) {
 	present := map[id.WorkerName]bool{}
 	for _, r := range recs {
 		present[id.WorkerName(r.Key)] = len(r.Value) > 0
@@ -99,11 +99,11 @@
 		}
 	}
 	maps.DeleteFunc(o.rejected, func(w id.WorkerName, _ uint64) bool { return !present[w] })
-	o.list(now, recs)
+	o.updateListings(now, recs)
 }
 
-// list applies changed entries of the list of workers.
-func (o *owner) list(now unit.Instant, recs []jobtable.Record) {
+// updateListings applies changed entries of the list of workers.
+func (o *owner) updateListings(now unit.Instant, recs []jobtable.Record) {
 	for _, r := range recs {
 		name := id.WorkerName(r.Key)
 		if len(r.Value) == 0 {
@@ -241,7 +241,7 @@
 		_, err := o.host.store.Append(ctx, topic, recs, w)
 		o.host.metrics.storeCall("append", began, err)
 		dep.note(err)
-		if settled(err) {
+		if appendSettled(err) {
 			return sent, err
 		}
 		bk.wait(ctx, began)
@@ -249,9 +249,9 @@
 	return 0, ctx.Err()
 }
 
-// settled reports whether an append has succeeded, or failed so that a retry
+// appendSettled reports whether an append has succeeded, or failed so that a retry
 // can't succeed.
-func settled(err error) bool {
+func appendSettled(err error) bool {
 	return err == nil || errors.Is(err, platform.ErrFenced) || errors.Is(err, platform.ErrSequence) || errors.Is(err, platform.ErrInvalid)
 }
 
--- a/internal/entry/pass_internal_test.go
+++ b/internal/entry/pass_internal_test.go
@@ -51,7 +51,7 @@
 		defer cancel()
 		start := time.Now()
 		now := func() unit.Instant { return unit.At(start).Add(time.Since(start)) }
-		answers := ring.New[event](events)
+		answers := ring.New[event](eventCapacity)
 		var longest time.Duration
 		go func() {
 			for pause(ctx, eventEvery) {
--- a/internal/entry/pending.go
+++ b/internal/entry/pending.go
@@ -18,9 +18,9 @@
 type pending struct {
 	record jobtable.Record
 	state  atomic.Int32
-	// hurried is set once the caller wants a refusal as soon as it is certain,
+	// failFast is set once the caller wants a refusal as soon as it is certain,
 	// instead of further attempts.
-	hurried atomic.Bool
+	failFast atomic.Bool
 	// done receives nil once the record is in the store, and errNotWritten if
 	// it is definitely not.
 	done chan error
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -125,7 +125,7 @@
 		began := time.Now()
 		end, err := h.store.Append(ctx, platform.TopicProgress, []jobtable.Record{rec}, platform.Writer{Name: ownerWriter, Epoch: epoch, Seq: firstSeq})
 		h.metrics.storeCall("append", began, err)
-		if settled(err) {
+		if appendSettled(err) {
 			return end, err
 		}
 		b.wait(ctx, began)
@@ -200,7 +200,7 @@
 	}
 	h.log.Warn("claim-failed", zap.Uint64("epoch", uint64(epoch)), zap.Error(err))
 	h.abandonTakeover()
-	h.lost = epoch
+	h.endedEpoch = epoch
 }
 
 // abandonTakeover cancels the takeover in progress, if there is one.
--- a/internal/entry/progress_internal_test.go
+++ b/internal/entry/progress_internal_test.go
@@ -67,7 +67,7 @@
 		store := &emptyStore{}
 		h := &Host{
 			log: zap.NewNop(), metrics: newMetrics(), health: newStoreHealth(zap.NewNop()), self: "a#1",
-			table: jobtable.New(), events: ring.New[event](events), clock: newTestClock(),
+			table: jobtable.New(), events: ring.New[event](eventCapacity), clock: newTestClock(),
 			store: platform.NewStore("store", &http.Client{Transport: store}), election: election.New(election.Member{Host: "a#1"}), watchers: watchers{},
 		}
 		go decideEach(ctx, h.events, h.now, func(unit.Instant) {})
--- a/internal/entry/put.go
+++ b/internal/entry/put.go
@@ -75,7 +75,7 @@
 		case err := <-p.done:
 			return outcomeOf(err)
 		case <-queuedTimer.C:
-			p.hurried.Store(true)
+			p.failFast.Store(true)
 			if p.withdraw() {
 				return notStored, "the store doesn't answer"
 			}
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -58,7 +58,7 @@
 // pauseOfJobs returns the pause between two reads of the job log.
 func (h *Host) pauseOfJobs() time.Duration {
 	switch {
-	case h.metrics.owning.Load(), h.waiting.Load() > 0:
+	case h.metrics.owning.Load(), h.waitingCalls.Load() > 0:
 		return awaitedPause
 	case h.standby.Load():
 		return standbyPause
@@ -81,7 +81,7 @@
 	table.Advance(end)
 	table.CopyProgress(h.table)
 	if !h.loaded {
-		h.newest = table.Owner().Epoch // a claim made before this host started is not a new one
+		h.newestClaim = table.Owner().Epoch // a claim made before this host started is not a new one
 	}
 	h.table, h.loaded = table, true
 	h.log.Info("jobs-loaded", zap.Int("records", len(recs)), zap.Uint64("end", uint64(end)))
@@ -89,9 +89,9 @@
 		why := "jobs have progress in " + string(platform.TopicJobs) + ": this host doesn't claim the ownership until they are forgotten"
 		h.log.Error("earlier-version", zap.String("why", why))
 	}
-	h.noteFormerLife()
+	h.noteFormerIncarnation()
 	h.election.LearnOwner(table.Owner().Host)
-	h.ownership(now)
+	h.updateOwnership(now)
 	for _, j := range table.Jobs() {
 		h.jobChanged(now, j)
 	}
@@ -117,7 +117,7 @@
 			h.jobChanged(now, j)
 		}
 	}
-	h.ownership(now)
+	h.updateOwnership(now)
 }
 
 // jobChanged passes a change of a job to the calls that wait for it and to the
@@ -125,7 +125,7 @@
 func (h *Host) jobChanged(now unit.Instant, j id.Job) {
 	h.notifyWatchers(j)
 	if h.owner != nil {
-		h.owner.learn(now, j)
+		h.owner.updateJob(now, j)
 	}
 }
 
@@ -133,11 +133,11 @@
 func (h *Host) readServers(ctx context.Context, o *owner) {
 	t := &tail{host: h, topic: platform.TopicServers, pause: func() time.Duration { return workerListPause }}
 	t.whole = func(recs []jobtable.Record, _ id.Offset) {
-		h.post(ctx, func(now unit.Instant) { o.listAll(now, recs) })
+		h.post(ctx, func(now unit.Instant) { o.replaceListings(now, recs) })
 	}
 	t.more = func(recs []jobtable.Record, _ id.Offset) {
 		recs = newestPerKey(recs)
-		h.post(ctx, func(now unit.Instant) { o.list(now, recs) })
+		h.post(ctx, func(now unit.Instant) { o.updateListings(now, recs) })
 	}
 	t.run(ctx)
 }
--- a/internal/entry/stall_internal_test.go
+++ b/internal/entry/stall_internal_test.go
@@ -34,7 +34,7 @@
 		defer cancel()
 		start := time.Now()
 		now := func() unit.Instant { return unit.At(start).Add(time.Since(start)) }
-		answers := ring.New[event](events)
+		answers := ring.New[event](eventCapacity)
 		go func() {
 			for pause(ctx, eventEvery) {
 				answers.Push(ctx, func(unit.Instant) {})
--- a/internal/entry/suspend_internal_test.go
+++ b/internal/entry/suspend_internal_test.go
@@ -40,7 +40,7 @@
 // for 3 s.
 func TestOwnerSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOwnerOf(t, &hangingWorkers{under: map[string]int{}})
+		o := newOwnerOf(t, &hangingWorkers{inFlight: map[string]int{}})
 		clock := newTestClock()
 		core, lines := observer.New(zap.InfoLevel)
 		o.host.log, o.host.clock = zap.New(core), clock
--- a/internal/entry/waves.go
+++ b/internal/entry/waves.go
@@ -24,8 +24,8 @@
 	machineListInterval = 500 * time.Millisecond
 )
 
-// takeWave applies the operator's request for a maintenance wave.
-func (h *Host) takeWave(ctx context.Context, value []byte) {
+// applyWave applies the operator's request for a maintenance wave.
+func (h *Host) applyWave(ctx context.Context, value []byte) {
 	w, err := platform.DecodeWave(value)
 	if err != nil {
 		h.log.Error("wave-rejected", zap.Error(err))
@@ -111,7 +111,7 @@
 	for {
 		began := time.Now()
 		_, err := o.host.store.Append(ctx, platform.TopicStatus, []jobtable.Record{rec}, w)
-		if err == nil || settled(err) {
+		if err == nil || appendSettled(err) {
 			return err
 		}
 		if !b.wait(ctx, began) {
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -175,7 +175,7 @@
 func (w *writer) pauseRefused(ctx context.Context, batch []*pending) []*pending {
 	var waiting, remaining []*pending
 	for _, p := range batch {
-		if p.hurried.Load() {
+		if p.failFast.Load() {
 			p.done <- errNotWritten
 			continue
 		}
