--- a/internal/entry/assure.go
+++ b/internal/entry/assure.go
@@ -63,7 +63,7 @@
 	confirmedAt := map[string]unit.Instant{}
 	for pause(ctx, assureInterval) {
 		var others []string
-		stale, ok := ask(ctx, h, func(now unit.Instant) bool {
+		stale, ok := query(ctx, h, func(now unit.Instant) bool {
 			for _, o := range h.others {
 				others = append(others, o.address)
 			}
--- a/internal/entry/assured_internal_test.go
+++ b/internal/entry/assured_internal_test.go
@@ -157,7 +157,7 @@
 		maxAge := time.Duration(0)
 		for range 500 {
 			time.Sleep(10 * time.Millisecond)
-			age, _ := ask(ctx, h, func(now unit.Instant) time.Duration {
+			age, _ := query(ctx, h, func(now unit.Instant) time.Duration {
 				if !h.loaded {
 					return 0
 				}
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -25,8 +25,8 @@
 const notLoaded = -1
 
 // pending answers a request for the number of waiting jobs of a queue.
-func (f *front) pending(ctx context.Context, q *catalog.Queue) reply {
-	n, ok := ask(ctx, f.host, func(now unit.Instant) int {
+func (f *clientHandler) pending(ctx context.Context, q *catalog.Queue) reply {
+	n, ok := query(ctx, f.host, func(now unit.Instant) int {
 		if !f.host.loaded {
 			return notLoaded
 		}
@@ -39,12 +39,12 @@
 }
 
 // state answers a request for the state of a job.
-func (f *front) state(ctx context.Context, c *call) reply {
+func (f *clientHandler) state(ctx context.Context, c *call) reply {
 	l, ok := f.find(ctx, c.job)
 	switch {
 	case !ok:
 		return refused("the newest state can't be read")
-	case !l.known || l.foreign(c):
+	case !l.known || l.ofOtherCustomer(c):
 		return reply{status: http.StatusGone, why: "no such job"}
 	}
 	if l.state == jobtable.StateRunning {
@@ -55,12 +55,12 @@
 
 // cancel cancels a job. The answer is sent when the cancel record is in the
 // store.
-func (f *front) cancel(ctx context.Context, c *call) reply {
+func (f *clientHandler) cancel(ctx context.Context, c *call) reply {
 	l, ok := f.find(ctx, c.job)
 	switch {
 	case !ok:
 		return refused("the newest state can't be read")
-	case !l.known || l.foreign(c) || l.state == jobtable.StateCompleted || l.state == jobtable.StateFailed:
+	case !l.known || l.ofOtherCustomer(c) || l.state == jobtable.StateCompleted || l.state == jobtable.StateFailed:
 		return reply{status: http.StatusGone, why: "no such open job"}
 	case l.state == jobtable.StateCancelled:
 		return reply{status: http.StatusOK, why: "cancelled before"}
@@ -71,7 +71,7 @@
 // submit accepts a job. The answer is sent when the job's record is in the
 // store. A job that is already known gets the same status as a new one, so that
 // clients may retry the request.
-func (f *front) submit(ctx context.Context, c *call) reply {
+func (f *clientHandler) submit(ctx context.Context, c *call) reply {
 	limit := c.catalog.Limits.BodyBytes
 	if limit <= 0 {
 		limit = maxBody
@@ -87,12 +87,12 @@
 	if err != nil {
 		return reply{status: http.StatusBadRequest, why: "the job was not received whole"}
 	}
-	f.unboundBody(c.w)
+	f.liftBodyLimit(c.w)
 	spec, err := platform.DecodeJob(data)
 	if err != nil {
 		return reply{status: http.StatusBadRequest, why: err.Error()}
 	}
-	l, ok := f.whenLoaded(ctx, c.job)
+	l, ok := f.awaitLoaded(ctx, c.job)
 	if !ok || !l.loaded {
 		return refused("the jobs are not known yet")
 	}
@@ -118,7 +118,7 @@
 
 // store writes a record and returns the reply for the outcome. It reports a
 // refusal only if the record was definitely not written.
-func (f *front) store(ctx context.Context, rec jobtable.Record, done string) reply {
+func (f *clientHandler) store(ctx context.Context, rec jobtable.Record, done string) reply {
 	got, why := f.host.put(ctx, rec)
 	if got == stored {
 		why = done + why
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -63,7 +63,7 @@
 	go func() {
 		read := h.catchUp(ctx)
 		if !read {
-			pause(ctx, retryLeast+rand.N(retryLeast)) // otherwise a store that refuses at once would be called on every pass
+			pause(ctx, minRetryPause+rand.N(minRetryPause)) // otherwise a store that refuses at once would be called on every pass
 		}
 		h.post(ctx, func(now unit.Instant) {
 			if !read || !h.mayClaim(now) {
@@ -195,7 +195,7 @@
 		o.setWave(now, h.waves[n])
 	}
 	h.forgetProgress() // the dispatcher holds it from here on
-	go h.readServers(ctx, o)
+	go h.followWorkerList(ctx, o)
 	go o.writeReports(ctx)
 	go o.followMachines(ctx)
 }
@@ -228,5 +228,5 @@
 	h.endedEpoch = h.owner.epoch
 	h.owner = nil
 	h.metrics.owning.Store(false)
-	h.metrics.inPlace.Store(0)
+	h.metrics.placedRuns.Store(0)
 }
--- a/internal/entry/claim_internal_test.go
+++ b/internal/entry/claim_internal_test.go
@@ -132,7 +132,7 @@
 func TestClaimsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		store := &storeAnswer{status: http.StatusServiceUnavailable}
+		store := &fixedStore{status: http.StatusServiceUnavailable}
 		h := &Host{
 			log: zap.NewNop(), metrics: newMetrics(), health: newStoreHealth(zap.NewNop()), self: "a#1",
 			table: jobtable.New(), events: ring.New[event](eventCapacity), clock: newTestClock(),
@@ -144,7 +144,7 @@
 		go h.decide(ctx)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if got, most := store.tries(), int(time.Second/retryLeast); got > most || got < 2 {
+		if got, most := store.tries(), int(time.Second/minRetryPause); got > most || got < 2 {
 			t.Errorf("%d reads within 1s, want 2 to %d", got, most)
 		}
 		cancel()
@@ -157,7 +157,7 @@
 // then.
 func TestYield(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &storeAnswer{silent: true}
+		store := &fixedStore{silent: true}
 		h := &Host{
 			log: zap.NewNop(), metrics: newMetrics(), table: jobtable.New(), events: ring.New[event](eventCapacity), clock: newTestClock(),
 			store: platform.NewStore("store", &http.Client{Transport: store}), loaded: true,
--- a/internal/entry/deadconns.go
+++ b/internal/entry/deadconns.go
@@ -24,8 +24,8 @@
 // that were found dead.
 func (m *metrics) deadConnHandler(log *zap.Logger, kind peerKind) func(conntrack.DeadConn) {
 	return func(f conntrack.DeadConn) {
-		m.deadFound.WithLabelValues(string(kind), strconv.FormatBool(f.First)).Inc()
-		m.suspects.WithLabelValues(string(kind)).Add(float64(f.Closed))
+		m.deadConnections.WithLabelValues(string(kind), strconv.FormatBool(f.First)).Inc()
+		m.suspectConnections.WithLabelValues(string(kind)).Add(float64(f.Closed))
 		log.Warn("connection-dead", zap.String("kind", string(kind)), zap.String("to", f.To), zap.Duration("age", f.Age),
 			zap.Duration("idle", f.Idle), zap.Bool("first", f.First), zap.String("why", f.Why),
 			zap.Int("closed", f.Closed))
--- a/internal/entry/front.go
+++ b/internal/entry/front.go
@@ -29,15 +29,17 @@
 	retryAfterSeconds = 1
 )
 
-// front serves the calls of clients.
-type front struct {
+// clientHandler serves the calls of clients.
+type clientHandler struct {
 	host *Host
 	// records only encodes records. The host's own table belongs to the
 	// deciding goroutine and must not be used here.
 	records *jobtable.Table
 }
 
-func newFront(h *Host) *front { return &front{host: h, records: jobtable.New()} }
+func newClientHandler(h *Host) *clientHandler {
+	return &clientHandler{host: h, records: jobtable.New()}
+}
 
 // call is one call of a client, with the queue, customer and job that it
 // concerns as far as they are known.
@@ -75,7 +77,7 @@
 func refused(why string) reply { return reply{status: http.StatusServiceUnavailable, why: why} }
 
 // ServeHTTP answers one call.
-func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *clientHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	ctx, cancel := context.WithDeadline(r.Context(), began.Add(callTimeout(r)-answerMargin))
 	defer cancel()
@@ -96,7 +98,7 @@
 // boundBody limits the time for receiving a call's body. Without a limit a
 // client that stops sending in the middle of a body would hold its connection,
 // a goroutine and memory forever, and would delay a planned stop.
-func (f *front) boundBody(w http.ResponseWriter, r *http.Request, began time.Time) {
+func (f *clientHandler) boundBody(w http.ResponseWriter, r *http.Request, began time.Time) {
 	if r.ContentLength == 0 {
 		return // a read deadline would end the call, because the server keeps reading to detect a disconnect
 	}
@@ -105,8 +107,8 @@
 	}
 }
 
-// unboundBody removes the time limit once the whole body was received.
-func (f *front) unboundBody(w http.ResponseWriter) {
+// liftBodyLimit removes the time limit once the whole body was received.
+func (f *clientHandler) liftBodyLimit(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
 		f.host.log.Info("client-lost", zap.Error(err))
 	}
@@ -122,7 +124,7 @@
 
 // write sends the reply. A failed write is only logged: the client retries the
 // call.
-func (f *front) write(w http.ResponseWriter, rep reply) {
+func (f *clientHandler) write(w http.ResponseWriter, rep reply) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout)); err != nil {
 		f.host.log.Info("client-lost", zap.Error(err))
 	}
@@ -157,7 +159,7 @@
 
 // answer finds the queue, job and customer of a call, records them in the call,
 // and handles it.
-func (f *front) answer(ctx context.Context, c *call) reply {
+func (f *clientHandler) answer(ctx context.Context, c *call) reply {
 	inForce := f.host.catalog.Load()
 	if inForce == nil {
 		return refused("no configuration yet")
@@ -181,7 +183,7 @@
 }
 
 // handle answers a call whose queue is known and whose customer may use it.
-func (f *front) handle(ctx context.Context, c *call) reply {
+func (f *clientHandler) handle(ctx context.Context, c *call) reply {
 	switch {
 	case c.r.Method == http.MethodGet && c.job == "":
 		return f.pending(ctx, c.queue)
--- a/internal/entry/gather.go
+++ b/internal/entry/gather.go
@@ -43,7 +43,7 @@
 		h.log.Error("record-not-encoded", zap.String("key", rec.Key), zap.Error(err))
 		return notStored, "", false
 	}
-	_, limit := h.patience(ctx, callerShares)
+	_, limit := h.recordWaits(ctx, callerShares)
 	status, why, err := h.recordsPath.CallPeer(ctx, *address, relay.Request{Method: http.MethodPost, Path: "/", Body: body, Timeout: limit})
 	switch {
 	case errors.Is(err, relay.ErrNoPeer):
@@ -73,7 +73,7 @@
 		t.host.log.Warn("gathered-record-rejected", zap.Error(err))
 		return relay.NewResponse(req, http.StatusBadRequest, []byte("not a record")), nil
 	}
-	t.host.metrics.gathered.Inc()
+	t.host.metrics.gatheredRecords.Inc()
 	got, why := t.host.append(req.Context(), jobtable.Record{Key: rec.Key, Value: rec.Value}, gatheredShares)
 	return relay.NewResponse(req, got.status(), []byte(why)), nil
 }
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -134,7 +134,7 @@
 	election       *election.Election
 	// progress is the position in the progress log up to which the table is
 	// complete.
-	progress progressAt
+	progress progressPosition
 	// owner is nil unless this host schedules. claiming is set while an append
 	// that is to make this host the owner is in flight, and takeover from then
 	// on until the host is the owner.
@@ -201,8 +201,8 @@
 	}
 	h.recordsPath = relay.New(recordsBase, relay.RouteRecords, &http.Client{Transport: recordsTransport{h}}, links, log)
 	h.watchPath = relay.New(watchBase, relay.RouteWatch, &http.Client{Transport: watchTransport{h}}, links, log)
-	h.metrics.watchLinks(links)
-	h.groupCapacity.Store(fewMembers)
+	h.metrics.registerLinks(links)
+	h.groupCapacity.Store(initialGroupRoom)
 	h.health = newStoreHealth(log)
 	h.writer = newWriter(h.store, h.health, string(self), log, h.metrics)
 	if err := h.listen(); err != nil {
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -43,7 +43,7 @@
 // sets no read or write timeout: front limits each call itself, because clients
 // name their own deadlines.
 func (h *Host) newServers() []*http.Server {
-	out := []*http.Server{{Handler: newFront(h)}}
+	out := []*http.Server{{Handler: newClientHandler(h)}}
 	for _, handler := range []http.Handler{http.HandlerFunc(h.serveReadiness), h.metrics.handler(), h.peerHandler()} {
 		out = append(out, &http.Server{Handler: handler, ReadTimeout: requestTimeout, WriteTimeout: answerTimeout})
 	}
--- a/internal/entry/lookup.go
+++ b/internal/entry/lookup.go
@@ -36,15 +36,15 @@
 	customer id.Customer
 }
 
-// foreign reports whether a known job belongs to another customer than the
+// ofOtherCustomer reports whether a known job belongs to another customer than the
 // call's. Such a job is neither shown to the caller nor cancelled.
-func (l jobView) foreign(c *call) bool {
+func (l jobView) ofOtherCustomer(c *call) bool {
 	return l.known && !c.queue.Anonymous && l.customer != "" && l.customer != c.customer
 }
 
-// ask runs find on the deciding goroutine and returns its result. It reports
+// query runs find on the deciding goroutine and returns its result. It reports
 // false if ctx ended before the result came.
-func ask[T any](ctx context.Context, h *Host, find func(now unit.Instant) T) (T, bool) {
+func query[T any](ctx context.Context, h *Host, find func(now unit.Instant) T) (T, bool) {
 	var none T
 	out := make(chan T, 1)
 	if !h.post(ctx, func(now unit.Instant) { out <- find(now) }) {
@@ -59,13 +59,13 @@
 }
 
 // queryJob asks the deciding goroutine for a job.
-func (f *front) queryJob(ctx context.Context, j id.Job) (jobView, bool) {
-	return ask(ctx, f.host, func(unit.Instant) jobView { return f.host.lookUp(j) })
+func (f *clientHandler) queryJob(ctx context.Context, j id.Job) (jobView, bool) {
+	return query(ctx, f.host, func(unit.Instant) jobView { return f.host.lookUp(j) })
 }
 
-// whenLoaded is like queryJob, but waits up to loadWait while the host loads
+// awaitLoaded is like queryJob, but waits up to loadWait while the host loads
 // its state.
-func (f *front) whenLoaded(ctx context.Context, j id.Job) (jobView, bool) {
+func (f *clientHandler) awaitLoaded(ctx context.Context, j id.Job) (jobView, bool) {
 	for end := time.Now().Add(boundedWait(ctx, loadWait, waitShare)); ; {
 		l, ok := f.queryJob(ctx, j)
 		if !ok || l.loaded || time.Now().After(end) {
@@ -89,7 +89,7 @@
 
 // find looks a job up. If the table doesn't hold the job, find first reads to
 // the end of the log. It reports false if the newest state can't be read.
-func (f *front) find(ctx context.Context, j id.Job) (jobView, bool) {
+func (f *clientHandler) find(ctx context.Context, j id.Job) (jobView, bool) {
 	l, ok := f.queryJob(ctx, j)
 	if !ok || l.known {
 		return l, ok && l.loaded
@@ -105,7 +105,7 @@
 // awaitEnd waits up to endWait for the end of a running job. Clients often
 // query just when the last task ends, before the host has read the record of
 // that, and would otherwise have to ask again.
-func (f *front) awaitEnd(ctx context.Context, j id.Job, l jobView) jobView {
+func (f *clientHandler) awaitEnd(ctx context.Context, j id.Job, l jobView) jobView {
 	f.host.waitingCalls.Add(1)
 	defer f.host.waitingCalls.Add(-1)
 	ended := make(chan struct{})
@@ -133,7 +133,7 @@
 // whether the table then holds everything that was in the store when the read
 // was answered.
 func (h *Host) catchUp(ctx context.Context) bool {
-	at, ok := ask(ctx, h, func(unit.Instant) id.Offset { return h.table.NextOffset() })
+	at, ok := query(ctx, h, func(unit.Instant) id.Offset { return h.table.NextOffset() })
 	if !ok {
 		return false
 	}
@@ -142,7 +142,7 @@
 		h.log.Info("catch-up-failed", zap.Uint64("from", uint64(at)), zap.Error(err))
 		return false
 	}
-	complete, ok := ask(ctx, h, func(now unit.Instant) bool {
+	complete, ok := query(ctx, h, func(now unit.Instant) bool {
 		h.applyJobs(now, p.Records, at)
 		return h.loaded && h.table.NextOffset() >= p.End
 	})
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -19,18 +19,18 @@
 const (
 	// group is the name of the group of live hosts in the store.
 	group = "curlewsill-hosts"
-	// joinEvery is the interval of a host's heartbeats to the group, a third of
+	// heartbeatInterval is the interval of a host's heartbeats to the group, a third of
 	// the shortest time after which the store may drop a member.
-	joinEvery = 330 * time.Millisecond
+	heartbeatInterval = 330 * time.Millisecond
 	// membersRetryPause is the pause after a failed read of the group.
 	membersRetryPause = 500 * time.Millisecond
-	// fewMembers is how many hosts the group initially has room for, and
+	// initialGroupRoom is how many hosts the group initially has room for, and
 	// maxMembers the upper limit. The store lists a member only if it holds a
 	// partition, and an owner that isn't listed is taken for dead. Each read of
 	// the group returns all partitions, so there should be no more of them than
 	// needed.
-	fewMembers = 64
-	maxMembers = 512
+	initialGroupRoom = 64
+	maxMembers       = 512
 	// tasksPerCore is how many tasks a second an owner with one whole core can
 	// start. tasksPerMegabit is how many tasks a second 1 Mbit/s carries at 4
 	// kB a task with its renewals and records. Only the ratio between hosts
@@ -74,7 +74,7 @@
 	for ctx.Err() == nil && !h.stopping.Load() {
 		topics := memberTopics(h.settings.Partitions, int(h.groupCapacity.Load()))
 		ended := h.health.begin()
-		g, err := h.store.Join(ctx, group, h.member(), topics, ttl, generation)
+		g, err := h.store.Join(ctx, group, h.memberName(), topics, ttl, generation)
 		ended(err)
 		if ctx.Err() != nil {
 			return
@@ -83,7 +83,7 @@
 		if err == nil {
 			generation = g
 		}
-		pause(ctx, joinEvery)
+		pause(ctx, heartbeatInterval)
 	}
 }
 
@@ -107,7 +107,7 @@
 			h.advicePath.SetPeers(peers)
 			h.recordsPath.SetPeers(peers)
 			h.watchPath.SetPeers(peers)
-			next, ok := ask(ctx, h, func(now unit.Instant) time.Duration {
+			next, ok := query(ctx, h, func(now unit.Instant) time.Duration {
 				h.election.ObserveGroup(now, members, h.table.Owner().Host)
 				h.standby.Store(h.election.Standby())
 				h.peerAddresses = addresses
@@ -134,9 +134,9 @@
 	}
 }
 
-// member returns the host's name in the group: its id, the address on which it
+// memberName returns the host's name in the group: its id, the address on which it
 // listens for peers, and its ability.
-func (h *Host) member() string {
+func (h *Host) memberName() string {
 	return string(h.self) + "@" + h.peers + "@" + strconv.Itoa(ability(h.settings))
 }
 
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -19,32 +19,32 @@
 	registry *prometheus.Registry
 	// owning is set while this host is the owner.
 	owning atomic.Bool
-	// inPlace is the number of runs that occupy room on workers, as the owner
+	// placedRuns is the number of runs that occupy room on workers, as the owner
 	// knows it.
-	inPlace   atomic.Int64
-	takeovers prometheus.Counter
-	decisions *prometheus.CounterVec
-	faults    prometheus.Counter
-	// rejected counts the rejected entries of the list of workers.
-	rejected prometheus.Counter
+	placedRuns atomic.Int64
+	takeovers  prometheus.Counter
+	decisions  *prometheus.CounterVec
+	faults     prometheus.Counter
+	// rejectedListings counts the rejected entries of the list of workers.
+	rejectedListings prometheus.Counter
 	// evacuated is the number of evacuated failure domains. evacuationsRejected
 	// counts the rejected records about evacuations.
 	evacuated           atomic.Int64
 	evacuationsRejected prometheus.Counter
 	// suspensions counts how often the machine was suspended.
-	suspensions prometheus.Counter
-	gathered    prometheus.Counter
-	// heard counts the owner's answers to this host's liveness probes.
-	heard    prometheus.Counter
-	requests *prometheus.HistogramVec
-	store    *prometheus.HistogramVec
-	orders   *prometheus.HistogramVec
+	suspensions     prometheus.Counter
+	gatheredRecords prometheus.Counter
+	// ownerAnswers counts the owner's answers to this host's liveness probes.
+	ownerAnswers prometheus.Counter
+	requests     *prometheus.HistogramVec
+	store        *prometheus.HistogramVec
+	orders       *prometheus.HistogramVec
 	// ordersDropped counts the orders that were dropped because their worker's
 	// queue was full.
 	ordersDropped prometheus.Counter
-	// deadFound counts connections found dead. suspects counts the idle
+	// deadConnections counts connections found dead. suspects counts the idle
 	// connections to the same address that were closed with them.
-	deadFound, suspects *prometheus.CounterVec
+	deadConnections, suspectConnections *prometheus.CounterVec
 }
 
 func newMetrics() *metrics {
@@ -52,7 +52,7 @@
 	m.takeovers = counter("curlewsill_takeovers_total", "Times that this host became the owner.")
 	m.decisions = counters("curlewsill_decisions_total", "Decisions of the owner by event.", "event")
 	m.faults = counter("curlewsill_faults_total", "Violations of invariants that were detected.")
-	m.rejected = counter("curlewsill_listings_rejected_total", "Rejected entries of the list of workers: not written by a worker, or damaged.")
+	m.rejectedListings = counter("curlewsill_listings_rejected_total", "Rejected entries of the list of workers: not written by a worker, or damaged.")
 	m.evacuationsRejected = counter("curlewsill_evacuations_rejected_total", "Operators' records about evacuations that were rejected as unreadable.")
 	evacuated := gauge("curlewsill_evacuated_domains", "Evacuated failure domains, as known to this host.",
 		func() float64 { return float64(m.evacuated.Load()) })
@@ -67,20 +67,20 @@
 		return 0
 	})
 	inPlace := gauge("curlewsill_runs", "Runs that occupy room on workers, as known to the owner; 0 on the other hosts.",
-		func() float64 { return float64(m.inPlace.Load()) })
-	m.gathered = counter("curlewsill_gathered_records_total", "Records that this host was asked to append to the store for other hosts.")
-	m.deadFound = counters("curlewsill_connections_dead_total",
+		func() float64 { return float64(m.placedRuns.Load()) })
+	m.gatheredRecords = counter("curlewsill_gathered_records_total", "Records that this host was asked to append to the store for other hosts.")
+	m.deadConnections = counters("curlewsill_connections_dead_total",
 		"Connections found dead because a call got no answer, and whether it was the first call on the connection.", "to", "first")
-	m.suspects = counters("curlewsill_connections_suspect_total", "Idle connections closed because another one to the same address was found dead.", "to")
-	m.heard = counter("curlewsill_owner_answers_total", "Answers of the owner to this host's liveness probes.")
+	m.suspectConnections = counters("curlewsill_connections_suspect_total", "Idle connections closed because another one to the same address was found dead.", "to")
+	m.ownerAnswers = counter("curlewsill_owner_answers_total", "Answers of the owner to this host's liveness probes.")
 	m.ordersDropped = counter("curlewsill_orders_dropped_total", "Orders to workers that were dropped because the queue was full.")
-	m.registry.MustRegister(m.deadFound, m.suspects, m.gathered, m.heard, m.ordersDropped, m.takeovers, m.faults, m.rejected, m.suspensions, m.decisions,
+	m.registry.MustRegister(m.deadConnections, m.suspectConnections, m.gatheredRecords, m.ownerAnswers, m.ordersDropped, m.takeovers, m.faults, m.rejectedListings, m.suspensions, m.decisions,
 		m.requests, m.store, m.orders, owning, inPlace, m.evacuationsRejected, evacuated)
 	return m
 }
 
-// watchLinks registers the metrics of the connections between hosts.
-func (m *metrics) watchLinks(l *wslink.Links) {
+// registerLinks registers the metrics of the connections between hosts.
+func (m *metrics) registerLinks(l *wslink.Links) {
 	m.registry.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "curlewsill_links_found_dead_total", Help: "Connections to and from other hosts that were closed because the peer sent nothing.",
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -31,13 +31,13 @@
 // maintenance and evacuations.
 func (h *Host) readOperator(ctx context.Context) {
 	t := &tail{host: h, topic: platform.TopicOperator, wait: h.waitOfOperator, pause: func() time.Duration { return 0 }}
-	t.whole = func(recs []jobtable.Record, end id.Offset) {
+	t.onLoad = func(recs []jobtable.Record, end id.Offset) {
 		for _, r := range recs {
 			h.applyOperatorRecord(ctx, r)
 		}
 		h.post(ctx, func(unit.Instant) { h.replaceEvacuations(end, recs) })
 	}
-	t.more = func(recs []jobtable.Record, from id.Offset) {
+	t.onAppend = func(recs []jobtable.Record, from id.Offset) {
 		for i, r := range recs {
 			h.applyOperatorRecord(ctx, r)
 			if platform.IsEvacuation(r) {
--- a/internal/entry/overload_internal_test.go
+++ b/internal/entry/overload_internal_test.go
@@ -168,13 +168,13 @@
 		store: platform.NewStore("store", &http.Client{Transport: path}),
 	}
 	go func() {
-		for pause(ctx, joinEvery) {
+		for pause(ctx, heartbeatInterval) {
 			h.health.begin()(nil)
 		}
 	}()
 	t := &tail{host: h, topic: platform.TopicJobs, wait: func() time.Duration { return jobsWait }, pause: func() time.Duration { return jobsPause }}
-	t.whole = func(_ []jobtable.Record, end id.Offset) { f.advance(end) }
-	t.more = func(recs []jobtable.Record, from id.Offset) { f.advance(from + id.Offset(len(recs))) }
+	t.onLoad = func(_ []jobtable.Record, end id.Offset) { f.advance(end) }
+	t.onAppend = func(recs []jobtable.Record, from id.Offset) { f.advance(from + id.Offset(len(recs))) }
 	t.run(ctx)
 }
 
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -139,7 +139,7 @@
 		return
 	}
 	o.rejected[name] = digest
-	o.host.metrics.rejected.Inc()
+	o.host.metrics.rejectedListings.Inc()
 	o.host.log.Error("listing-rejected", zap.String("worker", r.Key), zap.Error(err))
 }
 
@@ -160,7 +160,7 @@
 	o.core.Pass(now, unit.At(time.Now()))
 	o.flush(ctx)
 	o.sendOrders(ctx)
-	o.host.metrics.inPlace.Store(int64(o.core.PlacedRuns()))
+	o.host.metrics.placedRuns.Store(int64(o.core.PlacedRuns()))
 	o.logDecisions()
 	if o.core.Fenced() {
 		o.host.stepDown("a worker has seen a later epoch")
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -24,8 +24,8 @@
 // follow the progress log whether it should.
 const followPollInterval = 200 * time.Millisecond
 
-// progressAt is the table's position in the progress log.
-type progressAt struct {
+// progressPosition is the table's position in the progress log.
+type progressPosition struct {
 	// complete is set while the table holds everything before next.
 	complete bool
 	next     id.Offset
@@ -37,10 +37,10 @@
 func (h *Host) readProgress(ctx context.Context) {
 	t := &tail{host: h, topic: platform.TopicProgress, wait: h.waitOfJobs, pause: func() time.Duration { return standbyPause }}
 	t.enabled = func() bool { return h.standby.Load() && !h.metrics.owning.Load() }
-	t.whole = func(recs []jobtable.Record, end id.Offset) {
+	t.onLoad = func(recs []jobtable.Record, end id.Offset) {
 		h.post(ctx, func(unit.Instant) { h.loadProgress(recs, end) })
 	}
-	t.more = func(recs []jobtable.Record, from id.Offset) {
+	t.onAppend = func(recs []jobtable.Record, from id.Offset) {
 		h.post(ctx, func(unit.Instant) { h.applyProgress(recs, from) })
 	}
 	t.disabled = func() {
@@ -55,7 +55,7 @@
 		return // newer records were applied while this answer was on its way
 	}
 	h.table.ClearProgress()
-	h.progress = progressAt{complete: true, next: end}
+	h.progress = progressPosition{complete: true, next: end}
 	for _, r := range recs {
 		h.applyProgressRecord(r)
 	}
@@ -86,7 +86,7 @@
 // forgetProgress drops the table's content of the progress log, which would
 // become stale.
 func (h *Host) forgetProgress() {
-	h.progress = progressAt{}
+	h.progress = progressPosition{}
 	h.table.ClearProgress()
 }
 
@@ -139,7 +139,7 @@
 	var b backoff
 	for ctx.Err() == nil {
 		began := time.Now()
-		r, ok := ask(ctx, h, func(now unit.Instant) takeoverState { return h.tryTakeOver(now, epoch, end) })
+		r, ok := query(ctx, h, func(now unit.Instant) takeoverState { return h.tryTakeOver(now, epoch, end) })
 		if !ok || r.done {
 			return ctx.Err()
 		}
@@ -153,7 +153,7 @@
 
 // takeoverState is the state of a takeover at one attempt to complete it.
 type takeoverState struct {
-	at progressAt
+	at progressPosition
 	// done is set once nothing more is to be done: the host is the owner, or
 	// another claim has replaced this one.
 	done bool
@@ -175,7 +175,7 @@
 
 // catchUpProgress reads the part of the progress log that the table lacks, or
 // all of it if the table is incomplete or the store has dropped that part.
-func (h *Host) catchUpProgress(ctx context.Context, at progressAt) error {
+func (h *Host) catchUpProgress(ctx context.Context, at progressPosition) error {
 	if at.complete {
 		p, err := h.store.Read(ctx, platform.TopicProgress, at.next, 0)
 		if err == nil {
--- a/internal/entry/progress_internal_test.go
+++ b/internal/entry/progress_internal_test.go
@@ -85,7 +85,7 @@
 			if got := store.takeCalls() > 0; got != c.follows {
 				t.Errorf("standby %t, owner %t: host follows the progress log: %t", c.standby, c.owning, got)
 			}
-			holds, _ := ask(ctx, h, func(unit.Instant) bool { return h.progress.complete })
+			holds, _ := query(ctx, h, func(unit.Instant) bool { return h.progress.complete })
 			if holds != c.follows {
 				t.Errorf("standby %t, owner %t: host holds the progress log: %t", c.standby, c.owning, holds)
 			}
--- a/internal/entry/put.go
+++ b/internal/entry/put.go
@@ -66,7 +66,7 @@
 	if p == nil {
 		return notStored, "other calls wait for the store"
 	}
-	queued, sent := h.patience(ctx, share)
+	queued, sent := h.recordWaits(ctx, share)
 	queuedTimer, sentTimer := time.NewTimer(queued), time.NewTimer(sent)
 	defer queuedTimer.Stop()
 	defer sentTimer.Stop()
@@ -87,9 +87,9 @@
 	}
 }
 
-// patience returns how long a call waits for its record to be sent, and how
+// recordWaits returns how long a call waits for its record to be sent, and how
 // long for the answer.
-func (h *Host) patience(ctx context.Context, share timeShares) (queued, sent time.Duration) {
+func (h *Host) recordWaits(ctx context.Context, share timeShares) (queued, sent time.Duration) {
 	slowWait := time.Duration(float64(h.writer.lastDuration()) * slowFactor)
 	if slowWait > queueWait {
 		return boundedWait(ctx, slowWait, share.sent), boundedWait(ctx, max(unknownWait, slowWait), share.sent)
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -35,10 +35,10 @@
 // readJobs follows the job log.
 func (h *Host) readJobs(ctx context.Context) {
 	t := &tail{host: h, topic: platform.TopicJobs, wait: h.waitOfJobs, wake: h.wake, pause: h.pauseOfJobs}
-	t.whole = func(recs []jobtable.Record, end id.Offset) {
+	t.onLoad = func(recs []jobtable.Record, end id.Offset) {
 		h.post(ctx, func(now unit.Instant) { h.loadJobs(now, recs, end) })
 	}
-	t.more = func(recs []jobtable.Record, from id.Offset) {
+	t.onAppend = func(recs []jobtable.Record, from id.Offset) {
 		h.post(ctx, func(now unit.Instant) { h.applyJobs(now, recs, from) })
 	}
 	t.caughtUp = func(sentAt unit.Instant) {
@@ -129,13 +129,13 @@
 	}
 }
 
-// readServers follows the list of workers while the host is the owner.
-func (h *Host) readServers(ctx context.Context, o *owner) {
+// followWorkerList follows the list of workers while the host is the owner.
+func (h *Host) followWorkerList(ctx context.Context, o *owner) {
 	t := &tail{host: h, topic: platform.TopicServers, pause: func() time.Duration { return workerListPause }}
-	t.whole = func(recs []jobtable.Record, _ id.Offset) {
+	t.onLoad = func(recs []jobtable.Record, _ id.Offset) {
 		h.post(ctx, func(now unit.Instant) { o.replaceListings(now, recs) })
 	}
-	t.more = func(recs []jobtable.Record, _ id.Offset) {
+	t.onAppend = func(recs []jobtable.Record, _ id.Offset) {
 		recs = newestPerKey(recs)
 		h.post(ctx, func(now unit.Instant) { o.updateListings(now, recs) })
 	}
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// retryLeast and retryMost bound the pause after a failed call. When the
+	// minRetryPause and retryMost bound the pause after a failed call. When the
 	// store accepts calls again, a host notices that at most retryMost later.
-	retryLeast = 100 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
 )
 
 // backoff is a growing pause with jitter.
@@ -23,10 +23,10 @@
 // that had stopped answering answers only calls that are made after its return.
 // It reports whether ctx is still open.
 func (b *backoff) wait(ctx context.Context, began time.Time) bool {
-	if time.Since(began) >= retryMost {
-		return pause(ctx, rand.N(retryLeast))
+	if time.Since(began) >= maxRetryPause {
+		return pause(ctx, rand.N(minRetryPause))
 	}
-	b.last = min(retryMost, max(retryLeast, 2*b.last))
+	b.last = min(maxRetryPause, max(minRetryPause, 2*b.last))
 	return pause(ctx, b.last/2+rand.N(b.last/2))
 }
 
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	for {
-		r, ok := ask(ctx, h, func(unit.Instant) retired { return h.retire("planned stop") })
+		r, ok := query(ctx, h, func(unit.Instant) retired { return h.retire("planned stop") })
 		if ok && r.busy {
 			// A stopping host begins no new append, so the current one ends
 			// soon.
@@ -76,7 +76,7 @@
 		}
 		break
 	}
-	if err := h.store.Leave(ctx, group, h.member()); err != nil {
+	if err := h.store.Leave(ctx, group, h.memberName()); err != nil {
 		h.log.Info("leave-failed", zap.Error(err))
 	}
 }
--- a/internal/entry/tail.go
+++ b/internal/entry/tail.go
@@ -32,10 +32,10 @@
 	// patience is the factor by which a read waits longer than usual for its
 	// answer; 0 counts as 1.
 	patience int
-	// whole is called with the newest record of each key, and more with records
+	// onLoad is called with the newest record of each key, and more with records
 	// that were appended from an offset on.
-	whole func(recs []jobtable.Record, end id.Offset)
-	more  func(recs []jobtable.Record, from id.Offset)
+	onLoad   func(recs []jobtable.Record, end id.Offset)
+	onAppend func(recs []jobtable.Record, from id.Offset)
 }
 
 // run follows the topic until ctx is done.
@@ -103,7 +103,7 @@
 func (t *tail) load(ctx context.Context) (id.Offset, error) {
 	recs, end, err := newest(ctx, t.host.store, t.topic)
 	if err == nil {
-		t.whole(recs, end)
+		t.onLoad(recs, end)
 	}
 	return end, err
 }
@@ -137,7 +137,7 @@
 		return from, false, err
 	}
 	if len(p.Records) > 0 {
-		t.more(p.Records, from)
+		t.onAppend(p.Records, from)
 	}
 	if len(p.Records) > 0 || wait == 0 {
 		t.pauseAfterRead(ctx)
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -127,7 +127,7 @@
 	answer, err := h.askPeer(ctx, w.address, w.owner, limit)
 	switch {
 	case err == nil && answer.Host == w.owner:
-		h.metrics.heard.Inc()
+		h.metrics.ownerAnswers.Inc()
 		h.post(ctx, func(now unit.Instant) { h.election.ProbeAnswered(now, w.owner) })
 		return true
 	case err == nil, errors.Is(err, syscall.ECONNREFUSED):
@@ -135,7 +135,7 @@
 	default:
 		h.post(ctx, func(unit.Instant) { h.election.ProbeTimedOut(w.owner) })
 	}
-	missed, ok := ask(ctx, h, func(now unit.Instant) bool { return h.election.OwnerUnresponsive(now, w.owner) })
+	missed, ok := query(ctx, h, func(now unit.Instant) bool { return h.election.OwnerUnresponsive(now, w.owner) })
 	if !ok || !missed {
 		return false
 	}
@@ -203,7 +203,7 @@
 	}
 	p := presence{Host: t.host.self}
 	if q.Owner != t.host.self {
-		known, _ := ask(req.Context(), t.host, func(now unit.Instant) bool {
+		known, _ := query(req.Context(), t.host, func(now unit.Instant) bool {
 			p.Misses = t.host.election.ConfirmUnresponsive(now, q.Owner)
 			return !t.host.loaded || t.host.table.Owner().Host == q.Owner // before this host has read the jobs it can't be the owner
 		})
--- a/internal/entry/waves.go
+++ b/internal/entry/waves.go
@@ -51,7 +51,7 @@
 func (o *owner) followMachines(ctx context.Context) {
 	dep := dependency{log: o.host.log, name: "list of machines"}
 	for pause(ctx, machineListInterval) {
-		wanted, ok := ask(ctx, o.host, func(unit.Instant) bool { return o.core.NeedsMachineList() })
+		wanted, ok := query(ctx, o.host, func(unit.Instant) bool { return o.core.NeedsMachineList() })
 		if !ok || !wanted || o.host.settings.Machines == "" {
 			continue
 		}
--- a/internal/entry/writer_internal_test.go
+++ b/internal/entry/writer_internal_test.go
@@ -16,9 +16,9 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// storeAnswer is a store without a network that answers each call at once and
+// fixedStore is a store without a network that answers each call at once and
 // in the same way.
-type storeAnswer struct {
+type fixedStore struct {
 	status int
 	body   string
 	// silent makes calls hang until the caller gives up.
@@ -29,14 +29,14 @@
 }
 
 // tries returns the number of calls so far.
-func (s *storeAnswer) tries() int {
+func (s *fixedStore) tries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sent
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *storeAnswer) RoundTrip(req *http.Request) (*http.Response, error) {
+func (s *fixedStore) RoundTrip(req *http.Request) (*http.Response, error) {
 	s.mu.Lock()
 	s.sent++
 	s.mu.Unlock()
@@ -53,15 +53,15 @@
 func TestStoreRefusals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		answer *storeAnswer
+		answer *fixedStore
 		time   time.Duration
 		status int
 	}{
-		{"time ends between two refused tries", &storeAnswer{status: http.StatusServiceUnavailable}, refusedPause / 2, http.StatusServiceUnavailable},
-		{"refused early because little time is left", &storeAnswer{status: http.StatusServiceUnavailable}, 3 * refusedPause, http.StatusServiceUnavailable},
-		{"all tries are refused", &storeAnswer{status: http.StatusServiceUnavailable}, time.Second, http.StatusServiceUnavailable},
-		{"time ends while a try hangs", &storeAnswer{silent: true}, refusedPause / 2, http.StatusGatewayTimeout},
-		{"stored in time", &storeAnswer{status: http.StatusOK, body: `{"offset":0,"end":1}`}, time.Second, http.StatusOK},
+		{"time ends between two refused tries", &fixedStore{status: http.StatusServiceUnavailable}, refusedPause / 2, http.StatusServiceUnavailable},
+		{"refused early because little time is left", &fixedStore{status: http.StatusServiceUnavailable}, 3 * refusedPause, http.StatusServiceUnavailable},
+		{"all tries are refused", &fixedStore{status: http.StatusServiceUnavailable}, time.Second, http.StatusServiceUnavailable},
+		{"time ends while a try hangs", &fixedStore{silent: true}, refusedPause / 2, http.StatusGatewayTimeout},
+		{"stored in time", &fixedStore{status: http.StatusOK, body: `{"offset":0,"end":1}`}, time.Second, http.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -71,7 +71,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go h.writer.run(ctx)
-				f := &front{host: h}
+				f := &clientHandler{host: h}
 				call, done := context.WithTimeout(ctx, c.time)
 				defer done()
 				got := f.store(call, jobtable.Record{Key: "spec/first"}, "accepted")
