--- a/cmd/curlewsill/cmd/experiment.go
+++ b/cmd/curlewsill/cmd/experiment.go
@@ -88,13 +88,13 @@
 	defer func() { _ = w.Flush() }()
 	fmt.Fprintf(w, "policy\tseeds\t%s\t\n", strings.Join(columns, "\t"))
 	for _, p := range r.Policies {
-		fmt.Fprintf(w, "%s\t%d\t", p, result.Of(r.Means, p, "worth").Seeds)
+		fmt.Fprintf(w, "%s\t%d\t", p, result.FindMean(r.Means, p, "worth").Seeds)
 		for _, c := range columns {
-			if result.Of(r.Means, p, c).Seeds == 0 {
+			if result.FindMean(r.Means, p, c).Seeds == 0 {
 				fmt.Fprint(w, "-\t")
 				continue
 			}
-			fmt.Fprintf(w, "%.4g\t", result.Of(r.Means, p, c).Mean)
+			fmt.Fprintf(w, "%.4g\t", result.FindMean(r.Means, p, c).Mean)
 		}
 		fmt.Fprintln(w)
 	}
@@ -116,7 +116,7 @@
 					sum.Add(run.Kinds[i])
 				}
 			}
-			of := func(name string) float64 { return result.Of(r.Means, p, k.Kind+" "+name).Mean }
+			of := func(name string) float64 { return result.FindMean(r.Means, p, k.Kind+" "+name).Mean }
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.4f\t%.2f\t%.2f\t\n", p, k.Kind, sum.Arrived, sum.Refused, sum.Completed,
 				sum.Failed, sum.Cancelled, sum.Open, sum.InTime, sum.Late, of("worth"), of("p50_s"), of("p99_s"))
 		}
@@ -138,7 +138,7 @@
 		}
 		fmt.Fprintf(w, "%s\t", d.Measure)
 		for _, p := range r.Policies[1:] {
-			x := result.Of(r.Differences, p, d.Measure)
+			x := result.FindMean(r.Differences, p, d.Measure)
 			if x.Seeds == 0 {
 				fmt.Fprint(w, "-\t")
 				continue
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -11,9 +11,9 @@
 //go:embed */*.ini
 var files embed.FS
 
-// ErrNone reports a site that isn't shipped, or a file that a site doesn't
+// ErrNotFound reports a site that isn't shipped, or a file that a site doesn't
 // have.
-var ErrNone = errors.New("examples: no such site")
+var ErrNotFound = errors.New("examples: no such site")
 
 // Sites returns the names of the shipped sites.
 func Sites() []string { return []string{"delta-north", "be-oost"} }
@@ -22,7 +22,7 @@
 func Read(site, file string) ([]byte, error) {
 	b, err := files.ReadFile(site + "/" + file)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %s/%s", ErrNone, site, file)
+		return nil, fmt.Errorf("%w: %s/%s", ErrNotFound, site, file)
 	}
 	return b, nil
 }
--- a/internal/experiment/arrive/arrive.go
+++ b/internal/experiment/arrive/arrive.go
@@ -35,9 +35,9 @@
 	Fault    *world.Fault
 }
 
-// Draw generates the jobs of all kinds and the faults of an experiment for a
+// Generate generates the jobs of all kinds and the faults of an experiment for a
 // seed. It returns the events in order of time.
-func Draw(s *setup.Setup, seed uint64) []Event {
+func Generate(s *setup.Setup, seed uint64) []Event {
 	var out []Event
 	racks := racksOf(s)
 	for i := range s.Kinds {
@@ -120,7 +120,7 @@
 func (g *generator) rate(s *setup.Setup, at time.Duration) float64 {
 	r := g.kind.PerSecond
 	for _, b := range s.Bursts {
-		if b.Kind == g.kind.Name && at >= b.At && at < b.At+b.Lasts {
+		if b.Kind == g.kind.Name && at >= b.At && at < b.At+b.Duration {
 			r *= b.Factor
 		}
 	}
@@ -132,10 +132,10 @@
 
 // draw returns a random number with a log-normal distribution, capped at its
 // Most.
-func (g *generator) draw(x setup.Draw) float64 {
+func (g *generator) draw(x setup.LogNormal) float64 {
 	sigma := math.Sqrt(math.Log(1 + x.Spread*x.Spread))
 	v := x.Mean * math.Exp(sigma*g.random.NormFloat64()-sigma*sigma/2)
-	return min(v, x.Most)
+	return min(v, x.Max)
 }
 
 // job generates a job with the number n in its name.
@@ -145,10 +145,10 @@
 		Name: id.Job(fmt.Sprintf("%s-%06d", k.Name, n)), Kind: k.Name, FailProbability: k.Fails,
 		Spec: job.Spec{
 			Customer: k.Customers[g.random.IntN(len(k.Customers))], Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority,
-			MaxAttempts: k.Attempts, DeadlineFactor: k.Stretch, DeadlineExtra: k.Target,
+			MaxAttempts: k.MaxAttempts, DeadlineFactor: k.Stretch, DeadlineExtra: k.Target,
 		},
 	}
-	if g.chance(k.Hopeless) {
+	if g.chance(k.AlwaysFails) {
 		j.FailProbability = 1
 	}
 	if g.crashRandom.Float64() < k.Crashes {
@@ -176,11 +176,11 @@
 	k := g.kind
 	s := job.Step{
 		Need: job.Resources{CPU: k.Cores, Memory: k.Memory, Accelerators: k.Accelerators[g.random.IntN(len(k.Accelerators))]},
-		Gang: g.chance(k.Gang), Checkpointing: g.chance(k.Saves),
+		Gang: g.chance(k.Gang), Checkpointing: g.chance(k.Checkpointing),
 	}
 	s.SameRack = g.chance(k.SameRack) && s.Gang
 	rack := g.racks[g.random.IntN(len(g.racks))]
-	if g.chance(k.Near) {
+	if g.chance(k.RackLocal) {
 		s.DataRack = rack
 	}
 	return s
@@ -191,10 +191,10 @@
 	k := g.kind
 	s.Count = max(1, int(math.Round(g.draw(k.Tasks))))
 	run := g.draw(k.Run)
-	estimate := run * k.EstimateFactor * g.draw(setup.Draw{Mean: 1, Spread: k.EstimateSpread, Most: math.Inf(1)})
+	estimate := run * k.EstimateFactor * g.draw(setup.LogNormal{Mean: 1, Spread: k.EstimateSpread, Max: math.Inf(1)})
 	s.Estimate = max(time.Millisecond, seconds(estimate))
 	for range s.Count {
-		j.RunTimes = append(j.RunTimes, max(time.Millisecond, seconds(run*(1+k.Uneven*(2*g.random.Float64()-1)))))
+		j.RunTimes = append(j.RunTimes, max(time.Millisecond, seconds(run*(1+k.RunDeviation*(2*g.random.Float64()-1)))))
 	}
 	j.Spec.Steps = append(j.Spec.Steps, s)
 }
--- a/internal/experiment/arrive/arrive_test.go
+++ b/internal/experiment/arrive/arrive_test.go
@@ -25,7 +25,7 @@
 // the means, bounds and shares of their kind.
 func TestDraw(t *testing.T) {
 	s := load(t)
-	events := arrive.Draw(s, 5)
+	events := arrive.Generate(s, 5)
 	var jobs, burst, gangs, tasks, faults float64
 	var run, last time.Duration
 	for _, e := range events {
@@ -72,7 +72,7 @@
 // that another seed gives different ones.
 func TestDeterministic(t *testing.T) {
 	s := load(t)
-	a, b, c := arrive.Draw(s, 5), arrive.Draw(s, 5), arrive.Draw(s, 6)
+	a, b, c := arrive.Generate(s, 5), arrive.Generate(s, 5), arrive.Generate(s, 6)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("two draws with one seed differ")
 	}
--- a/internal/experiment/arrive/trace.go
+++ b/internal/experiment/arrive/trace.go
@@ -45,13 +45,13 @@
 	}
 	count := (e.Accelerators + perTask - 1) / perTask
 	step := job.Step{
-		Count: count, Gang: count > 1, SameRack: count > 1, Checkpointing: k.Saves > 0, Estimate: max(time.Millisecond, e.Declared),
+		Count: count, Gang: count > 1, SameRack: count > 1, Checkpointing: k.Checkpointing > 0, Estimate: max(time.Millisecond, e.Declared),
 		Need: job.Resources{CPU: k.Cores, Memory: k.Memory, Accelerators: min(e.Accelerators, perTask)},
 	}
 	j := &world.Job{
 		Name: e.Job, Kind: k.Name, FailProbability: k.Fails,
 		Spec: job.Spec{
-			Customer: e.Customer, Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority, MaxAttempts: k.Attempts,
+			Customer: e.Customer, Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority, MaxAttempts: k.MaxAttempts,
 			DeadlineFactor: k.Stretch, DeadlineExtra: k.Target, Steps: []job.Step{step},
 		},
 	}
--- a/internal/experiment/batch/batch.go
+++ b/internal/experiment/batch/batch.go
@@ -61,7 +61,7 @@
 	var g errgroup.Group
 	g.SetLimit(max(1, processors))
 	for seedIndex, seed := range b.setup.Seeds {
-		events := arrive.Draw(b.setup, seed)
+		events := arrive.Generate(b.setup, seed)
 		events = append(events, b.trace...)
 		arrive.Sort(events)
 		for policyIndex := range b.setup.Policies {
@@ -106,6 +106,6 @@
 		}
 		r.Runs = append(r.Runs, *run)
 	}
-	r.Sum()
+	r.Summarize()
 	return r
 }
--- a/internal/experiment/batch/batch_test.go
+++ b/internal/experiment/batch/batch_test.go
@@ -69,10 +69,10 @@
 			t.Errorf("policy %s got %d urgent jobs, policy %s %d", x.Policy, x.Kinds[0].Arrived, first.Policy, first.Kinds[0].Arrived)
 		}
 	}
-	if d := result.Of(r.Differences, "no-preemption", "urgent worth"); d.Seeds != 2 || d.Mean >= 0 {
+	if d := result.FindMean(r.Differences, "no-preemption", "urgent worth"); d.Seeds != 2 || d.Mean >= 0 {
 		t.Errorf("urgent work doesn't earn less without preemption: %+v", d)
 	}
-	slow, normal := result.Of(r.Means, "slow-owner", "owner_busy"), result.Of(r.Means, "all", "owner_busy")
+	slow, normal := result.FindMean(r.Means, "slow-owner", "owner_busy"), result.FindMean(r.Means, "all", "owner_busy")
 	if slow.Mean < 5*normal.Mean {
 		t.Errorf("the slow owner is busy for %.3f of the time, the normal one for %.3f", slow.Mean, normal.Mean)
 	}
@@ -96,7 +96,7 @@
 	if len(r.Runs) != 1 || !r.Partial {
 		t.Errorf("%d runs, partial %t", len(r.Runs), r.Partial)
 	}
-	if m := result.Of(r.Means, "all", "worth"); m.Seeds != 1 {
+	if m := result.FindMean(r.Means, "all", "worth"); m.Seeds != 1 {
 		t.Errorf("the mean is over %d seeds", m.Seeds)
 	}
 }
--- a/internal/experiment/chart/chart.go
+++ b/internal/experiment/chart/chart.go
@@ -74,7 +74,7 @@
 		for _, run := range r.Runs {
 			if run.Policy == name {
 				k := run.Kinds[kind]
-				took = append(took, k.Took...)
+				took = append(took, k.CompletionTimes...)
 				expected += k.Arrived - k.Refused - k.Cancelled
 			}
 		}
@@ -112,7 +112,7 @@
 	var points errorPoints
 	values := make(plotter.Values, 0, len(r.Policies))
 	for i, name := range r.Policies {
-		m := result.Of(r.Means, name, "worth")
+		m := result.FindMean(r.Means, name, "worth")
 		values = append(values, m.Mean)
 		points.XYs = append(points.XYs, plotter.XY{X: float64(i), Y: m.Mean})
 		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{m.StdErr, m.StdErr})
--- a/internal/experiment/chart/chart_test.go
+++ b/internal/experiment/chart/chart_test.go
@@ -28,11 +28,11 @@
 	r := &result.Report{
 		Policies: []string{"a", "b", "none"},
 		Runs: []result.Run{
-			{Policy: "a", Seed: 1, Worth: 0.5, Samples: samples(), Kinds: []result.Kind{{Kind: "k", Arrived: 3, Took: []float64{1, 2, 3}}}},
+			{Policy: "a", Seed: 1, Worth: 0.5, Samples: samples(), Kinds: []result.Kind{{Kind: "k", Arrived: 3, CompletionTimes: []float64{1, 2, 3}}}},
 			{Policy: "b", Seed: 1, Worth: 0.7, Samples: samples(), Kinds: []result.Kind{{Kind: "k", Arrived: 3}}},
 		},
 	}
-	r.Sum()
+	r.Summarize()
 	dirs := []string{t.TempDir(), t.TempDir()}
 	for _, d := range dirs {
 		if err := chart.Draw(d, format, r); err != nil {
--- a/internal/experiment/play/earn.go
+++ b/internal/experiment/play/earn.go
@@ -89,7 +89,7 @@
 		k.out.Failed++
 	case world.Completed:
 		k.out.Completed++
-		k.out.Took = append(k.out.Took, o.CompletionTime.Seconds())
+		k.out.CompletionTimes = append(k.out.CompletionTimes, o.CompletionTime.Seconds())
 	}
 	if o.StartDelay > 0 {
 		k.startDelays = append(k.startDelays, o.StartDelay.Seconds())
@@ -125,8 +125,8 @@
 	if k.possible > 0 {
 		k.out.Worth = k.earned / k.possible
 	}
-	slices.Sort(k.out.Took)
+	slices.Sort(k.out.CompletionTimes)
 	slices.Sort(k.startDelays)
-	k.out.P50, k.out.P90, k.out.P99 = result.Quantile(k.out.Took, 0.5), result.Quantile(k.out.Took, 0.9), result.Quantile(k.out.Took, 0.99)
+	k.out.P50, k.out.P90, k.out.P99 = result.Quantile(k.out.CompletionTimes, 0.5), result.Quantile(k.out.CompletionTimes, 0.9), result.Quantile(k.out.CompletionTimes, 0.99)
 	k.out.StartP90 = result.Quantile(k.startDelays, 0.9)
 }
--- a/internal/experiment/play/play.go
+++ b/internal/experiment/play/play.go
@@ -38,11 +38,11 @@
 			}
 		})
 	}
-	for at := time.Duration(0); at < length+s.Settle; at += s.Sample {
+	for at := time.Duration(0); at < length+s.Settle; at += s.SampleInterval {
 		if err := ctx.Err(); err != nil {
 			return out, err
 		}
-		w.Run(s.Sample)
+		w.Run(s.SampleInterval)
 		out.Samples = append(out.Samples, w.Sample())
 	}
 	summarize(&out, w, s, length)
@@ -52,7 +52,7 @@
 // worldSetup returns the setup of the simulated site, with the policy's changes
 // to cores and lease bound.
 func worldSetup(s *setup.Setup, p *setup.Policy, seed uint64) world.Setup {
-	bounds := s.Bounds
+	bounds := s.DispatchConfig
 	if p.MaxLease > 0 {
 		bounds.MaxLease = p.MaxLease
 	}
--- a/internal/experiment/result/result.go
+++ b/internal/experiment/result/result.go
@@ -78,9 +78,9 @@
 	P99      float64 `json:"p99_s"`
 	StartP90 float64 `json:"start_p90_s"`
 
-	// Took has the sorted times from submission to completion in seconds, for
+	// CompletionTimes has the sorted times from submission to completion in seconds, for
 	// charts.
-	Took []float64 `json:"-"`
+	CompletionTimes []float64 `json:"-"`
 }
 
 // Add adds the counts of another run of the same kind; quantiles and worth are
@@ -161,8 +161,8 @@
 	return out
 }
 
-// Sum fills in Means and Differences from Runs.
-func (r *Report) Sum() {
+// Summarize fills in Means and Differences from Runs.
+func (r *Report) Summarize() {
 	all := measures(r.Runs)
 	for i, p := range r.Policies {
 		for _, m := range all {
@@ -223,9 +223,9 @@
 	return out
 }
 
-// Of returns the entry for a policy and measure from a list of means, or an
+// FindMean returns the entry for a policy and measure from a list of means, or an
 // empty one if there is none.
-func Of(means []Mean, policy, name string) Mean {
+func FindMean(means []Mean, policy, name string) Mean {
 	for _, m := range means {
 		if m.Policy == policy && m.Measure == name {
 			return m
--- a/internal/experiment/result/result_test.go
+++ b/internal/experiment/result/result_test.go
@@ -21,15 +21,15 @@
 			{Policy: "b", Seed: 2, Worth: 0.5},
 		},
 	}
-	r.Sum()
+	r.Summarize()
 	for _, c := range []struct {
 		got          result.Mean
 		mean, stderr float64
 		seeds        int
 	}{
-		{result.Of(r.Differences, "b", "worth"), 0.2, 0.1, 2},
-		{result.Of(r.Means, "a", "worth"), 1.6 / 3, 0.2028, 3},
-		{result.Of(r.Differences, "a", "worth"), 0, 0, 0},
+		{result.FindMean(r.Differences, "b", "worth"), 0.2, 0.1, 2},
+		{result.FindMean(r.Means, "a", "worth"), 1.6 / 3, 0.2028, 3},
+		{result.FindMean(r.Differences, "a", "worth"), 0, 0, 0},
 	} {
 		if math.Abs(c.got.Mean-c.mean) > 1e-4 || math.Abs(c.got.StdErr-c.stderr) > 1e-4 || c.got.Seeds != c.seeds {
 			t.Errorf("got %+v, want %v +- %v of %d", c.got, c.mean, c.stderr, c.seeds)
--- a/internal/experiment/setup/kind.go
+++ b/internal/experiment/setup/kind.go
@@ -18,15 +18,15 @@
 	k := Kind{
 		Name: s.Name, Priority: s.Int("priority", 1, 0, maxSize), PerSecond: s.Number("per_second", 0, 0, maxRate),
 		Tasks: readDistribution(s, "tasks", 1, maxTasks), Run: readDistribution(s, "run_s", 1, maxTime.Seconds()),
-		Uneven: s.Number("uneven", 0, 0, 1), EstimateSpread: s.Number("estimate_spread", 0, 0, maxFactor),
+		RunDeviation: s.Number("uneven", 0, 0, 1), EstimateSpread: s.Number("estimate_spread", 0, 0, maxFactor),
 		EstimateFactor: s.Number("estimate_factor", 1, 1.0/maxFactor, maxFactor), Accelerators: readAccelerators(s),
 		Cores:  job.MilliCPU(1000 * s.Number("cores", 1, 0, maxCores)),
 		Memory: s.Size("memory", unit.GiB, unit.KiB, maxCores*unit.GiB),
 		Steps:  s.Number("steps", 1, 1, maxFactor),
-		Gang:   readShare(s, "gang"), SameRack: readShare(s, "same_rack"), Saves: readShare(s, "saves"), Near: readShare(s, "near"),
-		Cancelled: readShare(s, "cancelled"), Hopeless: readShare(s, "hopeless"), Fails: readShare(s, "fails"),
+		Gang:   readShare(s, "gang"), SameRack: readShare(s, "same_rack"), Checkpointing: readShare(s, "saves"), RackLocal: readShare(s, "near"),
+		Cancelled: readShare(s, "cancelled"), AlwaysFails: readShare(s, "hopeless"), Fails: readShare(s, "fails"),
 		Crashes: readShare(s, "crashes"), CrashAfter: s.Duration("crash_after", crashDelay, time.Millisecond, maxTime),
-		Attempts: s.Int("attempts", 3, 1, maxSize), Stretch: s.Number("stretch", 3, 0, maxFactor),
+		MaxAttempts: s.Int("attempts", 3, 1, maxSize), Stretch: s.Number("stretch", 3, 0, maxFactor),
 		Target: s.Duration("target", time.Second, 0, maxTime),
 		Worth:  s.Number("worth", 1, 0, maxFactor), LateWorth: s.Number("late_worth", 0, 0, maxFactor),
 	}
@@ -50,9 +50,9 @@
 
 // readDistribution reads the three keys of a distribution: KEY for the mean,
 // KEY_spread and KEY_most.
-func readDistribution(s *inifile.Section, key string, def, limit float64) Draw {
-	d := Draw{Mean: s.Number(key, def, 0, limit), Spread: s.Number(key+"_spread", 0, 0, maxFactor)}
-	d.Most = s.Number(key+"_most", limit, 0, limit)
+func readDistribution(s *inifile.Section, key string, def, limit float64) LogNormal {
+	d := LogNormal{Mean: s.Number(key, def, 0, limit), Spread: s.Number(key+"_spread", 0, 0, maxFactor)}
+	d.Max = s.Number(key+"_most", limit, 0, limit)
 	return d
 }
 
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -27,8 +27,8 @@
 	// Length is how long jobs arrive, Settle how long the simulation continues
 	// after that.
 	Length, Settle time.Duration
-	// Sample is the time between two samples of use and fragmentation.
-	Sample time.Duration
+	// SampleInterval is the time between two samples of use and fragmentation.
+	SampleInterval time.Duration
 	// Seeds is never empty.
 	Seeds []uint64
 	// Trace names a trace file of jobs that are submitted in addition to the
@@ -38,12 +38,12 @@
 	TraceKind, UrgentKind string
 	// World is the setup of the simulated site, without seed and dispatcher.
 	World world.Setup
-	// Bounds configures the owners' dispatchers.
-	Bounds dispatch.Config
-	Prices Prices
-	Kinds  []Kind
-	Bursts []Burst
-	Faults []Fault
+	// DispatchConfig configures the owners' dispatchers.
+	DispatchConfig dispatch.Config
+	Prices         Prices
+	Kinds          []Kind
+	Bursts         []Burst
+	Faults         []Fault
 	// Policies is never empty. Each policy is compared with the first one.
 	Policies []Policy
 }
@@ -76,8 +76,8 @@
 	// Tasks is the number of tasks of a step. Run is the run time of a task in
 	// seconds on a worker of speed 1. Uneven is the largest deviation of a
 	// task's run time from that of its step, as a fraction.
-	Tasks, Run Draw
-	Uneven     float64
+	Tasks, Run   LogNormal
+	RunDeviation float64
 	// EstimateSpread is the relative spread of the customers' run time
 	// estimates, EstimateFactor their mean divided by the real run time.
 	EstimateSpread, EstimateFactor float64
@@ -94,15 +94,15 @@
 	// that ask for one rack. Saves is the share of jobs that write checkpoints,
 	// Near of those with data in one rack, Cancelled of those that are
 	// cancelled, and Hopeless of those whose runs always fail.
-	Gang, SameRack, Saves, Near, Cancelled, Hopeless float64
+	Gang, SameRack, Checkpointing, RackLocal, Cancelled, AlwaysFails float64
 	// Crashes is the share of jobs whose first task crashes each worker that
 	// starts it, CrashAfter the time from the start to the crash.
 	Crashes    float64
 	CrashAfter time.Duration
 	// Fails is the probability that a run fails.
 	Fails float64
-	// Attempts is how often a task may be attempted.
-	Attempts int
+	// MaxAttempts is how often a task may be attempted.
+	MaxAttempts int
 	// Stretch times a job's longest chain of work, plus Target, is the time
 	// that a job may take.
 	Stretch float64
@@ -113,19 +113,19 @@
 	Worth, LateWorth float64
 }
 
-// Draw is a log-normal distribution whose values are capped at Most.
-type Draw struct {
+// LogNormal is a log-normal distribution whose values are capped at Most.
+type LogNormal struct {
 	// Mean is the mean before values are capped, Spread the standard deviation
 	// divided by Mean.
-	Mean, Spread, Most float64
+	Mean, Spread, Max float64
 }
 
 // Burst multiplies the arrival rate of a kind by Factor from At on, for as long
 // as Lasts.
 type Burst struct {
-	Kind      string
-	At, Lasts time.Duration
-	Factor    float64
+	Kind         string
+	At, Duration time.Duration
+	Factor       float64
 }
 
 // Fault is a fault that is injected at a given time.
@@ -181,21 +181,21 @@
 	}
 	e := f.Section("experiment")
 	s := &Setup{
-		Length: e.Duration("length", time.Minute, time.Second, maxTime),
-		Settle: e.Duration("settle", time.Minute, 0, maxTime),
-		Sample: e.Duration("sample", time.Second, time.Millisecond, time.Hour),
-		Trace:  e.Text("trace", ""),
+		Length:         e.Duration("length", time.Minute, time.Second, maxTime),
+		Settle:         e.Duration("settle", time.Minute, 0, maxTime),
+		SampleInterval: e.Duration("sample", time.Second, time.Millisecond, time.Hour),
+		Trace:          e.Text("trace", ""),
 	}
 	first := e.Int("first_seed", 1, 0, maxSize)
 	for i := range e.Int("seeds", 1, 1, maxSeeds) {
 		s.Seeds = append(s.Seeds, uint64(first+i))
 	}
-	s.Bounds = readBounds(f.Section("bounds"))
+	s.DispatchConfig = readBounds(f.Section("bounds"))
 	p := f.Section("prices")
 	s.Prices = Prices{Waste: p.Number("waste", 0, 0, maxFactor), Start: p.Number("start", 0, 0, maxFactor)}
 	s.World = readWorld(f, c)
-	s.World.CheckpointInterval = s.Bounds.CheckpointInterval
-	s.World.Times.StopTime = f.Section("workers").Duration("stop", s.Bounds.StopTime, 0, time.Minute)
+	s.World.CheckpointInterval = s.DispatchConfig.CheckpointInterval
+	s.World.Times.StopTime = f.Section("workers").Duration("stop", s.DispatchConfig.StopTime, 0, time.Minute)
 	for _, k := range f.Sections("kind") {
 		s.Kinds = append(s.Kinds, readKind(k, c))
 	}
@@ -209,12 +209,12 @@
 		return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == kind })
 	}
 	if hasFault(world.Evacuate) {
-		s.World.EvacuationBound = s.Bounds.EvacuationLimit
+		s.World.EvacuationBound = s.DispatchConfig.EvacuationLimit
 	} else {
-		s.Bounds.EvacuationLimit = 0 // without such faults, no operator evacuates failure domains
+		s.DispatchConfig.EvacuationLimit = 0 // without such faults, no operator evacuates failure domains
 	}
 	if hasFault(world.Reborn) {
-		s.World.ReportStart, s.World.Times.MaxLease = true, s.Bounds.MaxLease
+		s.World.ReportStart, s.World.Times.MaxLease = true, s.DispatchConfig.MaxLease
 	}
 	s.Policies = readPolicies(f)
 	if len(s.Kinds) == 0 {
@@ -270,7 +270,7 @@
 // readBurst reads one burst. Its kind must be one of kinds.
 func readBurst(b *inifile.Section, kinds []Kind) Burst {
 	out := Burst{
-		Kind: b.Required("kind"), At: b.Duration("at", 0, 0, maxTime), Lasts: b.Duration("lasts", time.Second, 0, maxTime),
+		Kind: b.Required("kind"), At: b.Duration("at", 0, 0, maxTime), Duration: b.Duration("lasts", time.Second, 0, maxTime),
 		Factor: b.Number("factor", 1, 0, maxFactor),
 	}
 	if !slices.ContainsFunc(kinds, func(k Kind) bool { return k.Name == out.Kind }) {
