--- a/cmd/curlewsill/cmd/replay.go
+++ b/cmd/curlewsill/cmd/replay.go
@@ -115,6 +115,6 @@
 	for _, r := range c.Policies {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.1f\t%.4f\t%.4f\t%d\t%.1f\t%.1f\t%d\t\n",
 			r.Policy, r.Finished, r.Refused, r.CompletionP50, r.CompletionP99, r.LargeCompletionP99, r.UrgentStartP99,
-			r.Fragmentation, r.Utilisation, r.Preempted, r.LostAccelerator/time.Hour.Seconds(), r.GuaranteeReclaimMax, r.Violations)
+			r.Fragmentation, r.Utilisation, r.Preempted, r.LostAcceleratorSeconds/time.Hour.Seconds(), r.GuaranteeReclaimMax, r.Violations)
 	}
 }
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -343,7 +343,7 @@
 	n.out.Syncs = append(n.out.Syncs, d.Syncs...)
 	for _, e := range d.Entries {
 		if err := n.write(origin{entry: e}); err != nil {
-			n.sched.Settled(now, e, err)
+			n.sched.EntrySettled(now, e, err)
 		}
 	}
 }
--- a/core/node/own.go
+++ b/core/node/own.go
@@ -52,7 +52,7 @@
 	case o.request != 0:
 		n.router.ClaimDecided(now, o.request, verdict)
 	case n.sched != nil && (o.entry.Place != nil || o.entry.End != nil):
-		n.sched.Settled(now, o.entry, verdict)
+		n.sched.EntrySettled(now, o.entry, verdict)
 	}
 }
 
--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -54,7 +54,7 @@
 	}
 	n.recent = recent{}
 	if n.sched != nil {
-		n.sched.Reload()
+		n.sched.RequestReconcile()
 	}
 	n.snapshotOffset, n.snapshotAt = n.state.Applied, now
 	own := n.state.Writers[state.WriterID{Host: n.self, Incarnation: n.incarnation}]
@@ -103,7 +103,7 @@
 			n.ownEpoch = n.state.Owner.Epoch
 		}
 		if n.sched != nil {
-			n.sched.Accepted(now, e)
+			n.sched.EntryAccepted(now, e)
 		}
 		mayAffectWitness = mayAffectWitness || e.Snapshot == nil && e.Submit == nil && e.ClaimKey == nil
 	}
--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -107,7 +107,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		x.s.Accepted(x.now, entries[i])
+		x.s.EntryAccepted(x.now, entries[i])
 	}
 }
 
@@ -120,7 +120,7 @@
 func (x *benchSite) execute(b testing.TB, d sched.Decisions) {
 	for part := range slices.Chunk(d.Entries, batchSize) {
 		for i, err := range x.write(b, part...) {
-			x.s.Settled(x.now, part[i], err)
+			x.s.EntrySettled(x.now, part[i], err)
 		}
 	}
 	for _, q := range d.Syncs {
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -137,10 +137,10 @@
 func (s *Scheduler) emitForState(now unit.Instant, r *run) {
 	switch r.State {
 	case gang.Committing:
-		if r.placed {
+		if r.placementEmitted {
 			return
 		}
-		r.placed = true
+		r.placementEmitted = true
 		s.emit(record.Entry{Place: &record.Place{
 			Job: r.Job.ID, Epoch: s.epoch, Block: r.Block,
 			Attempt: r.Attempt, Lease: r.Lease, Cell: r.Cell, Home: r.Home,
@@ -153,7 +153,7 @@
 // emitEnd emits the end entry of a gang of which every member has stopped. It waits
 // for the verdict on the placement entry if one was emitted.
 func (s *Scheduler) emitEnd(now unit.Instant, r *run) {
-	if r.ended || r.placed && !r.settled {
+	if r.endEmitted || r.placementEmitted && !r.verdictKnown {
 		return
 	}
 	j := s.state.Jobs[r.Job.ID]
@@ -162,7 +162,7 @@
 		s.untrack(r)
 		return
 	}
-	r.ended = true
+	r.endEmitted = true
 	s.addRunTime(now, r)
 	s.emit(record.Entry{End: &record.End{
 		Job: r.Job.ID, Epoch: s.epoch, Attempt: r.Attempt,
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -90,9 +90,9 @@
 // run is one attempt of a job: its gang and the scheduler's bookkeeping for it.
 type run struct {
 	*gang.Gang
-	// placed is set once the placement entry was emitted, settled once the
+	// placementEmitted is set once the placement entry was emitted, settled once the
 	// verdict on that entry is known, and ended once the end entry was emitted.
-	placed, settled, ended bool
+	placementEmitted, verdictKnown, endEmitted bool
 	// startedAt is when the log accepted the placement or when the gang was
 	// adopted; before that, when its leases were first requested.
 	startedAt unit.Instant
@@ -166,8 +166,8 @@
 	return s.decisions
 }
 
-// Accepted processes an entry that the log accepted, whichever host wrote it.
-func (s *Scheduler) Accepted(now unit.Instant, e record.Entry) {
+// EntryAccepted processes an entry that the log accepted, whichever host wrote it.
+func (s *Scheduler) EntryAccepted(now unit.Instant, e record.Entry) {
 	switch {
 	case e.Submit != nil:
 		s.backlog.Add(e.Submit.Job, false)
@@ -181,12 +181,12 @@
 	}
 }
 
-// Reload makes the next step reconcile the scheduler with the whole state, because
+// RequestReconcile makes the next step reconcile the scheduler with the whole state, because
 // it may have missed entries.
-func (s *Scheduler) Reload() { s.reload = true }
+func (s *Scheduler) RequestReconcile() { s.reload = true }
 
-// Settled processes the verdict on an entry that this scheduler emitted.
-func (s *Scheduler) Settled(now unit.Instant, e record.Entry, verdict error) {
+// EntrySettled processes the verdict on an entry that this scheduler emitted.
+func (s *Scheduler) EntrySettled(now unit.Instant, e record.Entry, verdict error) {
 	s.dirty = true
 	switch {
 	case e.Place != nil:
@@ -201,7 +201,7 @@
 	if !ok || r.Lease != p.Lease {
 		return
 	}
-	r.settled = true
+	r.verdictKnown = true
 	if verdict != nil {
 		s.stopGang(now, r, gang.Void, record.Requeued, verdict.Error())
 		return
@@ -222,7 +222,7 @@
 	if verdict == nil && e.Outcome != record.Requeued {
 		delete(s.crashedOn, e.Job)
 	}
-	if r, ok := s.gangs[e.Job]; ok && r.Attempt == e.Attempt && r.ended {
+	if r, ok := s.gangs[e.Job]; ok && r.Attempt == e.Attempt && r.endEmitted {
 		s.untrack(r)
 	}
 }
--- a/internal/experiment/arrive/arrive_test.go
+++ b/internal/experiment/arrive/arrive_test.go
@@ -88,7 +88,7 @@
 	s := load(t)
 	events := arrive.FromTrace(s, []replay.Event{
 		{At: 1, Kind: replay.Submit, Job: "a", Customer: "a", Accelerators: 3, Run: time.Minute, Declared: time.Second},
-		{At: 2, Kind: replay.Submit, Job: "b", Customer: "a", Accelerators: 20, Run: time.Minute, Urgent: true, Bad: true},
+		{At: 2, Kind: replay.Submit, Job: "b", Customer: "a", Accelerators: 20, Run: time.Minute, Urgent: true, CrashesEverywhere: true},
 		{At: 3, Kind: replay.Cancel, Job: "a"},
 		{At: 4, Kind: replay.WorkerDown, Job: "r-w0"},
 		{At: 5, Kind: replay.WorkerUp, Job: "r-w0"},
--- a/internal/experiment/arrive/trace.go
+++ b/internal/experiment/arrive/trace.go
@@ -22,7 +22,7 @@
 	for _, e := range trace {
 		x := Event{At: e.At}
 		switch e.Kind {
-		case replay.Submit, replay.GuaranteeUsed:
+		case replay.Submit, replay.SubmitGuaranteed:
 			x.Job = traceJob(s, e, largest)
 		case replay.Cancel:
 			x.Cancel = e.Job
@@ -55,7 +55,7 @@
 			DeadlineFactor: k.Stretch, DeadlineExtra: k.Target, Steps: []job.Step{step},
 		},
 	}
-	if e.Bad {
+	if e.CrashesEverywhere {
 		j.FailProbability = 1
 	}
 	for range count {
--- a/internal/replay/generate.go
+++ b/internal/replay/generate.go
@@ -139,14 +139,14 @@
 	e := Event{
 		At: at, Kind: Submit, Job: id.Job(fmt.Sprintf("%s-%04d", m.prefix, n)), Customer: m.customer,
 		Accelerators: m.sizes[g.rng.IntN(len(m.sizes))], Run: max(run, 10*time.Second), Once: m.once, Urgent: m.urgent,
-		Bad: g.rng.Float64() < crashShare,
+		CrashesEverywhere: g.rng.Float64() < crashShare,
 	}
 	e.Declared = e.Run
 	if g.rng.Float64() < misdeclaredShare {
 		e.Declared = []time.Duration{e.Run / 10, e.Run * 10}[g.rng.IntN(2)].Truncate(time.Second)
 	}
 	if m.guaranteed {
-		e.Kind = GuaranteeUsed
+		e.Kind = SubmitGuaranteed
 	}
 	return e
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -60,9 +60,9 @@
 	// the last submission, less the share of the work that was lost.
 	Utilisation float64 `json:"utilisation"`
 	Preempted   int     `json:"preempted"`
-	// LostAccelerator is the work of gangs that ended without finishing, in
+	// LostAcceleratorSeconds is the work of gangs that ended without finishing, in
 	// accelerator-seconds.
-	LostAccelerator float64 `json:"lost_accelerator_s"`
+	LostAcceleratorSeconds float64 `json:"lost_accelerator_s"`
 	// GuaranteeReclaimMax is the longest time from submission to start of a
 	// guarantee_used job whose customer had no other such job in flight.
 	GuaranteeReclaimMax float64 `json:"guarantee_reclaim_max_s"`
@@ -169,7 +169,7 @@
 	sim.workers[w] = fake.New(w, accelerators, sim.incarnations[w], fake.Hooks{
 		RunOf: func(t worker.WantedTask) fake.Run {
 			e := sim.jobs[t.Job].event
-			return fake.Run{Duration: e.Run, Crash: e.Bad}
+			return fake.Run{Duration: e.Run, Crash: e.CrashesEverywhere}
 		},
 		Started: func(j id.Job, l id.Lease) { sim.gateOpened(sim.jobs[j], w, l) },
 		Ended:   func(j id.Job, _ id.Lease, st worker.TaskState) { sim.taskEnded(sim.jobs[j], w, st) },
@@ -200,7 +200,7 @@
 	if st != worker.Exited {
 		share := float64(j.event.Accelerators) / float64(max(len(j.running)+1, 1))
 		if len(j.running) == 0 {
-			sim.result.LostAccelerator += sim.now.Sub(j.opened).Seconds() * share
+			sim.result.LostAcceleratorSeconds += sim.now.Sub(j.opened).Seconds() * share
 		}
 	}
 }
@@ -224,7 +224,7 @@
 // apply processes one event of the trace.
 func (sim *simulation) apply(e Event) {
 	switch e.Kind {
-	case Submit, GuaranteeUsed:
+	case Submit, SubmitGuaranteed:
 		sim.result.Submitted++
 		sim.lastSubmit = sim.now
 		sim.jobs[e.Job] = &job{event: e, reclaims: sim.mustReclaim(e), leases: map[id.Lease]bool{}, running: map[id.Worker]bool{}}
@@ -252,13 +252,13 @@
 // mustReclaim reports whether the event submits a guarantee_used job whose customer
 // has no other such job in flight.
 func (sim *simulation) mustReclaim(e Event) bool {
-	if e.Kind != GuaranteeUsed {
+	if e.Kind != SubmitGuaranteed {
 		return false
 	}
 	for jobID, j := range sim.jobs {
 		s := sim.state.Jobs[jobID]
 		inFlight := s == nil || s.State == state.Pending || s.State == state.Running
-		if inFlight && j.event.Customer == e.Customer && j.event.Kind == GuaranteeUsed {
+		if inFlight && j.event.Customer == e.Customer && j.event.Kind == SubmitGuaranteed {
 			return false
 		}
 	}
@@ -282,7 +282,7 @@
 	for part := range slices.Chunk(sim.pending, batchSize) {
 		for i, err := range sim.write(part...) {
 			if err == nil {
-				sim.sched.Accepted(sim.now, part[i])
+				sim.sched.EntryAccepted(sim.now, part[i])
 			}
 		}
 	}
@@ -311,7 +311,7 @@
 	for part := range slices.Chunk(d.Entries, batchSize) {
 		for i, err := range sim.write(part...) {
 			sim.noteEnd(part[i], err)
-			sim.sched.Settled(sim.now, part[i], err)
+			sim.sched.EntrySettled(sim.now, part[i], err)
 		}
 	}
 	if len(d.Entries) > 0 && sim.state.CheckWitness() != nil {
--- a/internal/replay/sum.go
+++ b/internal/replay/sum.go
@@ -49,7 +49,7 @@
 	}
 	r.Fragmentation, r.Utilisation = frag/float64(max(n, 1)), util/float64(max(n, 1))
 	if span := sim.lastSubmit.Sub(startTime).Seconds(); span > 0 {
-		r.Utilisation -= r.LostAccelerator / span / float64(sim.totalAccelerators())
+		r.Utilisation -= r.LostAcceleratorSeconds / span / float64(sim.totalAccelerators())
 	}
 	return r
 }
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -26,9 +26,9 @@
 const (
 	// Submit submits a job.
 	Submit Kind = "submit"
-	// GuaranteeUsed submits a job that its customer's guarantee must serve. The time
+	// SubmitGuaranteed submits a job that its customer's guarantee must serve. The time
 	// until it starts is the time to reclaim the guarantee from borrowers.
-	GuaranteeUsed Kind = "guarantee_used"
+	SubmitGuaranteed Kind = "guarantee_used"
 	// Cancel cancels a job.
 	Cancel Kind = "cancel"
 	// WorkerDown and WorkerUp stop and restart the worker named in column job.
@@ -51,7 +51,7 @@
 	// Once, Urgent and Bad are flags of a job: it must not be repeated, it is
 	// urgent, or it crashes on every worker. Read accepts the flag preemptible and
 	// ignores it, because every job that may be repeated can be preempted.
-	Once, Urgent, Bad bool
+	Once, Urgent, CrashesEverywhere bool
 }
 
 // Read reads a trace. Its lines must be in ascending order of time.
@@ -110,7 +110,7 @@
 	switch e.Kind {
 	case Cancel, WorkerDown, WorkerUp:
 		return e, nil
-	case Submit, GuaranteeUsed:
+	case Submit, SubmitGuaranteed:
 	default:
 		return e, fmt.Errorf("event: %q: %w", f[1], errKind)
 	}
@@ -134,7 +134,7 @@
 		case "urgent":
 			e.Urgent = true
 		case "bad":
-			e.Bad = true
+			e.CrashesEverywhere = true
 		case "preemptible":
 		default:
 			return fmt.Errorf("flags: %q: %w", s, errFlag)
@@ -168,14 +168,14 @@
 
 func (e Event) fields() []string {
 	f := []string{formatSeconds(e.At), string(e.Kind), string(e.Job), string(e.Customer), "", "", "", ""}
-	if e.Kind != Submit && e.Kind != GuaranteeUsed {
+	if e.Kind != Submit && e.Kind != SubmitGuaranteed {
 		return f
 	}
 	var flags []string
 	for _, x := range []struct {
 		set  bool
 		name string
-	}{{e.Once, "once"}, {e.Urgent, "urgent"}, {e.Bad, "bad"}, {!e.Once, "preemptible"}} {
+	}{{e.Once, "once"}, {e.Urgent, "urgent"}, {e.CrashesEverywhere, "bad"}, {!e.Once, "preemptible"}} {
 		if x.set {
 			flags = append(flags, x.name)
 		}
