--- a/cmd/curlewsill/cmd/demo.go
+++ b/cmd/curlewsill/cmd/demo.go
@@ -44,7 +44,7 @@
 func showDemo(w io.Writer, r demo.Report) {
 	fmt.Fprintf(w, "\nsite %s\n\nrequests\n", r.Site)
 	showLoad(w, r.Requests)
-	fmt.Fprintf(w, "\ngangs\n%d started, %d started again although marked once\n", r.Started, r.Twice)
+	fmt.Fprintf(w, "\ngangs\n%d started, %d started again although marked once\n", r.Started, r.StartedTwice)
 	for _, st := range config.SortedKeys(r.Jobs) {
 		fmt.Fprintf(w, "%d %s\n", r.Jobs[st], st)
 	}
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -35,8 +35,8 @@
 	// Started counts the gangs whose gates were opened. Twice counts those
 	// among them that must not be repeated but were started under more than one
 	// lease.
-	Started int `json:"started"`
-	Twice   int `json:"twice"`
+	Started      int `json:"started"`
+	StartedTwice int `json:"twice"`
 	// Fragmentation is the mean share of free accelerators that could not serve
 	// the gang sizes in demand.
 	Fragmentation float64 `json:"fragmentation"`
@@ -236,10 +236,10 @@
 	}
 	for _, j := range js {
 		if j.Spec.AtMostOnce && len(leases[j.Spec.ID]) > 1 {
-			rep.Twice++
+			rep.StartedTwice++
 		}
 	}
-	addViolation(rep.Twice, "jobs that must not be repeated were started more than once")
+	addViolation(rep.StartedTwice, "jobs that must not be repeated were started more than once")
 	addViolation(rep.Requests.RanTwice, "requests that must not be repeated ran more than once")
 	addViolation(rep.Requests.NotRunButRan, "requests were refused as not run although they ran")
 	addViolation(rep.Requests.Wrong+rep.Requests.Incomplete, "callers got a truncated answer, or the answer to another request")
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -49,7 +49,7 @@
 	var opened atomic.Int64
 	for i := range benchWorkers {
 		name := fmt.Sprintf("worker-%d", i)
-		store.PutWorker(name, listenCounting(b, standin.NewWorker(name, map[string]standin.Work{"bench": {Time: benchTaskLength}}), &opened))
+		store.PutWorker(name, listenCounting(b, standin.NewWorker(name, map[string]standin.Work{"bench": {Duration: benchTaskLength}}), &opened))
 	}
 	clock, err := boottime.New()
 	if err != nil {
--- a/internal/entry/checks_test.go
+++ b/internal/entry/checks_test.go
@@ -192,7 +192,7 @@
 func (s *site) awaitWave(wave string) {
 	s.eventually(func() (bool, string) {
 		status := string(s.store.Get("keyed.status", "wave/"+wave))
-		return strings.Contains(status, "completed"), fmt.Sprintf("wave %s has status %s; machines %v went down", wave, status, s.machineService.Begun())
+		return strings.Contains(status, "completed"), fmt.Sprintf("wave %s has status %s; machines %v went down", wave, status, s.machineService.UpkeepsStarted())
 	})
 }
 
--- a/internal/entry/cutoff_test.go
+++ b/internal/entry/cutoff_test.go
@@ -75,7 +75,7 @@
 		p.Cut(faultproxy.Both)
 	}
 	s.storeProxy.mu.Unlock()
-	if err := s.proxies["workers"][0].Mute(); err != nil {
+	if err := s.proxies["workers"][0].IgnoreConnects(); err != nil {
 		s.t.Fatal(err)
 	}
 }
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -124,7 +124,7 @@
 	case "evacuate":
 		s.store.Evacuate(f[1])
 	case "open":
-		s.store.Open(f[1])
+		s.store.EndEvacuation(f[1])
 	case "operator":
 		s.store.Put("keyed.op", f[1], []byte(f[2]))
 	case "began":
@@ -168,14 +168,14 @@
 	case "tellstart":
 		s.workerStart = int64(s.number(f[1]))
 	case "beginagain":
-		s.worker(s.number(f[1])).BeginAgain(int64(s.number(f[2])))
+		s.worker(s.number(f[1])).Restart(int64(s.number(f[2])))
 		s.putEntry(s.number(f[1]), int64(s.number(f[2])))
 	case "entry":
 		s.putEntry(s.number(f[1]), int64(s.number(f[2])))
 	case "keepmembers":
-		s.store.KeepMembers()
+		s.store.KeepExpiredMembers()
 	case "forget":
-		s.store.Forget()
+		s.store.DropHistory()
 	default:
 		s.ask(f)
 	}
--- a/internal/entry/silence_test.go
+++ b/internal/entry/silence_test.go
@@ -157,7 +157,7 @@
 	defer sp.mu.Unlock()
 	open := 0
 	for _, p := range sp.proxies {
-		open += p.Open()
+		open += p.OpenCount()
 		p.Silence(d)
 	}
 	if open == 0 {
--- a/internal/entry/site_test.go
+++ b/internal/entry/site_test.go
@@ -80,7 +80,7 @@
 
 // work maps the payloads of the scripts to what they do.
 var work = map[string]standin.Work{
-	"short": {Time: 20 * time.Millisecond}, "long": {Time: 700 * time.Millisecond}, "fails": {Fails: true}, "endless": {Time: time.Hour},
+	"short": {Duration: 20 * time.Millisecond}, "long": {Duration: 700 * time.Millisecond}, "fails": {Fails: true}, "endless": {Duration: time.Hour},
 }
 
 // configuration is the first configuration that the operator writes.
@@ -148,7 +148,7 @@
 	queue := `"MaxAttempts":2,"advice":{"decide_ms":5,"each_ms":1,"valid_ms":2000}`
 	s.store.Put("keyed.op", "config", []byte(strings.Replace(configuration, `"MaxAttempts":2`, queue, 1)))
 	for _, w := range s.workers {
-		w.NeedTickets()
+		w.RequireTickets()
 	}
 }
 
@@ -158,7 +158,7 @@
 	s.workers = append(s.workers, nil)
 	s.domains[n] = s.domain
 	s.startIncarnation(n, fmt.Sprintf("w-%d", n))
-	s.machineService.SetLife(fmt.Sprintf("m-%d", n), s.workers[n].ID())
+	s.machineService.SetWorker(fmt.Sprintf("m-%d", n), s.workers[n].ID())
 }
 
 // startIncarnation starts a new incarnation of the worker of a machine.
@@ -166,7 +166,7 @@
 	w := standin.NewWorker(name, work)
 	if s.strict {
 		w = standin.NewStrictWorker(name, work, standin.Strict{
-			MaxLease: s.lease, StopTime: 100 * time.Millisecond, Gangs: standin.NewGangs(), Rate: 1, Observe: func(standin.Seen) {},
+			MaxLease: s.lease, StopTime: 100 * time.Millisecond, Gangs: standin.NewGangs(), Rate: 1, Observe: func(standin.WorkerEvent) {},
 		})
 		s.t.Cleanup(w.Crash)
 	}
@@ -177,7 +177,7 @@
 	s.mu.Unlock()
 	s.addresses[n] = s.proxyFor("workers", strings.TrimPrefix(server.URL, "http://"))
 	if s.workerStart != 0 {
-		w.TellStart(s.workerStart)
+		w.ReportStart(s.workerStart)
 	}
 	s.putEntry(n, s.workerStart)
 }
@@ -206,7 +206,7 @@
 		return ""
 	}
 	w := s.worker(n)
-	w.SetFault(standin.FaultSilent)
+	w.SetFault(standin.FaultClose)
 	s.store.Put("keyed.servers", w.ID(), nil)
 	s.startIncarnation(n, w.ID()+"+")
 	return s.worker(n).ID()
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -87,8 +87,8 @@
 // Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.address }
 
-// Open returns the number of open connections.
-func (p *Proxy) Open() int {
+// OpenCount returns the number of open connections.
+func (p *Proxy) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
@@ -144,7 +144,7 @@
 
 // Close stops the proxy and resets its connections.
 func (p *Proxy) Close() error {
-	err := p.Admit()
+	err := p.AcceptConnects()
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -98,11 +98,11 @@
 	case "heal":
 		fx.proxy.Heal()
 	case "refuse":
-		fx.must(t, fx.proxy.Refuse())
+		fx.must(t, fx.proxy.RefuseConnects())
 	case "mute":
-		fx.must(t, fx.proxy.Mute())
+		fx.must(t, fx.proxy.IgnoreConnects())
 	case "admit":
-		fx.must(t, fx.proxy.Admit())
+		fx.must(t, fx.proxy.AcceptConnects())
 	case "refused":
 		fx.dialFails(t, isRefused)
 	case "unanswered":
--- a/internal/faultproxy/mute_test.go
+++ b/internal/faultproxy/mute_test.go
@@ -49,7 +49,7 @@
 		return
 	}
 	defer func() { _ = first.Close() }()
-	if err := p.Mute(); err != nil {
+	if err := p.IgnoreConnects(); err != nil {
 		t.Error(err)
 		return
 	}
--- a/internal/faultproxy/shut.go
+++ b/internal/faultproxy/shut.go
@@ -36,9 +36,9 @@
 	idleOnce          sync.Once
 }
 
-// Refuse resets all connections and closes the port until Admit. Connects are
+// RefuseConnects resets all connections and closes the port until Admit. Connects are
 // then refused, as by a machine that runs but has no listener there.
-func (p *Proxy) Refuse() error {
+func (p *Proxy) RefuseConnects() error {
 	p.mu.Lock()
 	if p.refusing || p.closed {
 		p.mu.Unlock()
@@ -55,11 +55,11 @@
 	return err
 }
 
-// Mute lets connects go unanswered until Admit, as for a machine that is off or
+// IgnoreConnects lets connects go unanswered until Admit, as for a machine that is off or
 // behind a network partition: nothing is accepted, and the kernel drops
 // connects that the full accept queue has no room for. Open connections aren't
 // affected.
-func (p *Proxy) Mute() error {
+func (p *Proxy) IgnoreConnects() error {
 	p.mu.Lock()
 	if p.refusing || p.closed || p.muted != nil {
 		p.mu.Unlock()
@@ -128,8 +128,8 @@
 	return current
 }
 
-// Admit ends Refuse and Mute. The proxy listens on the same address as before.
-func (p *Proxy) Admit() error {
+// AcceptConnects ends Refuse and Mute. The proxy listens on the same address as before.
+func (p *Proxy) AcceptConnects() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
--- a/internal/peerlink/bench_test.go
+++ b/internal/peerlink/bench_test.go
@@ -20,7 +20,7 @@
 			var heard, freed []time.Duration
 			for i := range b.N {
 				from := w.sent.Load()
-				await(b, nil, func() bool { return w.heard.Load() > from && w.proxy.Open() == 1 })
+				await(b, nil, func() bool { return w.heard.Load() > from && w.proxy.OpenCount() == 1 })
 				time.Sleep(time.Duration(i%10) * 100 * time.Millisecond)
 				w.proxy.Silence(d)
 				time.Sleep(2 * every) // frames in transit arrive
@@ -28,7 +28,7 @@
 				began := time.Now()
 				await(b, nil, func() bool { return w.heard.Load() > from })
 				heard = append(heard, time.Since(began))
-				await(b, nil, func() bool { return w.proxy.Open() == 1 })
+				await(b, nil, func() bool { return w.proxy.OpenCount() == 1 })
 				freed = append(freed, time.Since(began))
 			}
 			for what, times := range map[string][]time.Duration{"heard": heard, "freed": freed} {
--- a/internal/peerlink/silent_test.go
+++ b/internal/peerlink/silent_test.go
@@ -89,7 +89,7 @@
 			"to-target": faultproxy.ToTarget, "from-target": faultproxy.FromTarget, "both": faultproxy.Both,
 		}[f[1]])
 	case "open":
-		await(t, f, func() bool { return strconv.Itoa(w.proxy.Open()) == f[1] })
+		await(t, f, func() bool { return strconv.Itoa(w.proxy.OpenCount()) == f[1] })
 	case "stop":
 		w.stop()
 	default:
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -60,13 +60,13 @@
 		if called {
 			callOnce(b, path, proxy.Addr())
 			repaired = append(repaired, time.Since(began))
-			waitFor(func() bool { return proxy.Open() == 1 })
+			waitFor(func() bool { return proxy.OpenCount() == 1 })
 			freed = append(freed, time.Since(began))
 			continue
 		}
 		waitFor(func() bool { return links.Open() == 0 })
 		found = append(found, time.Since(began))
-		waitFor(func() bool { return proxy.Open() == 0 })
+		waitFor(func() bool { return proxy.OpenCount() == 0 })
 		freed = append(freed, time.Since(began))
 	}
 	callOnce(b, path, proxy.Addr())
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -110,7 +110,7 @@
 			"to-target": faultproxy.ToTarget, "from-target": faultproxy.FromTarget, "both": faultproxy.Both,
 		}[words[1]])
 	case "open":
-		await(t, words, func() bool { return w.proxy.Open() == n })
+		await(t, words, func() bool { return w.proxy.OpenCount() == n })
 	case "made":
 		await(t, words, func() bool { return int(w.made.Load()) == n })
 	case "hold":
--- a/internal/sitedemo/sitedemo.go
+++ b/internal/sitedemo/sitedemo.go
@@ -114,7 +114,7 @@
 	s.store.PutSite()
 	for i := range workerCount {
 		name := fmt.Sprintf("worker-%d", i)
-		w := standin.NewWorker(name, map[string]standin.Work{"trial": {Time: taskTime}})
+		w := standin.NewWorker(name, map[string]standin.Work{"trial": {Duration: taskTime}})
 		at, stop, err := standin.Listen(w)
 		if err != nil {
 			return err
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -140,7 +140,7 @@
 	}})
 	var body []byte
 	if method == http.MethodPost {
-		body = standin.Body(text, steps)
+		body = standin.StepsBody(text, steps)
 	}
 	status, state, err := c.client.Call(ctx, "front", method, c.pool.queueOf(job), job, key, body)
 	mu.Lock()
--- a/soak/evacuate_test.go
+++ b/soak/evacuate_test.go
@@ -56,19 +56,19 @@
 // openDomain takes back the evacuation of a failure domain.
 func (s *site) openDomain(name string) {
 	s.record(event{Kind: eventOpened, What: name})
-	s.store.Open(name)
+	s.store.EndEvacuation(name)
 }
 
 // recordSeen records what a worker observes, and for the start of a task the
 // failure domain of the worker. The start of a task with crashingText crashes
 // the worker shortly after.
-func (w *worker) recordSeen(x standin.Seen) {
+func (w *worker) recordSeen(x standin.WorkerEvent) {
 	s := w.site
-	if x.Kind == standin.SeenStart && x.Text == crashingText {
+	if x.Kind == standin.EventStart && x.Payload == crashingText {
 		s.crashing.Go(func() { s.crashIncarnation(x.Worker) })
 	}
-	e := event{At: x.At.Sub(s.startedAt), Kind: eventKind(x.Kind), Worker: x.Worker, Task: x.Task, Run: x.Run, Text: x.Text, Epoch: x.Epoch, How: x.How}
-	if x.Kind == standin.SeenStart && s.entries != nil {
+	e := event{At: x.At.Sub(s.startedAt), Kind: eventKind(x.Kind), Worker: x.Worker, Task: x.Task, Run: x.Run, Text: x.Payload, Epoch: x.Epoch, How: x.Outcome}
+	if x.Kind == standin.EventStart && s.entries != nil {
 		e.What = w.domain()
 	}
 	s.record(e)
--- a/soak/inject_test.go
+++ b/soak/inject_test.go
@@ -155,9 +155,9 @@
 	case "worker":
 		set := func() { incarnation.SetFault(standin.Fault(f.variant)) }
 		if f.variant == "sick" {
-			set = func() { incarnation.SetSick(true) }
+			set = func() { incarnation.SetFailing(true) }
 		}
-		s.during("workers", set, f.duration, func() { incarnation.SetFault(standin.FaultNone); incarnation.SetSick(false) })
+		s.during("workers", set, f.duration, func() { incarnation.SetFault(standin.FaultNone); incarnation.SetFailing(false) })
 	case "wire":
 		s.injectProxyFault("workers", proxy, f)
 	case "crash":
@@ -180,7 +180,7 @@
 	if s.entries == nil {
 		s.store.PutDraining(incarnation.ID(), w.address, drainTime)
 	} else {
-		s.entries.change(incarnation, func(e *entry) { e.Draining, e.Left = true, drainTime })
+		s.entries.change(incarnation, func(e *entry) { e.Draining, e.Remaining = true, drainTime })
 	}
 	s.record(event{Kind: eventDraining, Worker: incarnation.LifeName()})
 }
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -122,7 +122,7 @@
 func (j *judge) handle(e event) {
 	j.now = max(j.now, e.At)
 	switch string(e.Kind) {
-	case standin.SeenStart, standin.SeenEnd, standin.SeenNoted, standin.SeenGone, standin.SeenFenced, string(eventDraining):
+	case standin.EventStart, standin.EventEnd, standin.EventNoted, standin.EventGone, standin.EventFenced, string(eventDraining):
 		j.handleWorkerEvent(e)
 	case string(eventSent), string(eventAnswered):
 		j.handleCall(e)
--- a/soak/judge_worker_test.go
+++ b/soak/judge_worker_test.go
@@ -14,16 +14,16 @@
 		j.workers[e.Worker] = w
 	}
 	switch string(e.Kind) {
-	case standin.SeenStart:
+	case standin.EventStart:
 		j.checkStart(e, w)
 		j.startRun(e, w)
-	case standin.SeenEnd:
+	case standin.EventEnd:
 		j.endRun(e, w)
-	case standin.SeenNoted:
+	case standin.EventNoted:
 		j.handleNoted(e)
-	case standin.SeenFenced:
+	case standin.EventFenced:
 		j.handleFenced(e)
-	case standin.SeenGone:
+	case standin.EventGone:
 		j.handleGone(e, w)
 	case string(eventDraining):
 		w.drainingSince = e.At
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -65,12 +65,12 @@
 
 // workloads maps the payload text of a job to how its tasks run.
 var workloads = map[string]standin.Work{
-	"short": {Time: 40 * time.Millisecond}, "middle": {Time: 400 * time.Millisecond}, "long": {Time: 2 * time.Second},
-	"flaky": {Time: firstFailTime, FailsFirst: true}, "fails": {Time: quickFailTime, Fails: true},
-	"gang": {Time: 400 * time.Millisecond, Members: gangMembers},
+	"short": {Duration: 40 * time.Millisecond}, "middle": {Duration: 400 * time.Millisecond}, "long": {Duration: 2 * time.Second},
+	"flaky": {Duration: firstFailTime, FailsFirst: true}, "fails": {Duration: quickFailTime, Fails: true},
+	"gang": {Duration: 400 * time.Millisecond, GangSize: gangMembers},
 	// The others are used in wide plans only, "fails late" in those that change
 	// queues, and crashingText in those with poison faults.
-	"longest": {Time: 6 * time.Second}, "fails late": {Time: 1500 * time.Millisecond, Fails: true}, crashingText: {Time: 2 * time.Second},
+	"longest": {Duration: 6 * time.Second}, "fails late": {Duration: 1500 * time.Millisecond, Fails: true}, crashingText: {Duration: 2 * time.Second},
 }
 
 const (
@@ -283,7 +283,7 @@
 	incarnation := standin.NewStrictWorker(s.newWorkerName(w.number), workloads, standin.Strict{
 		MaxLease: maxLease, StopTime: stopTime / 3, Gangs: s.gangs, Rate: rate, Observe: w.recordSeen,
 	})
-	incarnation.TellStart(s.drawStartTime())
+	incarnation.ReportStart(s.drawStartTime())
 	address, stop, err := standin.Listen(incarnation)
 	if err != nil {
 		s.t.Error(err)
@@ -296,7 +296,7 @@
 	}
 	w.proxy.SetTarget(address)
 	w.proxy.Heal()
-	w.check(w.proxy.Admit())
+	w.check(w.proxy.AcceptConnects())
 	w.address = w.proxy.Addr()
 	w.mu.Unlock()
 	if s.entries != nil {
--- a/soak/wide_test.go
+++ b/soak/wide_test.go
@@ -183,7 +183,7 @@
 func (s *site) injectWideFault(f fault) bool {
 	switch f.kind {
 	case "forget":
-		s.store.Forget()
+		s.store.DropHistory()
 	case "queues":
 		s.configure()
 	case "poison":
@@ -248,7 +248,7 @@
 	case "again":
 		s.during("workers", func() { w.restartUnderSameID(incarnation, f) }, 0, func() {})
 	case "torn":
-		s.during("workers", func() { incarnation.SetTorn(listGap) }, f.duration, func() { incarnation.SetTorn(0) })
+		s.during("workers", func() { incarnation.SetSnapshotGap(listGap) }, f.duration, func() { incarnation.SetSnapshotGap(0) })
 	case "apart", "lapsed":
 		s.during("workers", func() { w.setIsolated(incarnation, f.variant, true) }, f.duration, func() { w.setIsolated(incarnation, f.variant, false) })
 	case "parting", "leaving", "sudden":
@@ -270,9 +270,9 @@
 	}
 	incarnation.Crash()
 	closeListener()
-	block := proxy.Refuse
+	block := proxy.RefuseConnects
 	if f.variant == "mute" {
-		block = proxy.Mute
+		block = proxy.IgnoreConnects
 	}
 	w.check(block())
 	w.site.entries.endHeartbeats(incarnation, f.variant == "late")
@@ -298,7 +298,7 @@
 		time.Sleep(f.duration)
 		defer proxy.Heal()
 	}
-	incarnation.BeginAgain(w.site.drawStartTime())
+	incarnation.Restart(w.site.drawStartTime())
 	w.site.entries.restart(incarnation, f.variant == "late")
 }
 
@@ -350,12 +350,12 @@
 	switch {
 	case !begins:
 		proxy.Heal()
-		w.check(proxy.Admit())
+		w.check(proxy.AcceptConnects())
 	case variant == "refuse":
-		w.check(proxy.Refuse())
+		w.check(proxy.RefuseConnects())
 	case variant == "mute":
 		proxy.Cut(directions["both"])
-		w.check(proxy.Mute())
+		w.check(proxy.IgnoreConnects())
 	default:
 		proxy.Cut(directions["both"])
 	}
