--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -206,9 +206,9 @@
 		return
 	}
 	d.endRenewal(now, w, res)
-	if res.Verdict == fleet.Replaced && res.Report.Life != "" {
+	if res.Verdict == fleet.Replaced && res.Report.Incarnation != "" {
 		if !w.replaced {
-			d.replace(now, w, sameName, d.successor(now, w, res.Report.Life))
+			d.replace(now, w, sameName, d.successor(now, w, res.Report.Incarnation))
 		}
 		return
 	}
--- a/core/dispatch/commands_test.go
+++ b/core/dispatch/commands_test.go
@@ -219,7 +219,7 @@
 	for i := 3; i < len(f); {
 		switch f[i] {
 		case "by":
-			res.Report.Life = id.Worker(f[i+1])
+			res.Report.Incarnation = id.Worker(f[i+1])
 			i += 2
 		case "run":
 			percent, load, _ := strings.Cut(f[i+3], ":")
--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -36,8 +36,8 @@
 	maxExcused = 2
 )
 
-// lifeEnd is a crash of a worker.
-type lifeEnd struct {
+// incarnationEnd is a crash of a worker.
+type incarnationEnd struct {
 	at      unit.Instant
 	service id.Service
 	// counted holds the runs that the crash was counted against.
@@ -53,7 +53,7 @@
 // common cause.
 func (d *Dispatcher) excuseCommonCause(service id.Service) {
 	all, unexplained := 0, 0
-	for _, e := range d.lifeEnds {
+	for _, e := range d.incarnationEnds {
 		if e.service != service || e.repeatedCrash {
 			continue
 		}
@@ -67,7 +67,7 @@
 	if !manyUnexplained && (all < minCrashes || float64(all) < minCrashShare*workers) {
 		return
 	}
-	for _, e := range d.lifeEnds {
+	for _, e := range d.incarnationEnds {
 		if e.service != service {
 			continue
 		}
--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -128,7 +128,7 @@
 // countCrashes counts the crash of a worker for all runs that may have begun
 // there. It must be called before these runs are given up.
 func (d *Dispatcher) countCrashes(now unit.Instant, w *worker) {
-	e := &lifeEnd{
+	e := &incarnationEnd{
 		at: now, service: w.Service,
 		explained: slices.ContainsFunc(w.runs, (*run).likelyCrashCause), repeatedCrash: slices.ContainsFunc(w.runs, (*run).crashedRepeatedly),
 	}
@@ -137,8 +137,8 @@
 			e.counted = append(e.counted, r)
 		}
 	}
-	d.lifeEnds = slices.DeleteFunc(d.lifeEnds, func(o *lifeEnd) bool { return now.Sub(o.at) > commonCause })
-	d.lifeEnds = append(d.lifeEnds, e)
+	d.incarnationEnds = slices.DeleteFunc(d.incarnationEnds, func(o *incarnationEnd) bool { return now.Sub(o.at) > commonCause })
+	d.incarnationEnds = append(d.incarnationEnds, e)
 	d.excuseCommonCause(w.Service)
 }
 
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -45,8 +45,8 @@
 	// number of empty workers of each rack.
 	pools map[id.Service]*pool
 	racks map[rackName]*rackUse
-	// lifeEnds holds the worker crashes within the last commonCause.
-	lifeEnds []*lifeEnd
+	// incarnationEnds holds the worker crashes within the last commonCause.
+	incarnationEnds []*incarnationEnd
 	// window bounds the number of start orders in flight.
 	window window
 	// placedRuns counts the runs that occupy room on workers.
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -37,7 +37,7 @@
 	f.d.AddJob(f.now, "j1", &jobtable.Entry{Spec: &spec})
 	for i := range workers {
 		f.d.List(f.now, fleet.Listing{
-			ID: fleet.Life(id.WorkerName(fmt.Sprintf("worker-%d", i)), 1), Address: fmt.Sprintf("address-%d", i), Service: "svc",
+			ID: fleet.IncarnationID(id.WorkerName(fmt.Sprintf("worker-%d", i)), 1), Address: fmt.Sprintf("address-%d", i), Service: "svc",
 			Capacity: job.Resources{Accelerators: 8},
 		})
 	}
@@ -88,7 +88,7 @@
 		f.d.Stopped(f.now, StopResult{Stop: x, Verdict: f.verdict})
 	}
 	for _, x := range o.Renews {
-		rep := fleet.Report{Life: x.Worker}
+		rep := fleet.Report{Incarnation: x.Worker}
 		for _, r := range f.d.workers[x.Worker].runs {
 			rep.Running = append(rep.Running, fleet.Running{Task: r.task, Run: r.number})
 		}
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -14,7 +14,7 @@
 func (d *Dispatcher) NeedsMachineList() bool {
 	for _, x := range d.waves {
 		for _, m := range x.plan.Unfinished() {
-			if d.lifeOn(m) == nil {
+			if d.incarnationOn(m) == nil {
 				return true
 			}
 		}
@@ -22,9 +22,9 @@
 	return false
 }
 
-// SetLives sets which workers are the present incarnations of machines, for
+// SetIncarnations sets which workers are the present incarnations of machines, for
 // workers whose entry in the list names no machine.
-func (d *Dispatcher) SetLives(now unit.Instant, lives []Life) {
+func (d *Dispatcher) SetIncarnations(now unit.Instant, lives []Incarnation) {
 	for _, l := range lives {
 		w := d.listedByName(l.Worker)
 		if w == nil || w.Machine == l.Machine {
@@ -47,11 +47,11 @@
 	return nil
 }
 
-// lifeOn returns the worker that is the present incarnation of a machine, or
+// incarnationOn returns the worker that is the present incarnation of a machine, or
 // nil. Of the listed ones it is the one that answered last, since the list may
 // still have the entry of an earlier incarnation. One that has answered but no
 // longer does is the present one too, if it has no rival.
-func (d *Dispatcher) lifeOn(m id.Machine) *worker {
+func (d *Dispatcher) incarnationOn(m id.Machine) *worker {
 	var present *worker
 	for _, w := range d.workersByID {
 		alone := w.lastAnswerAt != 0 && w.rivalSeenAt == 0
@@ -62,10 +62,10 @@
 	return present
 }
 
-// unconfirmLives requests new answers from the incarnations of a machine that
+// unconfirmIncarnations requests new answers from the incarnations of a machine that
 // was taken down: one that answers now is the next incarnation, or the
 // maintenance was done before. An entry in the list proves nothing.
-func (d *Dispatcher) unconfirmLives(now unit.Instant, m id.Machine) {
+func (d *Dispatcher) unconfirmIncarnations(now unit.Instant, m id.Machine) {
 	for _, w := range d.workersByID {
 		if w.Machine == m {
 			w.syncedAsOf, w.syncRequestedAt, w.nextRenewal = 0, now, min(w.nextRenewal, now)
--- a/core/dispatch/message.go
+++ b/core/dispatch/message.go
@@ -138,8 +138,8 @@
 	Verdict fleet.Verdict
 }
 
-// Life is the name under which the present incarnation of a machine began.
-type Life struct {
+// Incarnation is the name under which the present incarnation of a machine began.
+type Incarnation struct {
 	Machine id.Machine
 	Worker  id.WorkerName
 }
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -120,7 +120,7 @@
 // would throw away. It returns false if the machine isn't up, or runs tasks
 // that may not be stopped now.
 func (d *Dispatcher) emptyingCost(now unit.Instant, m id.Machine) (float64, bool) {
-	w := d.lifeOn(m)
+	w := d.incarnationOn(m)
 	if w == nil || w.Draining {
 		return 0, false
 	}
@@ -140,7 +140,7 @@
 // emptyMachine orders a machine down if nothing runs there, and stops its runs
 // when the wave can't wait any longer.
 func (d *Dispatcher) emptyMachine(now unit.Instant, x *wave, m id.Machine) {
-	w := d.lifeOn(m)
+	w := d.incarnationOn(m)
 	if w == nil {
 		return // the next incarnation will be emptied
 	}
@@ -181,7 +181,7 @@
 		x.record.Started = append(x.record.Started, m)
 		x.changed = true
 		x.carriedAt[m] = now
-		d.unconfirmLives(now, m)
+		d.unconfirmIncarnations(now, m)
 	case fleet.Fenced:
 		d.fenced = true
 	case fleet.Stale, fleet.Invalid:
--- a/core/fake/worker/worker.go
+++ b/core/fake/worker/worker.go
@@ -123,14 +123,14 @@
 func (w *Worker) Sync(clock time.Duration, s worker.Sync) worker.Report {
 	w.Advance(clock)
 	if s.Epoch < w.epoch || s.Epoch == w.epoch && s.Seq <= w.seq {
-		return worker.Report{Worker: w.id, Epoch: w.epoch, Seq: w.seq, Clock: clock, Life: w.incarnation}
+		return worker.Report{Worker: w.id, Epoch: w.epoch, Seq: w.seq, Clock: clock, Incarnation: w.incarnation}
 	}
 	if s.Epoch != w.epoch {
 		w.base = 0
 	}
 	w.epoch, w.seq = s.Epoch, s.Seq
-	rep := worker.Report{Worker: w.id, Epoch: w.epoch, Seq: w.seq, Clock: clock, Life: w.incarnation}
-	if s.Base != 0 && s.Base == w.base && s.Life == w.incarnation {
+	rep := worker.Report{Worker: w.id, Epoch: w.epoch, Seq: w.seq, Clock: clock, Incarnation: w.incarnation}
+	if s.Base != 0 && s.Base == w.base && s.Incarnation == w.incarnation {
 		w.renew(s.Until)
 		if w.unchanged() {
 			rep.Base = s.Base
@@ -138,7 +138,7 @@
 		}
 	}
 	listed := map[taskKey]bool{}
-	if s.Base == 0 && s.Life == w.incarnation {
+	if s.Base == 0 && s.Incarnation == w.incarnation {
 		listed = w.reconcile(s, &rep)
 		w.base, w.reported = s.Seq, map[taskKey]worker.TaskState{}
 	}
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -135,11 +135,11 @@
 
 // Report is a worker's answer to a renewal.
 type Report struct {
-	// Life is the incarnation that answered; empty if the answer doesn't
+	// Incarnation is the incarnation that answered; empty if the answer doesn't
 	// contain it.
-	Life    id.Worker
-	Clock   ClockReading
-	Running []Running
+	Incarnation id.Worker
+	Clock       ClockReading
+	Running     []Running
 	// Ended holds, in order of Seq, the ends that the owner has not acknowledged
 	// yet; only the first of them if MoreEnds is set.
 	Ended []End
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -237,13 +237,13 @@
 		s.dirty = true
 	}
 	h.lastReport = now
-	restarted := h.incarnation != 0 && h.incarnation != rep.Life
-	if h.incarnation != rep.Life {
+	restarted := h.incarnation != 0 && h.incarnation != rep.Incarnation
+	if h.incarnation != rep.Incarnation {
 		// The worker ignored the last sync, which was for another incarnation, so
 		// it needs a new one at once.
 		h.nextSync = 0
 	}
-	h.incarnation = rep.Life
+	h.incarnation = rep.Incarnation
 	if rep.Base != 0 {
 		s.reportUnchanged(now, rep, h)
 		return
--- a/core/sched/sync.go
+++ b/core/sched/sync.go
@@ -37,7 +37,7 @@
 	h := s.workers[w]
 	h.seq++
 	h.nextSync = now.Add(idleSyncInterval)
-	q := worker.Sync{Worker: w, Epoch: s.epoch, Seq: h.seq, Life: h.incarnation}
+	q := worker.Sync{Worker: w, Epoch: s.epoch, Seq: h.seq, Incarnation: h.incarnation}
 	for _, jobID := range config.SortedKeys(s.runsOn[w]) {
 		r := s.runsOn[w][jobID]
 		h.nextSync = now.Add(gang.Renewal)
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -37,10 +37,10 @@
 	Epoch  id.Epoch  `json:"epoch"`
 	// Seq increases with each sync of an epoch to a worker.
 	Seq id.Seq `json:"seq"`
-	// Life is the incarnation of the worker that the sync is meant for; 0 if the
+	// Incarnation is the incarnation of the worker that the sync is meant for; 0 if the
 	// owner has no report from the worker yet. Another incarnation ignores the
 	// sync.
-	Life uint64 `json:"life"`
+	Incarnation uint64 `json:"life"`
 	// Tasks is the complete list, unless Base is set.
 	Tasks []WantedTask `json:"tasks,omitempty"`
 	// Base is the Seq of an earlier sync whose report the owner has received: the
@@ -108,10 +108,10 @@
 	// Clock is the reading of the worker's monotonic clock when it answered. Its
 	// zero is arbitrary but fixed for one incarnation of the worker.
 	Clock time.Duration `json:"clock"`
-	// Life identifies the incarnation of the worker. It is drawn at random when
+	// Incarnation identifies the incarnation of the worker. It is drawn at random when
 	// the worker starts. A new incarnation holds none of the tasks of the one
 	// before.
-	Life uint64 `json:"life"`
+	Incarnation uint64 `json:"life"`
 	// Tasks lists every task in the sync and every other task that the worker
 	// still holds.
 	Tasks []Task `json:"tasks,omitempty"`
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -126,7 +126,7 @@
 		m.currentID = id.Worker(fmt.Sprintf("%s.%d", m.ID, m.idCount))
 	}
 	if w := m.world; w.setup.ReportStart {
-		m.currentID = fleet.Life(id.WorkerName(m.currentID), w.drawStart(m))
+		m.currentID = fleet.IncarnationID(id.WorkerName(m.currentID), w.drawStart(m))
 	}
 	m.up, m.fence, m.leaseUntil = true, fleet.Fence{}, 0
 	m.ends, m.lastSeq, m.highestRun = nil, 0, map[job.TaskID]job.RunNumber{}
@@ -341,7 +341,7 @@
 
 // report returns the worker's report.
 func (m *machine) report() fleet.Report {
-	rep := fleet.Report{Life: m.currentID, Clock: m.clock()}
+	rep := fleet.Report{Incarnation: m.currentID, Clock: m.clock()}
 	for _, r := range m.runs {
 		rep.Running = append(rep.Running, fleet.Running{Task: r.task, Run: r.number, Percent: r.percent(), Checkpoint: r.checkpoint()})
 	}
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -422,7 +422,7 @@
 					return
 				}
 				v := fleet.CarriedOut
-				if rep.Life != x.Worker {
+				if rep.Incarnation != x.Worker {
 					v = fleet.Replaced
 				}
 				answer(v, rep, half)
--- a/internal/entry/waves.go
+++ b/internal/entry/waves.go
@@ -61,7 +61,7 @@
 		}
 		dep.note(err)
 		if err == nil {
-			o.postIfOwner(ctx, func(now unit.Instant) { o.core.SetLives(now, incarnations) })
+			o.postIfOwner(ctx, func(now unit.Instant) { o.core.SetIncarnations(now, incarnations) })
 		}
 	}
 }
--- a/internal/platform/workers/bench_test.go
+++ b/internal/platform/workers/bench_test.go
@@ -41,7 +41,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				s.Life = rep.Life
+				s.Incarnation = rep.Incarnation
 				if c.renew && s.Seq == 2 {
 					// The worker has applied the full list of tasks. Later
 					// syncs only refer to it.
--- a/soak/inject_test.go
+++ b/soak/inject_test.go
@@ -182,7 +182,7 @@
 	} else {
 		s.entries.change(incarnation, func(e *entry) { e.Draining, e.Remaining = true, drainTime })
 	}
-	s.record(event{Kind: eventDraining, Worker: incarnation.LifeName()})
+	s.record(event{Kind: eventDraining, Worker: incarnation.IncarnationID()})
 }
 
 // restartOnce ends an incarnation of a worker and starts the next one, unless
--- a/soak/wide_test.go
+++ b/soak/wide_test.go
@@ -317,7 +317,7 @@
 	time.Sleep(crashTime)
 	away := minAway + time.Duration(s.intN(int(maxAway-minAway)))
 	for _, w := range s.workers {
-		if incarnation, _ := w.current(); incarnation != nil && incarnation.LifeName() == name {
+		if incarnation, _ := w.current(); incarnation != nil && incarnation.IncarnationID() == name {
 			s.injectIncarnationFault(w, incarnation, fault{kind: "reborn", duration: away})
 		}
 	}
