--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -88,7 +88,7 @@
 func (d *Dispatcher) SetAdvisers(n int) { d.advice.resize(n) }
 
 // consult asks the advice service about more workers for a step, if a host can
-// ask now. A permit that expires within the time ahead counts as none.
+// ask now. A permit that expires within the duration ahead counts as none.
 func (d *Dispatcher) consult(now unit.Instant, c candidate, ahead time.Duration) {
 	advice := c.step.job.spec.Advice
 	if !advice.Needed || c.step.adviceInFlight {
@@ -110,9 +110,10 @@
 }
 
 // workersToAsk returns the workers to ask about: as many as are likely to be
-// enough, or as fit into twice the time of a question that names none. A
-// refusal is permanent, and a permit may still be valid when a worker that has
-// no room now has some.
+// enough, and at least as many as can be asked about in twice the time of a
+// question that names none, up to askBatch. They may include workers without
+// room: a refusal is permanent, and a permit may still be valid when the worker
+// has room.
 func (c *candidate) workersToAsk(now unit.Instant, ahead time.Duration, advice job.Advice, yield float64) []id.Worker {
 	s := c.step
 	need := s.step.Reserved()
@@ -137,9 +138,9 @@
 	return out
 }
 
-// withoutPermit returns the workers for which the step has no permit that is
-// valid for a time ahead. Workers with room come first, sorted by the number of
-// such workers in their rack, so that a gang can be placed in one rack.
+// withoutPermit returns the workers for which the step has no permit that stays
+// valid for the time ahead. Workers with room come first, and among them those
+// in racks with most such workers, so that a gang can be placed in one rack.
 func (c *candidate) withoutPermit(now unit.Instant, ahead time.Duration) []*worker {
 	s := c.step
 	need := s.step.Reserved()
--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -9,8 +9,10 @@
 )
 
 const (
-	// renewPause is the pause before the next renewal if there was nothing that
-	// the last one could wait for.
+	// renewPause is the pause after a renewal that was refused or got no
+	// answer, and the longest pause after one that reported new ends: the next
+	// one is sent once they are in the store. Any other answer is followed by
+	// the next renewal at once.
 	renewPause = 500 * time.Millisecond
 	// busyPause is how long a worker that refused a start gets no new tasks. A
 	// renewal that is sent at once reports its runs meanwhile.
@@ -43,7 +45,7 @@
 	}
 }
 
-// applyVerdict handles what a verdict says of the worker itself. It reports
+// applyVerdict handles what a verdict says about the worker itself. It reports
 // whether the worker answered under this epoch.
 func (d *Dispatcher) applyVerdict(now unit.Instant, w *worker, t Target, v fleet.Verdict, c fleet.ClockReading) bool {
 	switch v {
@@ -185,8 +187,8 @@
 		}
 	}
 	if w.renewalUnanswered {
-		// The pause has passed already. Two renewals in a row may be lost
-		// before a lease of 6 s expires.
+		// The pause counts from when the lost renewal was sent, so that two
+		// renewals in a row may be lost before a lease of 6 s expires.
 		w.nextRenewal = max(now, res.Sent.Add(renewPause))
 	}
 	w.recordGrant(w.renewalLeaseExpiry, res.Verdict)
@@ -232,7 +234,8 @@
 		return // it answered before the next incarnation did: the runs that it lists are over
 	}
 	d.reconcile(now, w, res, ended)
-	// A later answer was delayed in this host, and its progress is out of date.
+	// An answer that took longer than this was delayed in this host, and the
+	// progress that it reports is out of date.
 	if now.Sub(res.Sent) <= res.Renew.Wait+renewTimeout {
 		d.stopStalled(now, w)
 	}
--- a/core/dispatch/assure_test.go
+++ b/core/dispatch/assure_test.go
@@ -6,12 +6,12 @@
 )
 
 // TestPlacesNothingWithoutGrants guards against placements while no lease may
-// be granted, because it is not assured that no other host is the owner,
+// be granted, because nothing confirms that no other host is the owner,
 // although the store accepts records.
 //
 // Each pass placed the task, and each batch withdrew it for the lack of a
 // lease. That cost a record and a run number each time, a hundred times a
-// second, until the next assurance.
+// second, until the next confirmation.
 func TestPlacesNothingWithoutGrants(t *testing.T) {
 	s := newScript(t)
 	s.d.ConfirmSoleOwner(s.now)
@@ -37,15 +37,15 @@
 	s.run("pass 10ms\n> upkeep m1 of wave 1")
 }
 
-// TestGrantsSoonAfterAssurance guards against leases that expire because of 5 s
-// without assurance that no other host is the owner, during the last 2 s of
-// which no lease is granted. Leases last 6 s, and the worker answers every
+// TestGrantsSoonAfterAssurance guards against leases that expire because for
+// 5 s nothing confirms that no other host is the owner; during the last 2 s of
+// these no lease is granted. Leases last 6 s, and the worker answers every
 // renewal.
 //
 // A renewal that was sent during these 2 s granted nothing, and waited 2 s at
-// the worker for news like any other. The next one that granted a lease was
-// sent only after it, 6.03 s after the last one that had granted, when every
-// lease on the worker had expired.
+// the worker for something to report, like any other. The next one that granted
+// a lease was sent only after it, 6.03 s after the last one that had granted,
+// when every lease on the worker had expired.
 func TestGrantsSoonAfterAssurance(t *testing.T) {
 	s := newScript(t)
 	s.run("lease 6s")
@@ -53,11 +53,11 @@
 	s.run("worker w1\npass\n> renew w1 told 0\nrenew w1 carried\njob j1 lasts\npass 10ms\n> renew w1 told 0\nwrite\n> start j1.0.0.0 run 1 on w1")
 	s.run("start j1.0.0.0 carried\nrenew w1 carried run j1.0.0.0 1 100")
 	assured, granted := s.now, s.now
-	answerAt := s.now // when the renewal that is under way is answered
+	answerAt := s.now // when the renewal in flight is answered
 	for s.now.Sub(assured) < 9*time.Second {
 		s.now = s.now.Add(10 * time.Millisecond)
 		elapsed := s.now.Sub(assured)
-		// The last assurance is 1 s after the start, the next one when the
+		// The last confirmation is 1 s after the start, the next one when the
 		// outage is over.
 		if elapsed <= time.Second || elapsed >= 6050*time.Millisecond {
 			s.d.ConfirmSoleOwner(s.now)
@@ -68,7 +68,7 @@
 			answerAt = s.now.Add(max(10*time.Millisecond, s.waits["w1"]))
 			if s.renews["w1"].Until > 0 {
 				if gap := s.now.Sub(granted); gap > 5*time.Second {
-					t.Errorf("%s between two renewals that grant a lease, the second sent %s after the last assurance", gap, elapsed-time.Second)
+					t.Errorf("%s between two renewals that grant a lease, the second sent %s after the last confirmation", gap, elapsed-time.Second)
 				}
 				granted = s.now
 			}
@@ -80,8 +80,9 @@
 }
 
 // TestPatienceCountsOrders guards against giving up a run because its worker
-// ignores orders to start when only one order was sent. No owner is assured
-// from right after that order, which got no answer, until 4 s later.
+// ignores orders to start when only one order was sent. From right after that
+// order, which got no answer, until 4 s later, nothing confirms that no other
+// host is the owner.
 //
 // The order wasn't repeated meanwhile, because it would have granted a lease.
 // Then the run was stopped because its worker answered renewals but not orders
--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -9,8 +9,8 @@
 // BenchmarkSecond simulates a second on a busy site, with the load in
 // proportion to the number of workers. It measures the time that the decisions
 // of a second take, without sending orders. With 350 workers they took 48.6 ms
-// and 74,882 allocations when each waiting step walked over all workers, and
-// 10.5 ms and 13,945 without that walk.
+// and 74,882 allocations when each waiting step iterated over all workers, and
+// 10.5 ms and 13,945 without that loop.
 func BenchmarkSecond(b *testing.B) {
 	for _, workers := range []int{48, 350, 990} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -34,7 +34,7 @@
 
 // BenchmarkPass measures one pass with busy workers and tasks that wait for
 // room. With 350 workers and 1,000 waiting tasks it took 1.34 ms when each
-// waiting step walked over all workers, and 0.08 ms without that walk; with
+// waiting step iterated over all workers, and 0.08 ms without that loop; with
 // 10,000 tasks 8.8 ms and 0.35 ms.
 func BenchmarkPass(b *testing.B) {
 	for _, workers := range []int{48, 350, 990} {
--- a/core/dispatch/candidate.go
+++ b/core/dispatch/candidate.go
@@ -9,8 +9,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// lateFactor times the allowed time is how long after its due time a job stops
-// earning anything.
+// lateFactor is the multiple of its allowed time, counted from its due time,
+// after which a job can't earn anything any more.
 const lateFactor = 3
 
 // candidate is a step that has tasks which may start now.
@@ -135,9 +135,9 @@
 	return c, true
 }
 
-// due returns when a step's round became due, by the steady clock, and whether
-// that time has come. A job without rounds is due at once: the clock of the
-// host that accepted it may be ahead of this host's.
+// due returns when a step's round becomes due, on the monotonic clock, and
+// whether that time has come. A job without rounds is due at once: the clock of
+// the host that accepted it may be ahead of this host's.
 func (d *Dispatcher) due(now unit.Instant, s *stepState) (unit.Instant, bool) {
 	spec := s.job.spec
 	if spec.Rounds == 0 {
--- a/core/dispatch/check.go
+++ b/core/dispatch/check.go
@@ -56,8 +56,9 @@
 	return ""
 }
 
-// noteGuaranteeAtRisk logs, once for each job, that urgent work within its customer's
-// guarantee waits although every run that may be stopped for it was considered.
+// noteGuaranteeAtRisk logs, once for each job, that urgent work within its
+// customer's guarantee still waits Config.StopTime after its job became known,
+// although every run that may be stopped for it was considered.
 func (d *Dispatcher) noteGuaranteeAtRisk(now unit.Instant, c candidate) {
 	js := c.step.job
 	if !c.withinGuarantee || js.guaranteeAtRisk || now.Sub(js.knownSince) < d.config.StopTime {
--- a/core/dispatch/claim.go
+++ b/core/dispatch/claim.go
@@ -21,9 +21,9 @@
 }
 
 // claimRoom reserves room for the waiting tasks of a step, for a time.
-func (d *Dispatcher) claimRoom(now unit.Instant, c candidate, workers []*worker, lasts time.Duration, why string) {
-	c.step.hold(&claim{workers: workers, until: now.Add(lasts)})
-	d.noteJob(EventRoomClaimed, now, c.step.job, why, lasts)
+func (d *Dispatcher) claimRoom(now unit.Instant, c candidate, workers []*worker, duration time.Duration, why string) {
+	c.step.hold(&claim{workers: workers, until: now.Add(duration)})
+	d.noteJob(EventRoomClaimed, now, c.step.job, why, duration)
 }
 
 // useClaim places a candidate on the room reserved for it once all of that is
--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -24,7 +24,7 @@
 	minUnexplainedShare = 1.0 / 30
 	// minCrashes and minCrashShare are the same bounds for crashes with or
 	// without an explanation. Half of the workers start something within the
-	// 2 s that a renewal may wait for news, so that in a large outage nearly
+	// 2 s that a renewal may wait at a worker, so that in a large outage nearly
 	// every crash seems to come soon after a start. Tasks that crash their
 	// workers never reach these numbers.
 	minCrashes    = 5
@@ -43,14 +43,14 @@
 	// counted holds the runs that the crash was counted against.
 	counted []*run
 	// explained is set if one of these runs may well be the cause because it
-	// had just begun. repeated is set if workers have crashed before under the
-	// task of one of them; such a crash is no evidence of a common cause.
+	// had just begun. repeatedCrash is set if workers have crashed before under
+	// the task of one of them; such a crash is no evidence of a common cause.
 	explained, repeatedCrash bool
 }
 
-// excuseCommonCause takes back the counts of a service's newest crashes if so many of
-// them are unexplained, or so many happened at all, that they must have a
-// common cause.
+// excuseCommonCause takes back the counts of a service's newest crashes if so
+// many of them are unexplained, or so many happened at all, that they must have
+// a common cause.
 func (d *Dispatcher) excuseCommonCause(service id.Service) {
 	all, unexplained := 0, 0
 	for _, e := range d.incarnationEnds {
--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -72,10 +72,10 @@
 	return w.syncedClock+fleet.ClockReading(at.Sub(w.syncedAsOf)) < w.drainEndClock
 }
 
-// startRefused processes the result that an order to start was refused by whoever
-// received it, or that it reached nobody. Unless an earlier copy of the order
-// may have been carried out, the run hasn't begun, so a crash of its worker in
-// the meantime isn't counted against it.
+// startRefused handles the result that a start order was refused by its
+// receiver, or that it reached nobody. Unless an earlier copy of the order may
+// have been carried out, the run hasn't begun, so a crash of its worker in the
+// meantime isn't counted against it.
 func (d *Dispatcher) startRefused(s Start) {
 	w := d.targetWorker(s.Target)
 	if w == nil || s.MayHaveStarted {
@@ -116,8 +116,8 @@
 	return r.mayCauseCrash() && r.step.anyCrashCount(r.task.Index, func(c job.CrashCount) bool { return c.Total >= minRepeatedCrashes })
 }
 
-// confirmedRuntime returns how long after the run's start its worker last answered; 0
-// if it hasn't answered since.
+// confirmedRuntime returns how long after the run's start its worker last
+// answered; 0 if it hasn't answered since, or if the start isn't confirmed.
 func (r *run) confirmedRuntime() time.Duration {
 	if r.startedAt == 0 {
 		return 0
@@ -189,12 +189,13 @@
 
 // failCrashedJobs fails the jobs that have a task at its limit of crashes. They
 // can't be completed, and each further start costs a worker for some seconds,
-// with everything that runs there. It waits for the time in which the last
-// crash may still turn out to be one of many with a common cause.
+// with everything that runs there. It waits for the duration commonCause,
+// within which the last crash may still turn out to be one of many with a
+// common cause.
 func (d *Dispatcher) failCrashedJobs(now unit.Instant) {
 	for _, js := range slices.Clone(d.open) {
-		if all, ok := js.taskBeyondCrashLimit(now); ok {
-			d.finish(now, js, job.Failed, fmt.Sprintf("%d workers in a row crashed under one of its tasks", all))
+		if crashes, ok := js.taskBeyondCrashLimit(now); ok {
+			d.finish(now, js, job.Failed, fmt.Sprintf("%d workers in a row crashed under one of its tasks", crashes))
 		}
 	}
 }
@@ -215,8 +216,8 @@
 	return 0, false
 }
 
-// pastCrashLimit reports whether a task, or a member of its gang, has reached the limit
-// of crashes, so that it is not to be started again.
+// pastCrashLimit reports whether a task, or a member of its gang, has reached
+// the limit of crashes, so that it is not to be started again.
 func (s *stepState) pastCrashLimit(index int) bool {
 	return s.anyCrashCount(index, beyondCrashLimit)
 }
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -26,13 +26,14 @@
 	// iterates in the same order; ended holds the other jobs until their
 	// retention is over.
 	open, ended []*jobState
-	// expired is when ended was last searched for jobs to forget.
+	// expired is when ended was last searched for jobs whose retention is over.
 	expired unit.Instant
 	workers map[id.Worker]*worker
-	// waitingRenewals counts the renewals that wait at workers for a report.
+	// waitingRenewals counts the renewals in flight that wait at a worker until
+	// it has something to report.
 	waitingRenewals int
-	// workersByID holds the workers sorted by id, so that every host iterates in the
-	// same order.
+	// workersByID holds the workers sorted by id, so that every host iterates
+	// in the same order.
 	workersByID []*worker
 	// guaranteed is the number of accelerators guaranteed to each customer.
 	guaranteed map[id.Customer]int
@@ -42,7 +43,7 @@
 	// wallTime is the time of day at the last pass.
 	wallTime unit.Instant
 	// pools holds the usable workers of each service in this pass, racks the
-	// number of empty workers of each rack.
+	// numbers of usable and of empty workers of each rack.
 	pools map[id.Service]*pool
 	racks map[rackName]*rackUse
 	// incarnationEnds holds the worker crashes within the last commonCause.
@@ -51,8 +52,8 @@
 	window window
 	// placedRuns counts the runs that occupy room on workers.
 	placedRuns int
-	// claimsWithoutStop counts the gangs that have room reserved without a run being
-	// stopped for them.
+	// claimsWithoutStop counts the gangs that have room reserved without a run
+	// being stopped for them.
 	claimsWithoutStop int
 	// longRunningWaits holds the services in which long-running tasks wait for
 	// room.
@@ -77,21 +78,22 @@
 	// batch.
 	newEnds bool
 	fenced  bool
-	// lastFenceRevision is the last raise number that was assigned to a worker's fence; it
-	// never decreases.
+	// lastFenceRevision is the latest revision that was assigned to the fence
+	// of a worker; it never decreases.
 	lastFenceRevision id.FenceRevision
 	// soleOwnerAt is the latest time as of which no other host was the owner; 0
-	// if nothing reports that, as in a model without other hosts: leases are
-	// granted then.
+	// if ConfirmSoleOwner was never called, as in a model without other hosts.
+	// Leases are granted then.
 	soleOwnerAt unit.Instant
 	// leasesWithheld is set while leases aren't extended because soleOwnerAt is
 	// too old.
 	leasesWithheld bool
 	// evacuated holds the failure domains where nothing may start, as of
-	// informed; informed is 0 before anything is known.
+	// evacuationsKnownAt, which is 0 before anything is known.
 	evacuated          []id.Domain
 	evacuationsKnownAt unit.Instant
-	// startsWithheld is set while nothing starts because informed is too old.
+	// startsWithheld is set while nothing starts because evacuationsKnownAt is
+	// too old.
 	startsWithheld bool
 }
 
@@ -114,8 +116,8 @@
 // epoch, or the fence can't be raised any more.
 func (d *Dispatcher) Fenced() bool { return d.fenced }
 
-// PlacedRuns returns the number of runs that occupy room on workers, as far as is
-// known.
+// PlacedRuns returns the number of runs that occupy room on workers, as far as
+// is known.
 func (d *Dispatcher) PlacedRuns() int { return d.placedRuns }
 
 // Take returns the orders that may be sent at once.
@@ -208,8 +210,9 @@
 }
 
 // gone reports whether a worker can be forgotten: the platform doesn't list it,
-// nothing can run there, and it has no end left to report again. A worker that
-// wasn't told to forget its ends is kept for as long as the jobs that ended.
+// nothing can run there, and it has no end left to report again. Unless it was
+// replaced, a worker with unacknowledged ends is kept for as long as ended jobs
+// are, counted from the expiry of its leases.
 func (w *worker) gone(now unit.Instant, keepEnded time.Duration) bool {
 	if w.listed || w.renewalInFlight || len(w.runs) > 0 || now <= w.leaseExpiry() {
 		return false
--- a/core/dispatch/doc.go
+++ b/core/dispatch/doc.go
@@ -1,13 +1,14 @@
 // Package dispatch decides, as the owner, which task runs where.
 //
-// The Dispatcher is a state machine without I/O. Events tell it about jobs,
-// workers and answers. Flush returns records for the store together with orders
+// The Dispatcher is a state machine without I/O. Events report jobs, workers
+// and answers to it. Flush returns records for the store together with orders
 // that may be sent only once the records are there; Take returns orders that
 // need no record. The rules:
 //
 //   - A placement is in the store before its start order is sent, so that the
 //     next owner knows where a task may run.
-//   - An end is in the store before the worker is told that it may forget it.
+//   - An end is in the store before it is acknowledged, which lets the worker
+//     forget it.
 //   - A task is placed again only when its last run has ended for certain: its
 //     worker reported the end, another incarnation answered in the worker's
 //     place, or its lease has expired by the worst case of the worker's clock.
--- a/core/dispatch/evacuation.go
+++ b/core/dispatch/evacuation.go
@@ -13,24 +13,24 @@
 // The operator may evacuate a failure domain: no task may start there until the
 // evacuation is lifted. Tasks that already run there continue.
 //
-// The deadline for an evacuation to take effect, Config.Evacuation after the
-// operator's write, is met by three checks against the newest records that the
-// host has read: when a task is placed, when the record of its placement is in
-// the store, and when its order is sent. All of them fail if the operator's
-// records were last read longer ago than Config.NewsAge. So an owner that reads
-// late, was frozen or has just taken over starts nothing.
+// The deadline for an evacuation to take effect, Config.EvacuationLimit after
+// the operator's write, is met by three checks against the newest records that
+// the host has read: when a task is placed, when the record of its placement is
+// in the store, and when its order is sent. All of them fail if the operator's
+// records were last read longer ago than Config.MaxEvacuationAge. So an owner
+// that reads late, was frozen or has just taken over starts nothing.
 
 // maxStartLatency bounds the time from the last check of an order until it
 // reaches its worker: workers answer within a few milliseconds, and the
 // platform's client gives up on an order after 0.8 s.
 const maxStartLatency = time.Second
 
-// MaxEvacuationAge returns the maximum age of the owner's knowledge of evacuations when
-// an order to start is sent.
+// MaxEvacuationAge returns the maximum age of the owner's knowledge of
+// evacuations when an order to start is sent.
 func (c Config) MaxEvacuationAge() time.Duration { return max(0, c.EvacuationLimit-maxStartLatency) }
 
-// ConfirmEvacuations sets the time as of which the owner knows all evacuations that the
-// operator has asked for.
+// ConfirmEvacuations sets the time as of which the owner knows all evacuations
+// that the operator has asked for.
 func (d *Dispatcher) ConfirmEvacuations(at unit.Instant) {
 	d.evacuationsKnownAt = max(d.evacuationsKnownAt, at)
 }
@@ -39,7 +39,8 @@
 type StartRules struct {
 	// Evacuated holds the failure domains where no task may start.
 	Evacuated []id.Domain
-	// ValidUntil is when the rules expire; after that no order to start may be sent.
+	// ValidUntil is when the rules expire; after that no order to start may be
+	// sent.
 	ValidUntil unit.Instant
 }
 
@@ -57,8 +58,8 @@
 	return StartRules{Evacuated: d.evacuated, ValidUntil: until}
 }
 
-// DenialReason returns why an order to start may not be sent to a failure domain, or
-// an empty string if it may.
+// DenialReason returns why an order to start may not be sent to a failure
+// domain, or an empty string if it may.
 func (r StartRules) DenialReason(now unit.Instant, domain id.Domain) string {
 	switch {
 	case now > r.ValidUntil:
@@ -78,8 +79,8 @@
 // enough for orders to start.
 func (d *Dispatcher) knowsEvacuations(now unit.Instant) bool { return now <= d.StartRules().ValidUntil }
 
-// noteStartsWithheld logs when starts are withheld because the operator's records were
-// not read recently, and when they resume.
+// noteStartsWithheld logs when starts are withheld because the operator's
+// records were not read recently, and when they resume.
 func (d *Dispatcher) noteStartsWithheld(now unit.Instant) {
 	d.noteWithheld(&d.startsWithheld, !d.knowsEvacuations(now), EventStartsWithheld, EventStartsResumed, age(now, d.evacuationsKnownAt))
 }
@@ -120,9 +121,9 @@
 // isn't repeated, because of an evacuation.
 const whyEvacuated = "its failure domain is evacuated"
 
-// blockedByEvacuation reports whether a run can no longer start because its domain, or that of
-// a member of its gang that hasn't started, is evacuated: the other members
-// would wait for that one. A run that has started continues.
+// blockedByEvacuation reports whether a run can no longer start because its
+// domain, or that of a member of its gang that hasn't started, is evacuated:
+// the other members would wait for that one. A run that has started continues.
 func (r *run) blockedByEvacuation() bool {
 	return r.anyMember(func(m *run) bool { return m.startedAt == 0 && m.worker.evacuated })
 }
--- a/core/dispatch/evidence_test.go
+++ b/core/dispatch/evidence_test.go
@@ -14,9 +14,10 @@
 // lease. The ends of these first runs arrived later and were acknowledged as
 // unknown, so that neither successes nor failures counted. Two kinds of weak
 // evidence were taken as proof: the order in which two incarnations at one
-// address were listed, and an expired list entry together with a refused
-// connection (with 6 s of the lease left). Of 2,570 runs that were given up for
-// these reasons, 2,102 were still running.
+// address were listed (0.14 s after the worker's last answer), and an expired
+// list entry together with a refused connection (3.9 s after it, with 6 s of
+// the lease left). Of 2,570 runs that were given up for these reasons, 2,102
+// were still running.
 func TestEvidence(t *testing.T) {
 	scripttest.EachIn(t, "evidence", func(t *testing.T, text string) { newScript(t).run(text) })
 }
--- a/core/dispatch/fence.go
+++ b/core/dispatch/fence.go
@@ -7,13 +7,14 @@
 
 // A worker may restart under its name, and its next incarnation carries out
 // orders that were meant for the previous one unless it has seen a higher
-// fence. The fence is therefore raised for each new incarnation, and for each
-// lost renewal while an order that changes something may still be in flight.
-// The first renewal that the next incarnation answers then makes it reject
-// every order sent before, and its report lists what it carried out until then.
+// fence. The fence is therefore raised (gets a higher revision) for each new
+// incarnation, and for each lost renewal while an order that changes something
+// may still be in flight. The first renewal that the next incarnation answers
+// then makes it reject every order sent before, and its report lists what it
+// carried out until then.
 
 // raiseFence raises the fence of orders to a worker. An owner that has used up
-// its raises gives way to the next epoch.
+// all fence revisions gives way to the next epoch.
 func (d *Dispatcher) raiseFence(w *worker) {
 	if !fleet.HasStart(w.ID) {
 		return
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -43,7 +43,7 @@
 	}
 	f.run(time.Second)
 	if got := f.d.placedRuns; got != workers {
-		t.Fatalf("%d tasks are in place before the outage, want %d", got, workers)
+		t.Fatalf("%d tasks are placed before the outage, want %d", got, workers)
 	}
 	f.d.lastFenceRevision = id.MaxFenceRevision - raisesEach*workers
 	f.verdict = verdict
@@ -62,15 +62,15 @@
 }
 
 // run advances the time. Batches are in the store at once.
-func (f *failingFleet) run(lasts time.Duration) {
+func (f *failingFleet) run(duration time.Duration) {
 	const step = 100 * time.Millisecond
-	for end := f.now.Add(lasts); f.now < end; f.now = f.now.Add(step) {
+	for end := f.now.Add(duration); f.now < end; f.now = f.now.Add(step) {
 		f.d.Pass(f.now, f.now)
-		b, some, err := f.d.Flush()
+		b, ok, err := f.d.Flush()
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		if some {
+		if ok {
 			f.d.Committed(f.now, b)
 		}
 		f.answer(f.d.Take())
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -44,9 +44,9 @@
 func (b *Batch) Empty() bool { return len(b.Jobs)+len(b.Progress) == 0 }
 
 // record adds the records of a job that has changed. The summary for callers is
-// written as the job begins and as it ends. The progress is dropped only once
-// the outcome is in the store: with neither there, the next owner would treat
-// the job as a new one.
+// written when the job begins and when it ends. The progress is dropped only
+// once the outcome is in the store: with neither there, the next owner would
+// treat the job as a new one.
 func (d *Dispatcher) record(b *Batch, js *jobState) error {
 	ended := js.progress.Outcome != job.Open
 	if ended && js.summary < summaryEnding || js.summary == summaryNone && js.progress.Started() {
@@ -110,7 +110,7 @@
 		d.stopWithGang(now, r, "its worker is draining")
 		return
 	}
-	if r.workerOverfull() {
+	if r.workerOvercommitted() {
 		d.stopWithGang(now, r, whyNoRoom)
 		return
 	}
@@ -150,9 +150,9 @@
 	return r.anyWorker(func(w *worker) bool { return w.Draining })
 }
 
-// workerOverfull reports whether the worker of a run, or of a member of its
-// gang, has more runs than it has room for.
-func (r *run) workerOverfull() bool { return r.anyWorker((*worker).overcommitted) }
+// workerOvercommitted reports whether the worker of a run, or of a member of
+// its gang, has more runs than it has room for.
+func (r *run) workerOvercommitted() bool { return r.anyWorker((*worker).overcommitted) }
 
 // anyWorker reports whether a predicate holds for the worker of a run, or of a
 // member of its gang.
--- a/core/dispatch/forgotten_test.go
+++ b/core/dispatch/forgotten_test.go
@@ -26,6 +26,6 @@
 	s.do([]string{"pass", "500ms"})
 	s.collect()
 	if len(s.lines) != 1 {
-		t.Errorf("renewals under way: %q", s.lines)
+		t.Errorf("renewals in flight: %q, want one", s.lines)
 	}
 }
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -19,8 +19,8 @@
 	return true
 }
 
-// placeOnWorkers places as many of the waiting tasks as there are workers, one on each
-// entry of workers. The members of a gang share a run number.
+// placeOnWorkers places as many of the waiting tasks as there are workers, one
+// on each entry of workers. The members of a gang share a run number.
 func (d *Dispatcher) placeOnWorkers(c candidate, workers []*worker) {
 	s := c.step
 	number := s.nextRun(0)
@@ -36,13 +36,15 @@
 	}
 }
 
-// assignment says on which workers the members of a gang can be placed.
+// assignment is a choice of workers for the members of a gang.
 type assignment struct {
 	// workers has one worker for each member; nil if there is no room.
 	workers []*worker
 	victims []*run
 	// cost is the work that is lost by stopping the victims, in core-seconds.
-	// Among assignments of equal cost, the one with the least leftover wins.
+	// leftover is the sum over the workers of what the function leftover
+	// returns and of their penalties. Among assignments of equal cost, the one
+	// with the least leftover wins.
 	cost, leftover float64
 }
 
@@ -70,8 +72,9 @@
 }
 
 // chooseGang finds room for all waiting members. If the step asks for one rack
-// or for a place near its data, it looks there first and elsewhere only after
-// some waiting, or if no rack could ever hold the gang.
+// or for a place near its data, it tries only such racks at first. It tries all
+// workers once the step has waited for some time, or if no such rack could hold
+// the gang even when empty.
 func (d *Dispatcher) chooseGang(now unit.Instant, c candidate, fits []*worker, roomOf roomFunc) assignment {
 	s := c.step
 	var best assignment
@@ -137,8 +140,8 @@
 // extension is a worker's share with one more member; ok is false if there is
 // no room for it.
 type extension struct {
-	workerShare workerShare
-	ok          bool
+	share workerShare
+	ok    bool
 }
 
 // assign puts the members on workers one by one, each where it costs least. A
@@ -158,7 +161,7 @@
 		if best < 0 {
 			return assignment{}
 		}
-		shares[best] = extensions[best].workerShare
+		shares[best] = extensions[best].share
 		extensions[best] = d.withOneMore(now, c, shares[best], need, roomOf)
 		out.workers = append(out.workers, workers[best])
 	}
@@ -184,8 +187,8 @@
 			best = i
 			continue
 		}
-		adds, least := extensions[i].workerShare.cost-shares[i].cost, extensions[best].workerShare.cost-shares[best].cost
-		if adds < least || adds == least && extensions[i].workerShare.leftover < extensions[best].workerShare.leftover {
+		adds, least := extensions[i].share.cost-shares[i].cost, extensions[best].share.cost-shares[best].cost
+		if adds < least || adds == least && extensions[i].share.leftover < extensions[best].share.leftover {
 			best = i
 		}
 	}
@@ -207,5 +210,5 @@
 	}
 	share.victims, share.cost = victims, cost
 	share.leftover = leftover(free.Sub(all), share.worker.Capacity) + share.penalty
-	return extension{workerShare: share, ok: true}
+	return extension{share: share, ok: true}
 }
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -36,9 +36,9 @@
 	// that can be bad: the platform lets a seventh of the workers fail
 	// everything they start.
 	maxSuspendedShare = 1.0 / 3
-	// failurePenalty is the placement cost added for each failure in a row on
-	// a worker. It outweighs all other criteria, so that other workers are
-	// preferred.
+	// failurePenalty is added to the leftover of a placement for each failure
+	// in a row on its worker. It outweighs all other parts of the leftover, so
+	// that other workers are preferred.
 	failurePenalty = 10
 	// avoidAfterFailure is how long a task isn't placed again where it has just
 	// failed, if there are other workers. It is less than the 3 s after which a
@@ -60,8 +60,8 @@
 	s.lastFailures[s.failureKey(index)] = failure{worker: w, at: now}
 }
 
-// failureKey returns the key of a task in the step's failures: the members of a
-// gang share one, since a gang fails as a whole.
+// failureKey returns the key of a task in lastFailures: the members of a gang
+// share one, since a gang fails as a whole.
 func (s *stepState) failureKey(index int) int {
 	if s.step.Gang {
 		return 0
@@ -69,9 +69,10 @@
 	return index
 }
 
-// withoutRecentFailures filters out the workers on which one of the waiting tasks has just
-// failed, unless no others are left. Without it, tasks would return to a worker
-// that fails everything it starts, since that one has the most room.
+// withoutRecentFailures filters out the workers on which one of the waiting
+// tasks has just failed, unless no others are left. Without it, tasks would
+// return to a worker that fails everything it starts, since that one has the
+// most room.
 func (c *candidate) withoutRecentFailures(now unit.Instant, workers []*worker) []*worker {
 	if len(c.step.lastFailures) == 0 {
 		return workers
@@ -99,7 +100,7 @@
 
 // countFailures counts the consecutive failed runs of different jobs on a
 // worker, and suspends the worker when there are too many, or when a run fails
-// immediately.
+// immediately after its start.
 func (d *Dispatcher) countFailures(now unit.Instant, r *run, e fleet.End) {
 	w := r.worker
 	switch e.Reason {
@@ -115,8 +116,8 @@
 	}
 }
 
-// countUnansweredStart counts a run whose worker answered none of the orders to start
-// it as a failed one.
+// countUnansweredStart counts a run whose worker answered none of the orders to
+// start it as a failed one.
 func (d *Dispatcher) countUnansweredStart(now unit.Instant, r *run) {
 	if r.step != nil {
 		r.step.noteFailure(now, r.task.Index, r.worker)
@@ -213,8 +214,8 @@
 // since. It gets one run at a time until then.
 func (w *worker) onProbation() bool { return w.failureStreak >= suspendAfterFailures }
 
-// endProbation ends a worker's probation if a run there has worked for a while and
-// made progress: a long-running task never ends with success.
+// endProbation ends a worker's probation if a run there has worked for a while
+// and made progress: a long-running task never ends with success.
 func (w *worker) endProbation(now unit.Instant) {
 	if !w.onProbation() {
 		return
@@ -226,7 +227,8 @@
 	}
 }
 
-// failureCost returns the placement cost of a worker whose latest runs failed.
+// failureCost returns what is added to the leftover of a placement on a worker
+// whose latest runs failed.
 func (w *worker) failureCost() float64 {
 	return failurePenalty * float64(min(w.failureStreak, suspendAfterFailures))
 }
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -25,17 +25,17 @@
 // still until it has ended a task.
 const maxAnswerAgeForAck = 250 * time.Millisecond
 
-// whyStrayOrder is the reason logged when a run is stopped on the next
+// whyLateStart is the reason logged when a run is stopped on the next
 // incarnation of its worker.
-const whyStrayOrder = "an order to start it may reach the next life under its worker's name"
+const whyLateStart = "an order to start it may reach the next incarnation under its worker's name"
 
 // lateStart is an order to start a run that has ended, with a copy that got no
 // answer.
 type lateStart struct {
 	task   job.TaskID
 	number job.RunNumber
-	// asked is when the last copy was sent.
-	asked unit.Instant
+	// sentAt is when the last copy was sent.
+	sentAt unit.Instant
 }
 
 // unreplacedNamesake reports whether an incarnation that isn't known to have
@@ -55,11 +55,11 @@
 	return next
 }
 
-// noteUnansweredLease records that an order which grants a lease was sent at a time and got
-// no answer. It returns when that lease has certainly expired on the next
-// incarnation under the worker's name; the lease starts there, on its clock,
-// when the order is carried out. It returns 0 if there can't be such an
-// incarnation.
+// noteUnansweredLease records that an order which grants a lease was sent at a
+// time and got no answer. It returns the time at which that lease has expired
+// for certain on the next incarnation under the worker's name; the lease starts
+// there, on its clock, when the order is carried out. It returns 0 if there
+// can't be such an incarnation.
 func (d *Dispatcher) noteUnansweredLease(w *worker, sent unit.Instant) unit.Instant {
 	if !fleet.HasStart(w.ID) {
 		return 0
@@ -69,8 +69,9 @@
 	return until
 }
 
-// inherit transfers orders that the next incarnation under a name may have
-// received, or may still receive, from the previous one to it.
+// inherit transfers runs, unanswered start orders and lease expiries from a
+// worker to next, the next incarnation under its name, which may have received
+// the orders that were meant for the worker, or may still receive them.
 func (d *Dispatcher) inherit(now unit.Instant, w, next *worker) {
 	if w.renewalLeaseExpiry != 0 {
 		d.noteUnansweredLease(w, now)
@@ -84,7 +85,7 @@
 		}
 	}
 	for _, s := range w.lateStarts {
-		if now.Sub(s.asked) <= maxOrderDelay {
+		if now.Sub(s.sentAt) <= maxOrderDelay {
 			d.blockStart(now, next, s)
 			next.lateStarts = append(next.lateStarts, s) // a later incarnation knows nothing of that stop
 		}
@@ -151,23 +152,23 @@
 		r.need = step.step.Reserved() // it may already run there
 	}
 	d.occupy(r)
-	d.stop(now, r, whyStrayOrder)
+	d.stop(now, r, whyLateStart)
 }
 
-// inheritedMissing processes an answer of the next incarnation under a name
-// that doesn't list a run placed on the previous one. An order to start it that
-// got no answer may still arrive, so the run is stopped there. Otherwise the
-// run ended with the previous incarnation, or has ended here while the worker
+// inheritedMissing handles an answer of the next incarnation under a name that
+// doesn't list a run placed on the previous one. An order to start it that got
+// no answer may still arrive, so the run is stopped there. Otherwise the run
+// ended with the previous incarnation, or has ended here while the worker
 // collected its two lists.
 func (d *Dispatcher) inheritedMissing(now unit.Instant, r *run, sent unit.Instant) {
 	if r.startUnanswered {
-		d.stopWithGang(now, r, whyStrayOrder)
+		d.stopWithGang(now, r, whyLateStart)
 		return
 	}
 	d.recordMissing(now, r, sent)
 }
 
-// inheritedFound processes an answer of the next incarnation under a name that
+// inheritedFound handles an answer of the next incarnation under a name that
 // reports a run placed on the previous one. If only one order to start was
 // sent, the previous one never had the run, so its crash isn't counted against
 // the run.
@@ -176,29 +177,29 @@
 		return
 	}
 	if r.startOrders == 1 {
-		d.retractCrash(r.inheritedFrom, r.task, r.number, "the next life under its worker's name has the run")
+		d.retractCrash(r.inheritedFrom, r.task, r.number, "the next incarnation under its worker's name has the run")
 	}
 	r.inheritedFrom = ""
 }
 
-// recordLateStart records, when a run has ended, an order to start it that may still
-// be carried out.
+// recordLateStart records, when a run has ended, an order to start it that may
+// still be carried out.
 func (r *run) recordLateStart() {
 	w := r.worker
 	if !r.startUnanswered && r.startLeaseExpiry == 0 || !fleet.HasStart(w.ID) {
 		return
 	}
-	w.lateStarts = slices.DeleteFunc(w.lateStarts, func(s lateStart) bool { return r.startSentAt.Sub(s.asked) > maxOrderDelay })
-	w.lateStarts = append(w.lateStarts, lateStart{task: r.task, number: r.number, asked: r.startSentAt})
+	w.lateStarts = slices.DeleteFunc(w.lateStarts, func(s lateStart) bool { return r.startSentAt.Sub(s.sentAt) > maxOrderDelay })
+	w.lateStarts = append(w.lateStarts, lateStart{task: r.task, number: r.number, sentAt: r.startSentAt})
 }
 
-// endsToAck returns the number of the last end that a renewal acknowledges, so that
-// the worker forgets the ends up to it; 0 for none. The next incarnation under
-// the name may receive the renewal instead, and would forget ends of its own
-// that were never read, so that their tasks would run again. So each number is
-// sent only once, and only shortly after this incarnation has answered. If its
-// last answer is too old, another renewal without an acknowledgement is sent
-// first.
+// endsToAck returns the number of the last end that a renewal acknowledges, so
+// that the worker forgets the ends up to it; 0 for none. The next incarnation
+// under the name may receive the renewal instead, and would forget ends of its
+// own that were never read, so that their tasks would run again. So each number
+// is sent only once, and only shortly after this incarnation has answered. If
+// its last answer is too old, another renewal without an acknowledgement is
+// sent first.
 func (w *worker) endsToAck(now unit.Instant) uint64 {
 	switch {
 	case !fleet.HasStart(w.ID):
