--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -140,8 +140,8 @@
 // extension is a worker's share with one more member; ok is false if there is
 // no room for it.
 type extension struct {
-	share workerShare
-	ok    bool
+	extended workerShare
+	ok       bool
 }
 
 // assign puts the members on workers one by one, each where it costs least. A
@@ -161,7 +161,7 @@
 		if best < 0 {
 			return assignment{}
 		}
-		shares[best] = extensions[best].share
+		shares[best] = extensions[best].extended
 		extensions[best] = d.withOneMore(now, c, shares[best], need, roomOf)
 		out.workers = append(out.workers, workers[best])
 	}
@@ -187,8 +187,8 @@
 			best = i
 			continue
 		}
-		adds, least := extensions[i].share.cost-shares[i].cost, extensions[best].share.cost-shares[best].cost
-		if adds < least || adds == least && extensions[i].share.leftover < extensions[best].share.leftover {
+		adds, least := extensions[i].extended.cost-shares[i].cost, extensions[best].extended.cost-shares[best].cost
+		if adds < least || adds == least && extensions[i].extended.leftover < extensions[best].extended.leftover {
 			best = i
 		}
 	}
@@ -210,5 +210,5 @@
 	}
 	share.victims, share.cost = victims, cost
 	share.leftover = leftover(free.Sub(all), share.worker.Capacity) + share.penalty
-	return extension{share: share, ok: true}
+	return extension{extended: share, ok: true}
 }
