--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -73,9 +73,10 @@
 	// changed lists the jobs whose records in the store are older than their
 	// state.
 	changed []*jobState
+	// forget lists the jobs whose records are to be deleted from the store.
 	forget  []id.Job
-	// newEnds is set if ends reported by workers were taken in since the last
-	// batch.
+	// newEnds is set if new ends reported by workers were handled since the
+	// last batch.
 	newEnds bool
 	fenced  bool
 	// lastFenceRevision is the latest revision that was assigned to the fence
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -73,8 +73,8 @@
 
 // chooseGang finds room for all waiting members. If the step asks for one rack
 // or for a place near its data, it tries only such racks at first. It tries all
-// workers once the step has waited for some time, or if no such rack could hold
-// the gang even when empty.
+// workers once mayRelax allows that, or if no such rack could hold the gang
+// even when empty.
 func (d *Dispatcher) chooseGang(now unit.Instant, c candidate, fits []*worker, roomOf roomFunc) assignment {
 	s := c.step
 	var best assignment
@@ -140,8 +140,8 @@
 // extension is a worker's share with one more member; ok is false if there is
 // no room for it.
 type extension struct {
-	extended workerShare
-	ok       bool
+	workerShare workerShare
+	ok          bool
 }
 
 // assign puts the members on workers one by one, each where it costs least. A
@@ -161,7 +161,7 @@
 		if best < 0 {
 			return assignment{}
 		}
-		shares[best] = extensions[best].extended
+		shares[best] = extensions[best].workerShare
 		extensions[best] = d.withOneMore(now, c, shares[best], need, roomOf)
 		out.workers = append(out.workers, workers[best])
 	}
@@ -187,8 +187,8 @@
 			best = i
 			continue
 		}
-		adds, least := extensions[i].extended.cost-shares[i].cost, extensions[best].extended.cost-shares[best].cost
-		if adds < least || adds == least && extensions[i].extended.leftover < extensions[best].extended.leftover {
+		adds, least := extensions[i].workerShare.cost-shares[i].cost, extensions[best].workerShare.cost-shares[best].cost
+		if adds < least || adds == least && extensions[i].workerShare.leftover < extensions[best].workerShare.leftover {
 			best = i
 		}
 	}
@@ -210,5 +210,5 @@
 	}
 	share.victims, share.cost = victims, cost
 	share.leftover = leftover(free.Sub(all), share.worker.Capacity) + share.penalty
-	return extension{extended: share, ok: true}
+	return extension{workerShare: share, ok: true}
 }
