--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -74,7 +74,7 @@
 	// state.
 	changed []*jobState
 	// forget lists the jobs whose records are to be deleted from the store.
-	forget  []id.Job
+	forget []id.Job
 	// newEnds is set if new ends reported by workers were handled since the
 	// last batch.
 	newEnds bool
