--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -156,9 +156,13 @@
 // slowed down.
 func (d *Dispatcher) resumeRun(now unit.Instant, s *stepState, index int, t *job.TaskState) {
 	w := d.worker(now, t.Worker)
-	// The earlier owner may not know of this one yet.
+	// The earlier owner may still grant leases, since it may not know of this
+	// owner yet.
 	w.grantedLeaseExpiry = max(w.grantedLeaseExpiry, d.maxLeaseExpiry(now.Add(soleOwnerValidity)))
-	r := &run{task: s.task(index), number: t.Run, state: runStarting, worker: w, need: s.step.Reserved(), step: s, knownSince: now, startSentAt: now, fromEarlierOwner: true}
+	r := &run{
+		task: s.task(index), number: t.Run, state: runStarting, worker: w, need: s.step.Reserved(), step: s,
+		knownSince: now, startSentAt: now, fromEarlierOwner: true,
+	}
 	if r.bestEffort() {
 		r.slowdownPercent = fullSpeed - minSpeed
 	}
@@ -171,7 +175,7 @@
 	return !js.hasRuns() && !js.changed && !js.hasProgress && js.summary == summaryEnded
 }
 
-// expire drops jobs that ended longer ago than Config.KeepEnded.
+// expire drops jobs that ended longer ago than Config.EndedRetention.
 func (d *Dispatcher) expire(now unit.Instant) {
 	if now.Sub(d.expired) < expireEvery {
 		return
--- a/core/dispatch/lasting.go
+++ b/core/dispatch/lasting.go
@@ -13,10 +13,10 @@
 // is fully operational.
 const operationalPercent = 100
 
-// longRunningPatience is how long long-running tasks wait before the room that
+// longRunningMaxWait is how long long-running tasks wait before the room that
 // is reserved for others is released. The platform counts a long-running task
 // as lost that waits 3 s while there is room.
-const longRunningPatience = time.Second
+const longRunningMaxWait = time.Second
 
 // operational reports whether a run of a long-running task is fully
 // operational.
@@ -73,13 +73,14 @@
 	return slices.Collect(maps.Values(r.step.runs))
 }
 
-// releaseGangRoom releases the room that is reserved for gangs without preemption, in
-// services in which long-running tasks have waited for a while: those must be
-// back soon if there is any room for them. It returns these services.
+// releaseGangRoom releases the room that is reserved without preemption for
+// work that isn't urgent, in services in which long-running tasks have waited
+// for longRunningMaxWait: those must run again soon if there is any room for
+// them. It returns these services.
 func (d *Dispatcher) releaseGangRoom(now unit.Instant, candidates []candidate) map[id.Service]bool {
 	waiting := map[id.Service]bool{}
 	for _, c := range candidates {
-		if c.step.step.LongRunning && c.step.waitedFor(now, longRunningPatience) {
+		if c.step.step.LongRunning && c.step.waitedFor(now, longRunningMaxWait) {
 			waiting[c.step.job.spec.Service] = true
 		}
 	}
--- a/core/dispatch/lease.go
+++ b/core/dispatch/lease.go
@@ -14,9 +14,10 @@
 	// leaseExpiryMargin is added to the end of each lease: an order takes a few
 	// milliseconds to reach the worker, and timers fire late.
 	leaseExpiryMargin = 200 * time.Millisecond
-	// soleOwnerValidity is how long an owner grants leases after the last time as of
-	// which no other host was the owner. Its read of the jobs is 1 s old at
-	// most, or 2.6 s after a read that failed. The next owner waits that much
+	// soleOwnerValidity is how long an owner grants leases after the latest
+	// time for which it knows that no other host was the owner. It knows that
+	// from its reads of the jobs, of which the newest is 1 s old at most, or
+	// 2.6 s after a read that failed. The next owner waits soleOwnerValidity
 	// longer.
 	soleOwnerValidity = 3 * time.Second
 )
@@ -26,7 +27,8 @@
 	return d.soleOwnerAt == 0 || now.Sub(d.soleOwnerAt) <= soleOwnerValidity
 }
 
-// noteLeasesWithheld logs when leases are no longer extended, and when they are again.
+// noteLeasesWithheld logs when leases are no longer extended, and when they are
+// again.
 func (d *Dispatcher) noteLeasesWithheld(now unit.Instant) {
 	d.noteWithheld(&d.leasesWithheld, !d.mayGrantLeases(now), EventLeasesWithheld, EventLeasesGranted, age(now, d.soleOwnerAt))
 }
@@ -58,8 +60,8 @@
 	return w.clock(now) + fleet.ClockReading(d.config.MaxLease)
 }
 
-// leaseExpiry returns when every lease on the worker has expired for certain: those
-// that may have been granted, and those of orders in flight.
+// leaseExpiry returns when every lease on the worker has expired for certain:
+// those that may have been granted, and those of orders in flight.
 func (w *worker) leaseExpiry() unit.Instant {
 	last := max(w.grantedLeaseExpiry, w.renewalLeaseExpiry)
 	for _, r := range w.runs {
@@ -77,8 +79,8 @@
 	}
 }
 
-// maxLeaseExpiry returns when a lease that is granted now, or earlier, has expired for
-// certain.
+// maxLeaseExpiry returns when a lease that is granted now, or earlier, has
+// expired for certain.
 func (d *Dispatcher) maxLeaseExpiry(now unit.Instant) unit.Instant {
 	return now.Add(scale(d.config.MaxLease, clockDrift)).Add(leaseExpiryMargin)
 }
--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -34,8 +34,8 @@
 )
 
 // loseAll gives up every run on a worker, and counts its crash if it is one. If
-// a lease may still be valid, it reports a violated invariant and gives up
-// nothing.
+// the evidence is leaseLapsed but a lease may still be valid, it reports a
+// violated invariant and gives up nothing.
 func (d *Dispatcher) loseAll(now unit.Instant, w *worker, e evidence) {
 	if w.crashed(now, e) {
 		d.countCrashes(now, w)
@@ -120,9 +120,10 @@
 // after a conflicting incarnation was last listed, if there was one.
 func (w *worker) confirmed() bool { return w.syncedAsOf > w.rivalSeenAt }
 
-// resolveContest processes an answer of a worker that has conflicts. A conflicting
-// worker is an earlier incarnation if its last answer arrived before the order
-// was sent that this worker has answered.
+// resolveContest processes an answer of a worker that has conflicts, to an
+// order that was sent at syncedAsOf. A conflicting worker is an earlier
+// incarnation if its last answer arrived before that, or if it has the same
+// name and this owner learned of it before that.
 func (d *Dispatcher) resolveContest(now unit.Instant, w *worker) {
 	if w.rivalSeenAt == 0 {
 		return
--- a/core/dispatch/loss.go
+++ b/core/dispatch/loss.go
@@ -37,8 +37,8 @@
 	return age.Seconds() * r.cores()
 }
 
-// lostByStopping returns the core-seconds that are lost when a run, and so its gang, is
-// stopped.
+// lostByStopping returns the core-seconds of work that are lost when a run, and
+// so its gang, is stopped.
 func (d *Dispatcher) lostByStopping(now unit.Instant, r *run) float64 {
 	if !r.step.step.Gang {
 		return r.unsaved(now, d.config.CheckpointInterval)
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -22,15 +22,15 @@
 	return false
 }
 
-// SetIncarnations sets which workers are the present incarnations of machines, for
-// workers whose entry in the list names no machine.
-func (d *Dispatcher) SetIncarnations(now unit.Instant, lives []Incarnation) {
-	for _, l := range lives {
-		w := d.listedByName(l.Worker)
-		if w == nil || w.Machine == l.Machine {
+// SetIncarnations sets which workers are the present incarnations of machines,
+// for workers whose entry in the list names no machine.
+func (d *Dispatcher) SetIncarnations(now unit.Instant, incarnations []Incarnation) {
+	for _, x := range incarnations {
+		w := d.listedByName(x.Worker)
+		if w == nil || w.Machine == x.Machine {
 			continue
 		}
-		w.Machine = l.Machine
+		w.Machine = x.Machine
 		d.contest(now, w)
 		d.noteMachineBack(w)
 	}
@@ -47,10 +47,10 @@
 	return nil
 }
 
-// incarnationOn returns the worker that is the present incarnation of a machine, or
-// nil. Of the listed ones it is the one that answered last, since the list may
-// still have the entry of an earlier incarnation. One that has answered but no
-// longer does is the present one too, if it has no rival.
+// incarnationOn returns the worker that is the present incarnation of a
+// machine, or nil. Of the listed ones it is the one that answered last, since
+// the list may still have the entry of an earlier incarnation. One that has
+// answered but no longer does is the present one too, if it has no rival.
 func (d *Dispatcher) incarnationOn(m id.Machine) *worker {
 	var present *worker
 	for _, w := range d.workersByID {
@@ -62,8 +62,8 @@
 	return present
 }
 
-// unconfirmIncarnations requests new answers from the incarnations of a machine that
-// was taken down: one that answers now is the next incarnation, or the
+// unconfirmIncarnations requests new answers from the incarnations of a machine
+// that was taken down: one that answers now is the next incarnation, or the
 // maintenance was done before. An entry in the list proves nothing.
 func (d *Dispatcher) unconfirmIncarnations(now unit.Instant, m id.Machine) {
 	for _, w := range d.workersByID {
--- a/core/dispatch/message.go
+++ b/core/dispatch/message.go
@@ -30,8 +30,8 @@
 	Ticket string
 	// Until is when the lease of all runs on the worker ends, by its clock.
 	Until fleet.ClockReading
-	// MayHaveStarted is set if an earlier copy of the start order may have been carried
-	// out.
+	// MayHaveStarted is set if an earlier copy of the start order may have been
+	// carried out.
 	MayHaveStarted bool
 }
 
@@ -77,7 +77,8 @@
 	// Until is the new end of the lease, by the worker's clock; 0 leaves the
 	// lease unchanged.
 	Until fleet.ClockReading
-	// AckedEnd is the sequence number of the last end that the worker may forget.
+	// AckedEnd is the sequence number of the last end that the worker may
+	// forget; 0 for none.
 	AckedEnd uint64
 	// Wait is how long the worker may delay its answer until a run ends.
 	Wait time.Duration
@@ -116,8 +117,8 @@
 	Ask     Ask
 	Verdict fleet.Verdict
 	Permits []Permit
-	// ValidFor is how long the permits are valid from the answer on, Sent when the
-	// question was sent.
+	// ValidFor is how long the permits are valid from the answer on. Sent is
+	// when the question was sent.
 	ValidFor time.Duration
 	Sent     unit.Instant
 }
@@ -138,7 +139,8 @@
 	Verdict fleet.Verdict
 }
 
-// Incarnation is the name under which the present incarnation of a machine began.
+// Incarnation identifies the present incarnation of a machine by the worker
+// name under which it began.
 type Incarnation struct {
 	Machine id.Machine
 	Worker  id.WorkerName
--- a/core/dispatch/note.go
+++ b/core/dispatch/note.go
@@ -33,8 +33,9 @@
 	// raise the fence any more.
 	EventOwnerFenced Event = "owner-fenced"
 	// EventLeasesWithheld: another host may be the owner, so that no lease is
-	// extended and nothing starts; the age is the time since no other host was
-	// the owner for certain. EventLeasesGranted: leases are extended again.
+	// extended and nothing starts; the age is how long ago it was last certain
+	// that no other host was the owner. EventLeasesGranted: leases are extended
+	// again.
 	EventLeasesWithheld Event = "leases-withheld"
 	EventLeasesGranted  Event = "leases-granted"
 	// EventDomainEvacuated: the operator has evacuated a failure domain; why
@@ -82,8 +83,8 @@
 	// where nothing else starts until the task has run for a while; why says
 	// what else runs there.
 	EventTaskIsolated Event = "task-isolated"
-	// EventTaskVanished: a worker no longer lists a run; the age is the
-	// answer's.
+	// EventTaskVanished: a worker no longer lists a run; the age is the time
+	// since the answered renewal was sent.
 	EventTaskVanished Event = "task-vanished"
 	// EventAdviceAsked: the advice service is asked about a step; the estimate
 	// is how long it takes.
@@ -96,10 +97,11 @@
 	// EventWaveSeen: the operator requests a wave of maintenance; the estimate
 	// is the time that is left for it.
 	EventWaveSeen Event = "wave-seen"
-	// EventUpkeepBegins: the maintenance of a machine begins: it is drained,
-	// ordered down or refused.
+	// EventUpkeepBegins: the maintenance of a machine begins: it gets no new
+	// tasks, and is emptied.
 	EventUpkeepBegins Event = "upkeep-begins"
-	// EventUpkeepOrdered: a machine is ordered down.
+	// EventUpkeepOrdered: an order to take a machine down is sent, for the
+	// first time or again.
 	EventUpkeepOrdered Event = "upkeep-ordered"
 	// EventUpkeepAnswered: the result of such an order; why is the verdict.
 	EventUpkeepAnswered Event = "upkeep-answered"
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// reconcile compares the runs that a worker reports with those that are placed on
-// it.
+// reconcile compares the runs that a worker reports with those that are placed
+// on it.
 func (d *Dispatcher) reconcile(now unit.Instant, w *worker, res RenewResult, ended map[job.TaskID]bool) {
 	listed := map[job.TaskID]bool{}
 	for _, x := range res.Report.Running {
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -8,7 +8,7 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Speed control of best-effort runs (Step.Fills), which use the capacity that
+// Speed control of best-effort runs (Step.UsesIdleCPU), which use the capacity that
 // serving tasks on the same worker leave idle. Each worker that has both is a
 // control loop of its own: its input is the worst tail latency of its serving
 // tasks as a fraction of their target, its output the speed of all its
@@ -39,8 +39,8 @@
 	interferenceWeight = 8
 )
 
-// bestEffort reports whether a run is best-effort: it uses only capacity that others
-// leave idle.
+// bestEffort reports whether a run is best-effort: it uses only capacity that
+// others leave idle.
 func (r *run) bestEffort() bool { return r.step != nil && r.step.step.UsesIdleCPU }
 
 // isServing reports whether a run serves requests with a target latency.
@@ -48,12 +48,12 @@
 
 // hasMixedLoad reports whether best-effort and serving runs share the worker.
 func (w *worker) hasMixedLoad() bool {
-	filling, serving := false, false
+	bestEffort, serving := false, false
 	for _, r := range w.runs {
-		filling = filling || r.bestEffort()
+		bestEffort = bestEffort || r.bestEffort()
 		serving = serving || r.isServing()
 	}
-	return filling && serving
+	return bestEffort && serving
 }
 
 // interferencePenalty is added to the leftover of a placement on a worker for
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// stopResendFactor times the time that a stop may take is when a run that is
-	// still listed is ordered to stop again.
+	// stopResendFactor times Config.StopTime is how long after its worker
+	// confirmed the stop a run that is still listed is ordered to stop again.
 	stopResendFactor = 3
 	// resendAfter is when an order without an answer is repeated. Workers
 	// answer within a few milliseconds.
@@ -21,8 +21,8 @@
 	// forever with a worker that ignores orders to start.
 	startTimeout   = 4 * time.Second
 	minStartOrders = 5
-	// renewWait is how long a renewal may wait at the worker for news; the
-	// platform allows 2 s.
+	// renewWait is how long a worker may delay its answer to a renewal until a
+	// run ends; the platform allows 2 s.
 	renewWait = 2 * time.Second
 	// renewTimeout is how long after its wait a renewal without an answer counts
 	// as lost. It is the timeout of the platform's client.
@@ -72,8 +72,8 @@
 	d.failCrashedJobs(now)
 	d.expire(now)
 	d.advanceWaves(now)
-	// Otherwise each order would be withdrawn again, at the cost of a record
-	// and a run number.
+	// If tasks were placed while none may start, each placement would be
+	// withdrawn again, at the cost of a record and a run number.
 	if d.mayStart(now) {
 		d.placeAll(now)
 	}
@@ -132,7 +132,8 @@
 		case r.state == runStarting && r.startIgnored(now):
 			d.stopWithGang(now, r, "its worker answers renewals, but not its orders to start")
 			d.countUnansweredStart(now, r)
-		case r.state == runStarting && r.inheritedFrom == "" && now.Sub(r.startSentAt) >= resendAfter && w.syncedAsOf != 0 && w.answeredLately(now) && d.mayStart(now) && !r.blockedByEvacuation():
+		case r.state == runStarting && r.inheritedFrom == "" && now.Sub(r.startSentAt) >= resendAfter && w.syncedAsOf != 0 &&
+			w.responsive(now) && d.mayStart(now) && !r.blockedByEvacuation():
 			d.orderStart(now, r)
 		case r.state == runStopping && r.stopConfirmedAt == 0 && now.Sub(r.stopSentAt) >= resendAfter:
 			d.orderStop(now, r)
@@ -144,7 +145,8 @@
 // too long, although its worker answered a renewal that was sent after the
 // first of them.
 func (r *run) startIgnored(now unit.Instant) bool {
-	return r.startUnanswered && r.startedAt == 0 && r.startOrders >= minStartOrders && now.Sub(r.knownSince) >= startTimeout && r.worker.syncedAsOf > r.knownSince
+	return r.startUnanswered && r.startedAt == 0 && r.startOrders >= minStartOrders && now.Sub(r.knownSince) >= startTimeout &&
+		r.worker.syncedAsOf > r.knownSince
 }
 
 // hasUnconfirmed reports whether some order for a run on the worker may have to
@@ -206,10 +208,11 @@
 		w.firstRenewalAt = now
 	}
 	o := Renew{Target: d.target(w), AckedEnd: w.endsToAck(now)}
-	if len(w.runs) > 0 && w.answeredLately(now) && d.mayGrantLeases(now) {
+	if len(w.runs) > 0 && w.responsive(now) && d.mayGrantLeases(now) {
 		o.Until, w.renewalLeaseExpiry = d.lease(now, w), d.maxLeaseExpiry(now)
 	}
-	if w.syncedAsOf != 0 && w.lastEndSeen == w.lastEndStored && len(w.runs) > 0 && w.answeredLately(now) && !w.renewalUnanswered && !w.needsPromptAnswer() && !w.hasForgettableEnds() {
+	if w.syncedAsOf != 0 && w.lastEndSeen == w.lastEndStored && len(w.runs) > 0 && w.responsive(now) &&
+		!w.renewalUnanswered && !w.needsPromptAnswer() && !w.hasForgettableEnds() {
 		o.Wait = renewalWait(d.config.MaxLease)
 		// After a renewal that grants no lease, the next one may grant one, and
 		// must be sent before a lease of 6 s has expired.
@@ -225,7 +228,7 @@
 	}
 	if d.config.MaxWaitingRenewals > 0 && d.waitingRenewals >= d.config.MaxWaitingRenewals {
 		// Renewals to other workers use all the connections that may wait for
-		// news, so this worker is polled instead.
+		// a report, so this worker is polled instead.
 		o.Wait = 0
 	}
 	if o.Wait > 0 {
@@ -236,10 +239,11 @@
 	d.orders.Renews = append(d.orders.Renews, o)
 }
 
-// answeredLately reports whether the worker has answered recently, or was first asked
-// recently. Only then do orders extend its lease: a worker that never answers
-// would otherwise keep its lease indefinitely.
-func (w *worker) answeredLately(now unit.Instant) bool {
+// responsive reports whether the worker has answered, or this owner's first
+// renewal was sent to it, within unresponsiveAfter. Only then do orders extend
+// its lease: a worker that never answers would otherwise keep its lease
+// indefinitely.
+func (w *worker) responsive(now unit.Instant) bool {
 	return now.Sub(max(w.lastAnswerAt, w.firstRenewalAt)) < unresponsiveAfter
 }
 
@@ -252,8 +256,8 @@
 	return len(w.runs) > 0 || w.lastEndStored > w.lastEndAcked || w.listed && !w.confirmed()
 }
 
-// renewalWait returns how long a renewal may wait for news under leases of this
-// length. After an answered renewal two in a row may be lost, of which the
+// renewalWait returns how long a renewal may wait at the worker under leases of
+// this length. After an answered renewal two in a row may be lost, of which the
 // second doesn't wait, before the lease expires.
 func renewalWait(lease time.Duration) time.Duration {
 	spare := scale(lease, leaseShare) - 2*renewTimeout
@@ -261,15 +265,15 @@
 }
 
 // hasForgettableEnds reports whether the worker must be told which ends it may
-// forget, by this renewal or the next one. Such a renewal doesn't wait for
-// news: until it is answered, the worker's next incarnation may receive it
+// forget, by this renewal or the next one. Such a renewal doesn't wait at the
+// worker: until it is answered, the worker's next incarnation may receive it
 // instead, and then gets no tasks for as long as orders may arrive late.
 func (w *worker) hasForgettableEnds() bool {
 	return fleet.HasStart(w.ID) && w.lastEndStored > w.lastEndAcked
 }
 
 // needsPromptAnswer reports whether a renewal to the worker must be answered
-// without waiting for news.
+// at once.
 func (w *worker) needsPromptAnswer() bool {
 	if w.syncedAsOf < w.pausedAt || !w.confirmed() {
 		return true
@@ -291,9 +295,9 @@
 	return w.listed && !w.Draining && !w.awaitingUpkeep && !w.evacuated && w.confirmed() && now >= w.pausedUntil && w.healthy(now)
 }
 
-// healthy reports whether a worker is idle, or answers.
+// healthy reports whether a worker is idle or responsive.
 func (w *worker) healthy(now unit.Instant) bool {
-	return len(w.runs) == 0 || w.answeredLately(now)
+	return len(w.runs) == 0 || w.responsive(now)
 }
 
 // nearData reports whether a worker is where the step's data is.
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -35,7 +35,7 @@
 	for _, c := range candidates {
 		allowed := d.startsLeft(len(c.waiting), c.step.step.Gang)
 		if allowed == 0 {
-			d.note(Note{Event: EventStartsBounded, Job: c.step.job.id, Why: fmt.Sprintf("%d starts under way", d.window.pendingStarts)})
+			d.note(Note{Event: EventStartsBounded, Job: c.step.job.id, Why: fmt.Sprintf("%d starts are pending", d.window.pendingStarts)})
 			return
 		}
 		c.waiting = c.waiting[:allowed]
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -130,8 +130,8 @@
 	return found
 }
 
-// updateCounts makes a change after which a worker may be empty or no longer empty,
-// and updates the counts of the pass.
+// updateCounts makes a change after which a worker may be empty or no longer
+// empty, and updates the counts of the pass.
 func (w *worker) updateCounts(change func()) {
 	before := w.empty()
 	change()
--- a/core/dispatch/preempt.go
+++ b/core/dispatch/preempt.go
@@ -16,16 +16,17 @@
 	// stopCost is added for each run that is stopped, in core-seconds, so that
 	// among choices that lose little work the one with the fewest stops wins.
 	stopCost = 1
-	// minHorizon and maxHorizon bound how far ahead room is reserved for a gang
-	// that no run is stopped for; the time doubles in between. maxWaitingClaims
-	// bounds how many gangs have such a reservation at a time, because reserved
-	// room lies idle.
+	// minHorizon and maxHorizon bound how far ahead room is reserved for a step,
+	// such as a gang, that no run is stopped for; the time doubles in between.
+	// maxWaitingClaims bounds how many steps have such a reservation at a time,
+	// because reserved room lies idle.
 	minHorizon       = time.Second
 	maxHorizon       = 8 * time.Second
 	maxWaitingClaims = 2
-	// fewerDivisor sets by which part of the waiting tasks their number is
-	// lowered until there can be room for the rest. fewerInterval is the least
-	// time between two such searches, which take longer than a pass.
+	// fewerDivisor is the divisor of the number of waiting tasks that yields how
+	// many of them are left out at a time, until there can be room for the rest.
+	// fewerInterval is the least time between two such searches, which take
+	// longer than a pass.
 	fewerDivisor  = 4
 	fewerInterval = 200 * time.Millisecond
 )
@@ -40,7 +41,7 @@
 		return
 	}
 	if !urgent {
-		d.claimForGang(now, c, fits)
+		d.claimSoonestRoom(now, c, fits)
 		return
 	}
 	if !d.policy.Preempt {
@@ -81,9 +82,10 @@
 	return assignment{}, false
 }
 
-// claimForGang reserves room for a gang where enough of it will be free
-// soonest, so that smaller work doesn't take it bit by bit.
-func (d *Dispatcher) claimForGang(now unit.Instant, c candidate, fits []*worker) {
+// claimSoonestRoom reserves room for all waiting tasks of a step, such as a
+// gang, where enough of it will be free soonest, so that smaller work doesn't
+// take it bit by bit.
+func (d *Dispatcher) claimSoonestRoom(now unit.Instant, c candidate, fits []*worker) {
 	if !d.policy.KeepGangRoom || d.longRunningWaits[c.step.job.spec.Service] {
 		return
 	}
--- a/core/dispatch/room.go
+++ b/core/dispatch/room.go
@@ -30,7 +30,7 @@
 		return
 	}
 	d.placedRuns--
-	// Its order may still be under way.
+	// Its start order may still be in flight.
 	r.worker.grantedLeaseExpiry = max(r.worker.grantedLeaseExpiry, r.startLeaseExpiry)
 	r.recordLateStart()
 	r.worker.updateCounts(func() { r.worker.runs.remove(r.task) })
@@ -128,9 +128,9 @@
 	return n <= 0
 }
 
-// overcommitted reports whether runs take more than a worker's capacity, because it
-// has shrunk since they were placed. The capacity of a worker that isn't listed
-// is unknown.
+// overcommitted reports whether runs take more than a worker's capacity,
+// because it has shrunk since they were placed. The capacity of a worker that
+// isn't listed is unknown.
 func (w *worker) overcommitted() bool { return w.listed && !w.used.Fits(w.Capacity) }
 
 // free returns the capacity that neither runs nor reservations take. It is
--- a/core/dispatch/script_test.go
+++ b/core/dispatch/script_test.go
@@ -23,7 +23,7 @@
 //	worker NAME[@START] rack=R [domain=D] [gpus=8] [service=S]
 //	    [draining=DURATION] [machine=M]
 //	                         adds an entry to the list of workers
-//	unlist NAME              removes one from it
+//	unlist NAME              removes an entry from the list of workers
 //	job NAME [priority=N] [count=N] [gpus=N] [gang] [samerack] [saves] [lasts]
 //	    [attempts=N] [label=L] [data=RACK] [apart=N] [maymiss=N] [estimate=D]
 //	    [twosteps] [ahead=D, of the clock that accepted it]
@@ -41,8 +41,8 @@
 //	renew WORKER VERDICT [by WORKER, the incarnation that answered] [in-part]
 //	    [run TASK RUN PERCENT[:LOAD]]... [end N TASK RUN HOW]...
 //	                         answers the last renewal
-//	mostwaits N              starts another owner, whose renewals may wait for
-//	                         news at N workers at a time
+//	mostwaits N              starts another owner, whose renewals may wait at N
+//	                         workers at a time
 //	waits WORKER D           checks how long the last renewal may wait there
 //	advised VERDICT [valid=D] [WORKER=TICKET]...
 //	                         answers the oldest open question to the advice
@@ -52,8 +52,8 @@
 //	                         requests maintenance as the operator
 //	evacuate [DOMAIN]...     evacuates these failure domains as the operator, and
 //	                         opens all others
-//	bound D                  starts another owner, in a deployment that lets tasks
-//	                         start at most D after an evacuation
+//	bound D                  starts another owner, in a deployment that lets
+//	                         tasks start at most D after an evacuation
 //	informed D               sets how old the owner's knowledge of evacuations is
 //	upkeep MACHINE VERDICT   answers the last order to take that machine down
 //	lease D                  starts another owner, in a deployment with leases of
@@ -112,7 +112,7 @@
 	// lease is the longest lease if it differs from that of config, evacuation
 	// how long after an evacuation a task may still start.
 	lease, evacuation time.Duration
-	// mostWaits is how many renewals may wait for news at a time; 0 for any
+	// mostWaits is how many renewals may wait at workers at a time; 0 for any
 	// number.
 	mostWaits int
 	// lines are the orders since the last command.
--- a/core/dispatch/stall.go
+++ b/core/dispatch/stall.go
@@ -16,9 +16,9 @@
 	// progress to be stopped. A run of 2.5 s gains a percent every 25 ms, one
 	// of a minute every 0.6 s.
 	urgentStallTime = 900 * time.Millisecond
-	// patientStallTime is the same for other runs. They can wait for their
+	// nonUrgentStallTime is the same for other runs. They can wait for their
 	// workers to recover, and stopping them throws more work away.
-	patientStallTime = 6 * time.Second
+	nonUrgentStallTime = 6 * time.Second
 	// minLeadPercent is how many percentage points another member of the gang
 	// must be ahead. The speeds of members' workers differ by a factor of up to
 	// 1.5. In a run of 2.5 s, the lead corresponds to more than half a second.
@@ -33,8 +33,8 @@
 	// maxStallStops is how many runs of one task, or gang, are stopped for lack
 	// of progress. After that, the lack is assumed to be normal for the task.
 	maxStallStops = 2
-	// urgentRenewWait replaces renewWait on a worker with an urgent run: progress is
-	// only seen when answers arrive.
+	// urgentRenewWait replaces renewWait on a worker with an urgent run:
+	// progress becomes known only when answers arrive.
 	urgentRenewWait = time.Second
 )
 
@@ -117,7 +117,7 @@
 	if s.job.spec.Priority == 0 {
 		return urgentStallTime
 	}
-	return patientStallTime
+	return nonUrgentStallTime
 }
 
 // workingSince returns when a run began to work; for a member of a gang, that
@@ -179,7 +179,8 @@
 	return working >= 2 && shows
 }
 
-// runsUrgentWork reports whether an urgent run is at work on a worker.
+// runsUrgentWork reports whether an urgent run that isn't long-running is
+// running on a worker.
 func (w *worker) runsUrgentWork() bool {
 	for _, r := range w.runs {
 		if r.step != nil && r.step.job.spec.Priority == 0 && !r.step.step.LongRunning && r.state == runRunning {
--- a/core/dispatch/starved_test.go
+++ b/core/dispatch/starved_test.go
@@ -8,18 +8,18 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// TestGangBesideUrgentStarts guards against a gang that the window of starts
-// under way never lets start.
+// TestGangBesideUrgentStarts guards against a gang that the window of pending
+// starts never lets start.
 //
 // Answers to starts take 300 ms, so that the window falls to its minimum of 24,
-// and urgent tasks keep a few starts under way all the time. The gang of 40 is
+// and urgent tasks keep a few starts pending all the time. The gang of 40 is
 // larger than the free part of the window. If it has to wait until no start is
-// under way, it never starts, because more urgent work keeps starting, and
+// pending, it never starts, because more urgent work keeps starting, and
 // neither does anything behind it.
 //
 // With the fault, none of the 40 members and of the 10 tasks behind them have
-// begun after 60 s, while 20 urgent ones a second have. With answers within 200
-// ms, all have ended within 20 s.
+// begun after 60 s, while 20 urgent ones a second have. With answers within
+// 200 ms, all have ended within 20 s.
 func TestGangBesideUrgentStarts(t *testing.T) {
 	const (
 		workers, gang, behind = 60, 40, 10
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -53,8 +53,8 @@
 	open int
 	// knownSince is when this owner learned of the job.
 	knownSince unit.Instant
-	// failedAtOnceOn holds the workers on which a run of the job failed right after its
-	// start.
+	// failedAtOnceOn holds the workers on which a run of the job failed right
+	// after its start.
 	failedAtOnceOn []id.Worker
 	// guaranteeAtRisk is set once a note says that the customer's guarantee
 	// can't be met for the job.
@@ -85,8 +85,8 @@
 	step  *job.Step
 	// base is the index of the step's first task in the job's progress.
 	base int
-	// done counts the tasks that are done. counted is set once the job's count
-	// of open steps was decremented for the step.
+	// done counts the tasks that are done. doneCounted is set once the job's
+	// count of open steps was decremented for the step.
 	done        int
 	doneCounted bool
 	// failedRun is the last run of the gang that was counted as failed.
@@ -102,16 +102,16 @@
 	// partialTriedAt is when room for only a part of the waiting tasks was last
 	// sought.
 	partialTriedAt unit.Instant
-	// lastFailures holds the latest failure of each task by its index, and that of
-	// a gang under 0.
+	// lastFailures holds the latest failure of each task by its index, and that
+	// of a gang under 0.
 	lastFailures map[int]failure
 	// showsProgress is set once a run of the step has reported progress.
 	showsProgress bool
-	// stallStops counts the runs of each task that were stopped because they made
-	// no progress, with the same keys as failures.
+	// stallStops counts the runs of each task that were stopped because they
+	// made no progress, with the same keys as lastFailures.
 	stallStops map[int]int
-	// excusedCrashes counts the crashes soon after a start that this owner didn't hold
-	// against a task, by task index.
+	// excusedCrashes counts the crashes soon after a start that this owner
+	// didn't hold against a task, by task index.
 	excusedCrashes map[int]int
 	// permits holds the answer of the advice service for each worker.
 	permits map[id.Worker]permit
@@ -127,52 +127,54 @@
 	state  runState
 	worker *worker
 	need   job.Resources
-	// isolationReserve is room beside the run that is kept empty: what was free on its
-	// worker when a task suspected of crashing workers was placed there.
+	// isolationReserve is the room beside the run that is kept empty: all that
+	// was free on its worker when a task suspected of crashing workers was
+	// placed there, or when the worker's capacity last changed.
 	isolationReserve job.Resources
 	// step is nil if the job is no longer known; such a run is stopped.
 	step *stepState
-	// knownSince is when the start order was first sent, or when this owner first
-	// learned of the run.
+	// knownSince is when the start order was first sent, or when this owner
+	// first learned of the run.
 	knownSince unit.Instant
 	// startedAt is when the worker confirmed the start; 0 before.
 	startedAt  unit.Instant
 	checkpoint string
 	percent    int
 	// reportedAt is when the worker last reported checkpoint and percent,
-	// advanced when percent last increased.
+	// progressAt when percent last increased.
 	reportedAt, progressAt unit.Instant
 	// load is the worker's load figure of the run: the tail latency of a
 	// serving task in milliseconds, the processor time in use of any other.
 	load int64
-	// slowdownPercent is the share of its full speed, in percent, that the run was last
-	// ordered to give up to others; 0 at full speed.
+	// slowdownPercent is the share of its full speed, in percent, that the run
+	// was last ordered to give up to others; 0 at full speed.
 	slowdownPercent int
-	// stopSentAt is when the last stop order was sent, stopDone when the worker
-	// confirmed a stop; 0 if it hasn't, or if the order is due again.
+	// stopSentAt is when the last stop order was sent, stopConfirmedAt when the
+	// worker confirmed a stop; 0 if it hasn't, or if the order is due again.
 	stopSentAt      unit.Instant
 	stopConfirmedAt unit.Instant
-	// missingAt is when a report arrived that didn't list the run; 0 if the latest
-	// report lists it.
+	// missingAt is when a report arrived that didn't list the run; 0 if the
+	// latest report lists it.
 	missingAt unit.Instant
-	// startSentAt is when the last start order was sent, orders how many were sent.
+	// startSentAt is when the last start order was sent, startOrders how many
+	// were sent.
 	startSentAt unit.Instant
 	startOrders int
-	// startLeaseExpiry is when the lease of a start order in flight has expired for
-	// certain; 0 if none is in flight. lateStartLeaseExpiry is the same for
+	// startLeaseExpiry is when the lease of a start order in flight has expired
+	// for certain; 0 if none is in flight. lateStartLeaseExpiry is the same for
 	// unanswered start orders that the next incarnation under the worker's name
 	// may still carry out.
 	startLeaseExpiry, lateStartLeaseExpiry unit.Instant
 	// inFlight is set while an order for the run has no verdict.
 	inFlight bool
-	// startUnanswered is set once a start order has got no answer: the worker may
-	// carry it out seconds later.
+	// startUnanswered is set once a start order has got no answer: the worker
+	// may carry it out seconds later.
 	startUnanswered bool
-	// fromEarlierOwner is set for a run that an earlier owner ordered; its start time
-	// isn't known.
+	// fromEarlierOwner is set for a run that an earlier owner ordered; its
+	// start time isn't known.
 	fromEarlierOwner bool
-	// inheritedFrom is the incarnation that the run was placed on, while it isn't
-	// known whether the next incarnation under the name has the run; else
+	// inheritedFrom is the incarnation that the run was placed on, while it
+	// isn't known whether the next incarnation under the name has the run; else
 	// empty.
 	inheritedFrom id.Worker
 	// stopReason is the reason, for the log, why the run is stopped.
@@ -193,7 +195,8 @@
 // worker is one incarnation of a worker. Four terms say what is known of its
 // answers, from the weakest on: answered, it sent any answer; synced, it
 // reported its runs; confirmed, it did so after a rival incarnation became
-// known; heard, it answered recently enough for orders to extend its lease.
+// known; responsive, it answered recently enough for orders to extend its
+// lease.
 type worker struct {
 	fleet.Listing
 	// name is the name that this incarnation began under. Other incarnations
@@ -206,19 +209,19 @@
 	// awaitingUpkeep is set while the worker's machine is about to go down for
 	// maintenance, evacuated while its failure domain is evacuated.
 	awaitingUpkeep, evacuated bool
-	// fenceRevision is the raise number of the fence under which orders to the worker
-	// are sent; it never decreases. changeSent is set once an order that starts
-	// a run, grants a lease or lets the worker forget ends may have been sent
-	// under it.
+	// fenceRevision is the revision of the fence under which orders to the
+	// worker are sent; it never decreases. changeSent is set once an order that
+	// starts a run, grants a lease or lets the worker forget ends may have been
+	// sent under it.
 	fenceRevision id.FenceRevision
 	changeSent    bool
 	// knownSince is when this owner learned of the worker.
 	knownSince unit.Instant
 	// listed is set while the platform's list contains the worker.
 	listed bool
-	// drainEndsAt is when a draining worker may be gone; leavesAt is the least
-	// reading of the worker's own clock at that time, or 0 if its entry has no
-	// clock.
+	// drainEndsAt is when a draining worker may be gone. drainEndClock is the
+	// least reading of the worker's own clock at that time, or 0 if its entry
+	// has no clock.
 	drainEndsAt   unit.Instant
 	drainEndClock fleet.ClockReading
 	// used is the part of the capacity that runs take, reserved the part that
@@ -228,26 +231,28 @@
 	// clockAt is the earliest time at which the worker's clock can have shown
 	// Clock.
 	clockAt unit.Instant
-	// lastAnswerAt is when its last answer arrived, firstAsked when this owner's
-	// first renewal was sent; 0 for never.
+	// lastAnswerAt is when its last answer arrived, firstRenewalAt when this
+	// owner's first renewal was sent; 0 for never.
 	lastAnswerAt, firstRenewalAt unit.Instant
-	// lastEndSeen is the sequence number of the last end that was taken in, durable
-	// that of the last end whose record is in the store, told that of the last
-	// end that the worker was told to forget.
+	// lastEndSeen is the sequence number of the last end that was processed,
+	// lastEndStored that of the last end whose record is in the store,
+	// lastEndAcked that of the last end that an answered renewal let the worker
+	// forget.
 	lastEndSeen, lastEndStored, lastEndAcked uint64
 	// pacedAt is when the speed of the runs that use spare capacity was last
 	// changed.
 	pacedAt unit.Instant
-	// syncedAsOf is when the latest renewal was sent that the worker answered under
-	// the present epoch; 0 if there is none that counts. toldClock is the
-	// worker's clock in that answer, 0 if it had none.
+	// syncedAsOf is when the latest renewal was sent that the worker answered
+	// under the present epoch; 0 if there is none that counts. syncedClock is
+	// the worker's clock in that answer, 0 if it had none.
 	syncedAsOf  unit.Instant
 	syncedClock fleet.ClockReading
 	// syncRequestedAt is when a new report was last requested; answers to
 	// renewals that were sent before don't count.
 	syncRequestedAt unit.Instant
-	// renewalInFlight is set while a renewal is in flight, waits if that renewal waits
-	// at the worker for a report. nextHold is when the next renewal is due.
+	// renewalInFlight is set while a renewal is in flight, renewalWaits if that
+	// renewal may wait at the worker until a run ends. nextRenewal is when the
+	// next renewal is due.
 	renewalInFlight bool
 	renewalWaits    bool
 	nextRenewal     unit.Instant
@@ -258,14 +263,15 @@
 	// firstLossAt is when a renewal first got no answer after the worker's last
 	// answer; 0 if none did.
 	firstLossAt unit.Instant
-	// renewalUnanswered is set if the last renewal got no answer. The next one
-	// doesn't wait for a report, so that its loss is noticed 2 s earlier.
+	// renewalUnanswered is set if the last renewal may have reached the worker
+	// but got no answer. The next one doesn't wait at the worker, so that its
+	// loss is noticed 2 s earlier.
 	renewalUnanswered bool
 	// lateStarts holds the start orders of runs that are over, of which a copy
-	// recently got no answer. toldStray is when the last unanswered renewal was
-	// sent that told the worker to forget ends; 0 for never. The next
-	// incarnation under the name may carry out either. strayUntil is when every
-	// lease has expired there for certain that an unanswered order may grant.
+	// recently got no answer. lateAckAt is when the last unanswered renewal was
+	// sent that let the worker forget ends; 0 for never. The next incarnation
+	// under the name may carry out either. lateLeaseExpiry is when every lease
+	// has expired there for certain that an unanswered order may grant.
 	lateStarts                 []lateStart
 	lateAckAt, lateLeaseExpiry unit.Instant
 	// pausedUntil is until when the worker gets no new tasks, pausedAt when
@@ -277,12 +283,12 @@
 	// again.
 	rivalSeenAt unit.Instant
 	replaced    bool
-	// grantedLeaseExpiry is when every lease that may have been granted has expired
-	// for certain, renewalLapse the same for the renewal in flight; 0 if that
-	// grants none.
+	// grantedLeaseExpiry is when every lease that may have been granted has
+	// expired for certain. renewalLeaseExpiry is the same for the renewal in
+	// flight; 0 if that grants none.
 	grantedLeaseExpiry, renewalLeaseExpiry unit.Instant
-	// failureStreak counts the failed runs of different jobs since the last success;
-	// lastFailed is the job of the latest one.
+	// failureStreak counts the failed runs of different jobs since the last
+	// success; lastFailedJob is the job of the latest one.
 	failureStreak int
 	lastFailedJob id.Job
 }
@@ -290,8 +296,9 @@
 // sorted returns a copy of the worker's runs, for loops that change the set.
 func (w *worker) sorted() runSet { return slices.Clone(w.runs) }
 
-// startGroup returns the states of the tasks that start and end together with the
-// one at index: its whole gang, or the task alone. The job must have progress.
+// startGroup returns the states of the tasks that start and end together with
+// the one at index: its whole gang, or the task alone. The job must have
+// progress.
 func (s *stepState) startGroup(index int) []job.TaskState {
 	tasks := s.job.progress.Tasks[s.base : s.base+s.step.Count]
 	if s.step.Gang {
--- a/core/dispatch/suspect.go
+++ b/core/dispatch/suspect.go
@@ -25,9 +25,9 @@
 	// task, unless one more crash would fail its job. There may be no such
 	// worker in a service where every worker starts a task each second.
 	isolationMaxWait = 5 * time.Second
-	// isolationRenewWait is how long a renewal may wait for news on a worker where
-	// room is kept free beside a suspect; the answer shows that the worker has
-	// not crashed. The cost is a renewal every 100 ms for some 400 ms.
+	// isolationRenewWait is how long a renewal may wait at a worker where room
+	// is kept free beside a suspect; the answer shows that the worker has not
+	// crashed. The cost is a renewal every 100 ms for some 400 ms.
 	isolationRenewWait = 100 * time.Millisecond
 	// steadyWorkerAge is how long a worker must be known to be preferred for
 	// suspects. A worker that has just crashed by its own fault may crash
@@ -75,7 +75,7 @@
 	return false
 }
 
-// placeSuspectGang does the same for a gang, whose members may share workers.
+// placeSuspectGang is placeSuspect for a gang, whose members may share workers.
 func (d *Dispatcher) placeSuspectGang(now unit.Instant, c candidate, fits []*worker) bool {
 	for _, tier := range c.step.isolationTiers(now, 0, fits) {
 		chosen := d.chooseGang(now, c, tier.workers, d.freeRoom)
@@ -91,8 +91,8 @@
 	return false
 }
 
-// isolatesGang reports whether a candidate is a gang that is to be started apart
-// from other tasks.
+// isolatesGang reports whether a candidate is a gang that is to be started
+// apart from other tasks.
 func (d *Dispatcher) isolatesGang(now unit.Instant, c *candidate) bool {
 	return c.step.step.Gang && d.suspect(c.step, 0) && c.step.waitedSinceCrash(now, 0) < isolationMaxWait
 }
@@ -150,15 +150,15 @@
 }
 
 // setIsolationReserve reserves all room that is free on a run's worker, and
-// records it in the run's shield.
+// records it in the run.
 func (r *run) setIsolationReserve() {
 	free := r.worker.free()
 	r.isolationReserve = job.Resources{CPU: max(0, free.CPU), Memory: max(0, free.Memory), Accelerators: max(0, free.Accelerators)}
 	r.worker.used = r.worker.used.Add(r.isolationReserve)
 }
 
-// updateIsolationReserves adjusts the room reserved beside suspects on a worker whose capacity
-// or use has changed.
+// updateIsolationReserves adjusts the room reserved beside suspects on a worker
+// whose capacity has changed.
 func (w *worker) updateIsolationReserves() {
 	for _, r := range w.runs {
 		if r.isolationReserve != (job.Resources{}) {
@@ -174,7 +174,8 @@
 	r.isolationReserve = job.Resources{}
 }
 
-// hasIsolationReserve reports whether room is reserved beside some run of the worker.
+// hasIsolationReserve reports whether room is reserved beside some run of the
+// worker.
 func (w *worker) hasIsolationReserve() bool {
 	for _, r := range w.runs {
 		if r.isolationReserve != (job.Resources{}) {
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -33,8 +33,8 @@
 	// finished is set once the operator was informed that the wave has
 	// finished.
 	finished bool
-	// carriedAt holds, by machine, when the owner learned that the order to take
-	// it down was carried out.
+	// carriedAt holds, by machine, when the owner learned that the order to
+	// take it down was carried out.
 	carriedAt map[id.Machine]unit.Instant
 	// retryAt holds, by machine, when an order that got no answer is due to
 	// be repeated.
@@ -66,8 +66,8 @@
 	d.note(Note{Event: EventWaveSeen, Why: fmt.Sprintf("wave %d: %d machines, %d begun", w.Number, len(w.Machines), len(rec.Started)), Estimate: w.MaxDuration})
 }
 
-// advanceWaves advances the waves. A new owner first waits, since the previous one
-// may have ordered a machine down a moment ago.
+// advanceWaves advances the waves. A new owner first waits, since the previous
+// one may have ordered a machine down a moment ago.
 func (d *Dispatcher) advanceWaves(now unit.Instant) {
 	if len(d.waves) == 0 {
 		return
--- a/core/dispatch/window.go
+++ b/core/dispatch/window.go
@@ -23,26 +23,26 @@
 	// windowDecrease is the factor by which a slow answer reduces the window;
 	// each quick answer increases it by one.
 	windowDecrease = 0.8
-	// answeredRecently is how old a worker's last answer may be for unanswered
-	// orders to it to count as under way: older ones wait for a worker that is
-	// partitioned.
-	answeredRecently = time.Second
+	// maxAnswerAgeForPending is how old a worker's last answer may be for an
+	// unanswered start order to it to count as pending: if the answer is older,
+	// the order waits for a worker that may be partitioned.
+	maxAnswerAgeForPending = time.Second
 	// decreaseInterval is the least time between two reductions: the answers
 	// that arrive within it belong to orders that were sent under the same
 	// window.
 	decreaseInterval = 100 * time.Millisecond
 )
 
-// window bounds how many starts are under way, that is decided but without a
+// window bounds how many starts are pending, that is decided but without a
 // verdict. Beyond the bound, tasks wait without an order, so that urgent work
 // that arrives later goes first and no order is old when it is sent. The zero
-// value is not ready; call newWindow.
+// value is not ready for use; call newWindow.
 type window struct {
 	// size is between minWindow and maxWindow.
 	size float64
 	// reduced is when the size was last reduced.
 	reduced unit.Instant
-	// pendingStarts counts the starts under way in this pass.
+	// pendingStarts counts the starts that are pending in this pass.
 	pendingStarts int
 }
 
@@ -63,7 +63,7 @@
 
 // available returns how many more starts may be decided. A gang may start as a
 // whole whenever any part of the window is free. If it had to wait until all
-// its members fit into the window, or until no start was under way, it would
+// its members fit into the window, or until no start was pending, it would
 // never start beside 20 urgent tasks a second, nor would anything behind it.
 func (w *window) available(tasks int, gang bool) int {
 	free := int(w.size) - w.pendingStarts
@@ -76,8 +76,8 @@
 	return min(tasks, free)
 }
 
-// startsLeft returns how many of this many waiting tasks may be started in this
-// pass.
+// startsLeft returns how many of the given number of waiting tasks may be
+// started in this pass.
 func (d *Dispatcher) startsLeft(tasks int, gang bool) int {
 	if !d.policy.BoundStarts {
 		return tasks
@@ -85,14 +85,14 @@
 	return d.window.available(tasks, gang)
 }
 
-// pending reports whether a run counts as a start under way. If its order got
-// no answer, it counts while its worker answers others, since the order is
+// pending reports whether a run counts as a pending start. If its order got no
+// answer, it counts while its worker answers others, since the order is
 // repeated.
 func (r *run) pending(now unit.Instant) bool {
-	return r.state == runOrdered || r.state == runStarting && (r.inFlight || now.Sub(r.worker.lastAnswerAt) < answeredRecently)
+	return r.state == runOrdered || r.state == runStarting && (r.inFlight || now.Sub(r.worker.lastAnswerAt) < maxAnswerAgeForPending)
 }
 
-// countPending counts the starts under way.
+// countPending counts the pending starts.
 func (d *Dispatcher) countPending(now unit.Instant) {
 	d.window.pendingStarts = 0
 	for _, w := range d.workersByID {
--- a/core/dispatch/words_test.go
+++ b/core/dispatch/words_test.go
@@ -11,7 +11,7 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// verdict returns the verdict with a name.
+// verdict returns the verdict with the given name.
 func verdict(t *testing.T, name string) fleet.Verdict {
 	for v := fleet.Unknown; v <= fleet.Unreachable; v++ {
 		if v.String() == name {
--- a/core/dispatch/world_test.go
+++ b/core/dispatch/world_test.go
@@ -41,7 +41,7 @@
 }
 
 // newWorld returns a world with idle workers. Its owner sends its orders one at
-// a time, each taking the time sending.
+// a time; sending is how long each takes.
 func newWorld(tb testing.TB, workers int, sending time.Duration) *loadWorld {
 	return newWorldWithTrip(tb, workers, sending, worldTrip)
 }
