--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -9,7 +9,7 @@
 
 // A machine has one incarnation after the other, each a worker of its own. The
 // list may show two of them at a time, in an order that says nothing about
-// their age: most runs that were given up because of that order were still
+// their age: most runs that were given up because of that order would still be
 // running. Only answers of workers show which incarnation is current.
 
 // evidence is the reason to conclude that nothing runs any more on a worker
--- a/core/dispatch/message.go
+++ b/core/dispatch/message.go
@@ -168,8 +168,8 @@
 // Batch is a set of records for the store, and what may happen once they are
 // there.
 type Batch struct {
-	// Jobs goes to the log that every host follows, Progress to the progress
-	// log. Neither waits for the other.
+	// Jobs holds the records for the log that every host follows, Progress
+	// those for the progress log. Neither waits for the other.
 	Jobs, Progress []jobtable.Record
 	starts         []*run
 	acks           []ack
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -8,9 +8,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// Speed control of best-effort runs (Step.UsesIdleCPU), which use the capacity that
-// serving tasks on the same worker leave idle. Each worker that has both is a
-// control loop of its own: its input is the worst tail latency of its serving
+// Speed control of best-effort runs (Step.UsesIdleCPU), which use the capacity
+// that serving tasks on the same worker leave idle. Each worker that has both is
+// a control loop of its own: its input is the worst tail latency of its serving
 // tasks as a fraction of their target, its output the speed of all its
 // best-effort runs.
 const (
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -247,8 +247,8 @@
 	return now.Sub(max(w.lastAnswerAt, w.firstRenewalAt)) < unresponsiveAfter
 }
 
-// needsRenewal reports whether the worker must be asked what runs there, or
-// told which ends it may forget.
+// needsRenewal reports whether a renewal must ask the worker what runs there, or
+// acknowledge ends.
 func (w *worker) needsRenewal() bool {
 	if w.replaced {
 		return false
@@ -264,10 +264,11 @@
 	return max(minRenewWait, min(renewWait, spare/2))
 }
 
-// hasForgettableEnds reports whether the worker must be told which ends it may
-// forget, by this renewal or the next one. Such a renewal doesn't wait at the
-// worker: until it is answered, the worker's next incarnation may receive it
-// instead, and then gets no tasks for as long as orders may arrive late.
+// hasForgettableEnds reports whether this renewal or the next one must
+// acknowledge ends, which the worker may then forget. Such a renewal doesn't
+// wait at the worker: until it is answered, the worker's next incarnation may
+// receive it instead, and then gets no tasks for as long as orders may arrive
+// late.
 func (w *worker) hasForgettableEnds() bool {
 	return fleet.HasStart(w.ID) && w.lastEndStored > w.lastEndAcked
 }
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -172,9 +172,10 @@
 	return last + 1
 }
 
-// choose returns the best worker for one task: near its data if there is room
-// or the task hasn't waited long, and among those the one with the least
-// leftover. Empty workers are left out unless mayUseEmpty is set.
+// choose returns the best worker for one task, or nil. A worker near the task's
+// data comes first; another one is chosen only if mayRelax allows it. Of
+// several, the best is the one with the least leftover, penalties included.
+// Empty workers are left out unless mayUseEmpty is set.
 func (d *Dispatcher) choose(now unit.Instant, s *stepState, fits []*worker, mayUseEmpty bool) *worker {
 	var best, remote *worker
 	bestLeft, remoteLeft := 0.0, 0.0
@@ -210,8 +211,8 @@
 // mayRelax reports whether n tasks of a step may be placed where they are slow,
 // or on workers that are reserved for urgent work. Slow tasks occupy their room
 // for longer, so this is allowed for urgent work, and for other work while
-// there is ample room. Long-running tasks must run again as soon as there is
-// room for two, however much is in use.
+// there is ample room. Long-running tasks must run again whenever there is room
+// for two, however much is in use.
 func (d *Dispatcher) mayRelax(now unit.Instant, s *stepState, fits []*worker, n int) bool {
 	if s.job.spec.Priority == 0 {
 		return s.waitedFor(now, urgentRelaxWait)
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -61,8 +61,9 @@
 // empty reports whether a worker has no runs and no reservations.
 func (w *worker) empty() bool { return len(w.runs) == 0 && w.reserved == (job.Resources{}) }
 
-// mayUseEmpty reports whether a candidate may take empty workers: less urgent
-// work may not take those that are reserved.
+// mayUseEmpty reports whether a candidate may take empty workers. Less urgent
+// work may take those that are reserved only if it has to start now, or if
+// mayRelax allows it.
 func (d *Dispatcher) mayUseEmpty(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
 	return c.step.job.spec.Priority == 0 || p.spare > 0 || c.pressing(now) || d.mayRelax(now, c.step, fits, len(c.waiting))
 }
