--- a/core/election/election.go
+++ b/core/election/election.go
@@ -87,9 +87,10 @@
 	// claimedAt is when the newest claim was seen; 0 if there was none, or if the
 	// owner has released ownership since.
 	claimedAt unit.Instant
-	// ablerSince is the time of the first of the consecutive polls that show a host
-	// of handoverFactor times this host's ability; 0 if the newest poll shows none.
-	ablerSince unit.Instant
+	// candidateSince is the time of the first of the consecutive polls that show a
+	// host with at least handoverFactor times this host's ability; 0 if the newest
+	// poll shows none.
+	candidateSince unit.Instant
 	// ownedAt is when this host last became the owner; 0 if it never did.
 	ownedAt unit.Instant
 	// probes holds the results of this host's own liveness probes of the owner.
@@ -102,14 +103,14 @@
 // New returns the election of a host.
 func New(self Member) *Election { return &Election{self: self} }
 
-// ObserveGroup records a poll of the group. The owner is the host that wrote the newest
-// claim, or empty if there is none.
+// ObserveGroup records a poll of the group. The owner is the host that wrote the
+// newest claim, or empty if there is none.
 func (e *Election) ObserveGroup(now unit.Instant, members []Member, owner id.Host) {
 	if now.Sub(e.polledAt) > maxViewAge {
 		e.probes.agreedAt = 0 // this host may have been partitioned itself
 	}
 	e.members, e.polledAt = members, now
-	e.trackAbler(now)
+	e.trackCandidate(now)
 	if owner != "" && contains(members, owner) {
 		e.misses = 0
 		return
@@ -120,25 +121,25 @@
 	e.misses++
 }
 
-// LearnOwner records the owner when this host first learns of it. Earlier polls count as
-// misses because no owner was known; if the newest poll shows the owner, those
-// misses are reset.
+// LearnOwner records the owner when this host first learns of it. Earlier polls
+// count as misses because no owner was known; if the newest poll shows the owner,
+// those misses are reset.
 func (e *Election) LearnOwner(owner id.Host) {
 	if contains(e.members, owner) {
 		e.misses = 0
 	}
 }
 
-// trackAbler updates ablerSince after a poll.
-func (e *Election) trackAbler(now unit.Instant) {
-	abler := slices.ContainsFunc(e.members, func(m Member) bool {
+// trackCandidate updates candidateSince after a poll.
+func (e *Election) trackCandidate(now unit.Instant) {
+	found := slices.ContainsFunc(e.members, func(m Member) bool {
 		return float64(m.Ability) >= handoverFactor*float64(e.self.Ability) && m.Ability > 0
 	})
 	switch {
-	case !abler:
-		e.ablerSince = 0
-	case e.ablerSince == 0:
-		e.ablerSince = now
+	case !found:
+		e.candidateSince = 0
+	case e.candidateSince == 0:
+		e.candidateSince = now
 	}
 }
 
@@ -153,10 +154,10 @@
 // BecomeOwner records that this host has become the owner.
 func (e *Election) BecomeOwner(now unit.Instant) { e.ownedAt = now }
 
-// ShouldHandOver reports whether this host, as the owner, should hand ownership over to a
-// host of higher ability.
+// ShouldHandOver reports whether this host, as the owner, should hand ownership
+// over to a host of higher ability.
 func (e *Election) ShouldHandOver(now unit.Instant) bool {
-	return e.ablerSince != 0 && now.Sub(e.ablerSince) >= handoverAfter && now.Sub(e.ownedAt) >= minTenure && now.Sub(e.polledAt) <= maxViewAge
+	return e.candidateSince != 0 && now.Sub(e.candidateSince) >= handoverAfter && now.Sub(e.ownedAt) >= minTenure && now.Sub(e.polledAt) <= maxViewAge
 }
 
 // ObserveRelease records that the owner has released ownership.
--- a/core/election/silence.go
+++ b/core/election/silence.go
@@ -89,29 +89,29 @@
 	}
 }
 
-// ProbeRefused records that the owner's address refused the connection, or that another
-// incarnation of its host answered there.
+// ProbeRefused records that the owner's address refused the connection, or that
+// another incarnation of its host answered there.
 func (e *Election) ProbeRefused(owner id.Host) {
 	if e.probes.owner == owner {
 		e.probes.refused = true
 	}
 }
 
-// OwnerUnresponsive reports whether the owner is unresponsive to this host, in which case this
-// host should ask the other watchers.
+// OwnerUnresponsive reports whether the owner is unresponsive to this host, in
+// which case this host should ask the other watchers.
 func (e *Election) OwnerUnresponsive(now unit.Instant, owner id.Host) bool {
 	return e.probes.misses(now, owner, missAfter)
 }
 
-// ConfirmUnresponsive reports, in answer to another watcher, whether the owner is unresponsive
-// to this host as well.
+// ConfirmUnresponsive reports, in answer to another watcher, whether the owner is
+// unresponsive to this host as well.
 func (e *Election) ConfirmUnresponsive(now unit.Instant, owner id.Host) bool {
 	return e.probes.misses(now, owner, confirmAfter)
 }
 
-// RecordAgreement records how many other watchers miss the owner as well. It reports true
-// when the owner is first considered failed: a majority of the watchers must miss
-// it, at least one of them besides this host.
+// RecordAgreement records how many other watchers miss the owner as well. It
+// reports true when the owner is first considered failed: a majority of the
+// watchers must miss it, at least one of them besides this host.
 func (e *Election) RecordAgreement(now unit.Instant, owner id.Host, others int) bool {
 	if others == 0 || 2*(others+1) <= len(e.Watchers(owner)) || !e.OwnerUnresponsive(now, owner) {
 		return false
--- a/core/evacuation/evacuation.go
+++ b/core/evacuation/evacuation.go
@@ -20,7 +20,7 @@
 type Set struct {
 	// since has the offset of the record that evacuated each domain. Repeated
 	// evacuations of the domain leave it unchanged. For a domain that Replace
-	// has added it is the end offset of that list.
+	// has added it is the end offset that Replace was given.
 	since map[id.Domain]id.Offset
 	// next is the lowest offset that was not applied yet.
 	next id.Offset
@@ -30,7 +30,8 @@
 type Change struct {
 	Domain    id.Domain
 	Evacuated bool
-	// Since is the offset of the record or list that caused the change.
+	// Since is the offset of the record that caused the change, or the end offset
+	// that Replace was given.
 	Since id.Offset
 }
 
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -84,10 +84,10 @@
 // String returns the verdict's name for logs.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// EndReason is the way in which a run has ended.
+// EndReason is the reason for which a run has ended.
 type EndReason int
 
-// The ends of a run.
+// The reasons for which a run ends.
 const (
 	// EndDone is success.
 	EndDone EndReason = iota
@@ -104,11 +104,11 @@
 	EndGangTimeout
 )
 
-// howNames are the names of the ends in logs.
-var howNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
+// endReasonNames are the names of the end reasons in logs.
+var endReasonNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
 
-// String returns the name of the end for logs.
-func (h EndReason) String() string { return howNames[h] }
+// String returns the name of the reason for logs.
+func (r EndReason) String() string { return endReasonNames[r] }
 
 // Running is one run that a worker reports as running.
 type Running struct {
--- a/core/fleet/life.go
+++ b/core/fleet/life.go
@@ -17,8 +17,8 @@
 // later start time doesn't imply a later incarnation.
 type StartTime int64
 
-// IncarnationID returns the id of the incarnation that a worker started under its name
-// at a time. A worker that doesn't report its start time has its name as its
+// IncarnationID returns the id of the incarnation that a worker started under its
+// name at a time. A worker that doesn't report its start time has its name as its
 // id, and never restarts under the same name.
 func IncarnationID(name id.WorkerName, started StartTime) id.Worker {
 	return id.Worker(string(name) + startSeparator + strconv.FormatInt(int64(started), 10))
@@ -34,5 +34,6 @@
 // there may be earlier and later incarnations of the same name.
 func HasStart(w id.Worker) bool { return strings.Contains(string(w), startSeparator) }
 
-// ValidWorkerName reports whether a worker name is valid as a part of incarnation ids.
+// ValidWorkerName reports whether a worker name is valid as a part of incarnation
+// ids.
 func ValidWorkerName(name string) bool { return !strings.Contains(name, startSeparator) }
--- a/core/id/id.go
+++ b/core/id/id.go
@@ -64,9 +64,9 @@
 	Seq uint64
 )
 
-// FenceRevisionBits is the number of bits of a Raise, and MostRaises is the largest Raise.
-// Epochs differ by at least 1 << RaiseBits, so that the sum of an epoch and a Raise
-// is below the next owner's epoch.
+// FenceRevisionBits is the number of bits of a FenceRevision, and MaxFenceRevision
+// is the largest FenceRevision. Epochs differ by at least 1 << FenceRevisionBits,
+// so that the sum of an epoch and a FenceRevision is below the next owner's epoch.
 const (
 	FenceRevisionBits = 19
 	MaxFenceRevision  = 1<<FenceRevisionBits - 1
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -83,7 +83,7 @@
 }
 
 // Reserved returns the resources that a task of the step reserves on a worker.
-// A step with Fills set reserves no CPU.
+// A step with UsesIdleCPU set reserves no CPU.
 func (s *Step) Reserved() Resources {
 	if !s.UsesIdleCPU {
 		return s.Need
@@ -98,8 +98,8 @@
 type Advice struct {
 	_      struct{} `cbor:",toarray"`
 	Needed bool
-	// BaseTime is the fixed part of the service's response time. Each is added
-	// for each worker that a request asks about.
+	// BaseTime is the fixed part of the service's response time. TimePerWorker
+	// is added for each worker that a request asks about.
 	BaseTime, TimePerWorker time.Duration
 }
 
@@ -118,8 +118,8 @@
 	Service     id.Service
 	Priority    int
 	MaxAttempts int
-	// DeadlineFactor and Target set the time in which the job should be completed:
-	// Stretch times the result of LongestChain, plus Target.
+	// DeadlineFactor and DeadlineExtra set the time in which the job should be
+	// completed: DeadlineFactor times the result of CriticalPath, plus DeadlineExtra.
 	DeadlineFactor float64
 	DeadlineExtra  time.Duration
 	Advice         Advice
@@ -253,7 +253,7 @@
 	Run    RunNumber
 	Worker id.Worker
 	// Early is the number of newest consecutive crashes that each happened
-	// soon after the start of the run. It is at most All.
+	// soon after the start of the run. It is at most Total.
 	Early int
 	// Total is the number of crashes since a run last worked for a long time.
 	Total int
--- a/core/jobtable/jobtable.go
+++ b/core/jobtable/jobtable.go
@@ -95,8 +95,8 @@
 // applied.
 func (t *Table) NextOffset() id.Offset { return t.next }
 
-// Advance records that all records before an offset were applied. Next never
-// decreases.
+// Advance records that all records before an offset were applied. NextOffset
+// never decreases.
 func (t *Table) Advance(next id.Offset) { t.next = max(t.next, next) }
 
 // Owner returns the newest ownership claim.
@@ -127,9 +127,10 @@
 	return n
 }
 
-// HasLegacyProgress reports whether the job log has progress of jobs. Hosts of an earlier
-// version write it there. A host of this version must not become the owner
-// meanwhile: it doesn't read that progress, and would start the tasks again.
+// HasLegacyProgress reports whether the job log has progress of jobs. Hosts of an
+// earlier version write it there. A host of this version must not become the
+// owner meanwhile: it doesn't read that progress, and would start the tasks
+// again.
 func (t *Table) HasLegacyProgress() bool { return len(t.legacyProgress) > 0 }
 
 // ApplyProgress applies one record of the progress log.
--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -63,8 +63,8 @@
 	return &Journal{host: host, incarnation: incarnation}
 }
 
-// Add queues an entry. Applied or Landed returns the ticket when the batch of the
-// entry is known to be in the log.
+// Add queues an entry. Applied or SnapshotRestored returns the ticket when the
+// batch of the entry is known to be in the log.
 func (j *Journal) Add(e record.Entry) (Ticket, error) {
 	if len(j.waiting) >= maxWaiting {
 		return 0, ErrFull
@@ -118,8 +118,8 @@
 	return n
 }
 
-// AppendFailed records that the append of the batch in flight has failed. Flush appends
-// the batch again after 5 times Interval instead of RetryAfter.
+// AppendFailed records that the append of the batch in flight has failed. Flush
+// appends the batch again after 5 times Interval instead of RetryAfter.
 func (j *Journal) AppendFailed(now unit.Instant) {
 	if j.inFlight != nil {
 		j.sentAt = now.Add(Interval*5 - RetryAfter)
@@ -137,9 +137,10 @@
 	return settled
 }
 
-// SnapshotRestored records that a restored snapshot includes the batches of this incarnation
-// up to seq. If the batch in flight is among them, Landed returns the tickets of its
-// entries; the verdicts on them can't be determined any more.
+// SnapshotRestored records that a restored snapshot includes the batches of this
+// incarnation up to seq. If the batch in flight is among them, SnapshotRestored
+// returns the tickets of its entries; the verdicts on them can't be determined
+// any more.
 func (j *Journal) SnapshotRestored(seq id.Seq) []Ticket {
 	if j.inFlight == nil || seq < j.seq {
 		return nil
--- a/core/node/message.go
+++ b/core/node/message.go
@@ -19,7 +19,7 @@
 // Event is an input of Step: one of the event types of this package.
 type Event interface{ event() }
 
-// Ticket identifies a Propose, Draw or Inspect event in its answer.
+// Ticket identifies a Propose, PlanRequest or ViewRequest event in its answer.
 type Ticket uint64
 
 type (
@@ -59,17 +59,20 @@
 	}
 	// CallerGone reports that the caller of a request has disconnected.
 	CallerGone struct{ Request id.Request }
-	// Propose requests that an entry be written to the log; Settled answers it.
+	// Propose requests that an entry be written to the log; an EntryVerdict
+	// answers it.
 	Propose struct {
 		Ticket Ticket
 		Entry  record.Entry
 	}
-	// PlanRequest requests a plan for configuration changes; Drawn answers it.
+	// PlanRequest requests a plan for configuration changes; a PlanResult
+	// answers it.
 	PlanRequest struct {
 		Ticket  Ticket
 		Changes []config.Change
 	}
-	// ViewRequest requests a view; Inspected answers it. Jobs includes the jobs.
+	// ViewRequest requests a view; a ViewResult answers it. If Jobs is set, the view
+	// includes the jobs.
 	ViewRequest struct {
 		Ticket Ticket
 		Jobs   bool
@@ -108,7 +111,8 @@
 	Sends   []route.Attempt
 	Probes  []route.Probe
 	Replies []route.Reply
-	// Verdicts, Drawn and Inspected answer earlier events by their tickets.
+	// Verdicts, Plans and Views answer Propose, PlanRequest and ViewRequest events
+	// by their tickets.
 	Verdicts []EntryVerdict
 	Plans    []PlanResult
 	Views    []ViewResult
@@ -133,14 +137,14 @@
 	Verdict error
 }
 
-// PlanResult is the plan that a Draw event requested.
+// PlanResult is the plan that a PlanRequest event requested.
 type PlanResult struct {
 	Ticket Ticket
 	Plan   plan.Plan
 	Err    error
 }
 
-// ViewResult is the view that an Inspect event requested.
+// ViewResult is the view that a ViewRequest event requested.
 type ViewResult struct {
 	Ticket Ticket
 	View   View
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -68,7 +68,8 @@
 	firstFrameWait = 2 * time.Second
 )
 
-// Errors that a node returns as verdicts (Settled) or as faults (Actions.Faults).
+// Errors that a node returns as verdicts (Actions.Verdicts) or as faults
+// (Actions.Faults).
 var (
 	// ErrUnknownVerdict reports an entry that is in the log but whose verdict this
 	// host didn't compute, because it restored a snapshot that covers the entry.
@@ -118,10 +119,10 @@
 	// successful read of the log.
 	head   id.Offset
 	readAt unit.Instant
-	// createdAt is when this Node was created. peerHeard is set once a peer's frame
-	// arrived after the first host list.
-	createdAt unit.Instant
-	peerHeard bool
+	// createdAt is when this Node was created. peerFrameSeen is set once a peer's
+	// frame arrived after the first host list.
+	createdAt     unit.Instant
+	peerFrameSeen bool
 	// readFailed is set if the last read of the log failed.
 	readFailed bool
 	// recent holds the newest records, for peers that can't read the log.
@@ -258,7 +259,7 @@
 	switch n.hostState {
 	case Joining:
 		// The end of the log is known only after the first read.
-		if n.readAt != 0 && n.state.Applied >= n.head && n.halted == nil && n.departuresKnown(now) {
+		if n.readAt != 0 && n.state.Applied >= n.head && n.halted == nil && n.leavingKnown(now) {
 			n.transition(caughtUp)
 		}
 	case Ready:
@@ -277,11 +278,11 @@
 	}
 }
 
-// departuresKnown reports whether a peer has reported the backend servers that are
+// leavingKnown reports whether a peer has reported the backend servers that are
 // shutting down, or firstFrameWait has passed. The platform's list alone may be out
 // of date.
-func (n *Node) departuresKnown(now unit.Instant) bool {
-	return n.peerHeard || n.hostCount == 1 || now.Sub(n.createdAt) >= firstFrameWait
+func (n *Node) leavingKnown(now unit.Instant) bool {
+	return n.peerFrameSeen || n.hostCount == 1 || now.Sub(n.createdAt) >= firstFrameWait
 }
 
 // transition advances the host's state chart by an event, if the chart allows it.
--- a/core/node/own.go
+++ b/core/node/own.go
@@ -32,10 +32,10 @@
 
 // claimKey queues the claim or the release of a request's idempotency key.
 func (n *Node) claimKey(now unit.Instant, c route.Claim) {
-	once := &record.KeyClaim{Customer: c.Customer, Key: c.Key, Host: n.self, Request: c.Request}
-	o := origin{entry: record.Entry{ClaimKey: once}, request: c.Request}
+	claim := &record.KeyClaim{Customer: c.Customer, Key: c.Key, Host: n.self, Request: c.Request}
+	o := origin{entry: record.Entry{ClaimKey: claim}, request: c.Request}
 	if c.Release {
-		o = origin{entry: record.Entry{ReleaseKey: once}}
+		o = origin{entry: record.Entry{ReleaseKey: claim}}
 	}
 	if err := n.write(o); err != nil && !c.Release {
 		n.router.ClaimDecided(now, c.Request, err)
--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -197,7 +197,7 @@
 func (n *Node) receiveFrame(now unit.Instant, f peer.Frame) {
 	n.peers.ReceiveFrame(now, f)
 	n.election.ReceiveHeartbeat(now, f.Heartbeat)
-	n.peerHeard = n.peerHeard || n.backends != nil
+	n.peerFrameSeen = n.peerFrameSeen || n.backends != nil
 	for _, d := range f.Leaving {
 		n.router.PeerReportedLeaving(now, d)
 	}
--- a/core/owner/owner.go
+++ b/core/owner/owner.go
@@ -1,11 +1,11 @@
 // Package owner decides when a host should claim the ownership of scheduling.
 //
-// A host becomes the owner only by a claim that is accepted in the log. This package
-// decides when to write a claim: when the owner's heartbeat, which peers forward to
-// each other, has not advanced for HeartbeatTimeout. An unnecessary claim is
-// harmless, because a claim names the epoch that it replaces and at most one claim
-// for each epoch is accepted. Hosts wait longer the lower they rank for the epoch, so
-// that usually only one claims.
+// A host becomes the owner only by a claim that is accepted in the log. This
+// package decides when to write a claim: when the owner's heartbeat, which peers
+// forward to each other, has not advanced for HeartbeatTimeout. An unnecessary
+// claim is harmless, because a claim names the epoch that it replaces and at most
+// one claim for each epoch is accepted. Hosts wait longer the lower they rank for
+// the epoch, so that usually only one claims.
 package owner
 
 import (
@@ -82,8 +82,8 @@
 	e.ReceiveHeartbeat(now, Heartbeat{Epoch: epoch})
 }
 
-// ShouldClaim reports whether the host should claim now. The epoch in force is current;
-// live lists the live hosts, including this one, in any order.
+// ShouldClaim reports whether the host should claim now. The epoch in force is
+// current; live lists the live hosts, including this one, in any order.
 func (e *Election) ShouldClaim(now unit.Instant, current id.Epoch, live []id.Host) bool {
 	if e.last.Epoch > current {
 		// A peer knows of a newer owner, whose claim this host has yet to read from
--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -24,7 +24,8 @@
 const (
 	// FrameInterval is the interval between two frames to the same neighbor.
 	FrameInterval = 500 * time.Millisecond
-	// MaxNeighbors is the number of hosts to which one host sends frames.
+	// MaxNeighbors is the maximum number of neighbors to which one host sends
+	// frames.
 	MaxNeighbors = 4
 	// LiveTimeout is how long after its last frame a host counts as live if the
 	// platform's host list doesn't contain it.
@@ -32,17 +33,17 @@
 	// forgetAfter is how long after its last frame an unlisted host is removed
 	// from the table.
 	forgetAfter = 10 * time.Minute
-	// nearTimeout is how long after its last frame a host counts as near.
+	// nearTimeout is the age of a host's last frame from which Near omits the host.
 	nearTimeout = 1500 * time.Millisecond
 )
 
 // Frame is one message to a peer.
 type Frame struct {
 	From id.Host `cbor:"1,keyasint"`
-	// Applied is the last record that the sender applied.
+	// Applied is the offset of the last record that the sender applied.
 	Applied   id.Offset       `cbor:"2,keyasint"`
 	Heartbeat owner.Heartbeat `cbor:"3,keyasint"`
-	// Check is the digest of the sender's state at offset CheckAt.
+	// Digest is the digest of the sender's state at offset DigestAt.
 	DigestAt id.Offset `cbor:"4,keyasint,omitempty"`
 	Digest   uint64    `cbor:"5,keyasint,omitempty"`
 	// Leaving lists backend servers that the sender knows to be shutting down.
@@ -52,7 +53,8 @@
 	// WantsRecords requests the records after Applied from the receiver, because the
 	// sender can't read the log.
 	WantsRecords bool `cbor:"10,keyasint,omitempty"`
-	// Records are consecutive records of the log, the first at offset First.
+	// First is the offset of the first element of Records, which are consecutive
+	// records of the log.
 	First   id.Offset `cbor:"8,keyasint,omitempty"`
 	Records [][]byte  `cbor:"9,keyasint,omitempty"`
 }
--- a/core/peer/peer_test.go
+++ b/core/peer/peer_test.go
@@ -10,8 +10,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// TestReplacements replaces a host many times, each time under a new name, and checks
-// that the table forgets the replaced ones.
+// TestReplacements replaces a host many times, each time under a new name, and
+// checks that the table forgets the replaced ones.
 func TestReplacements(t *testing.T) {
 	const replaced = 400
 	table := peer.New("self")
--- a/core/record/batch.go
+++ b/core/record/batch.go
@@ -42,7 +42,8 @@
 	// Seq increases by one with each batch of a writer. A retried append has the
 	// same Seq.
 	Seq id.Seq `cbor:"4,keyasint"`
-	// BasisOffset is the last offset that the writer had applied when it wrote the batch.
+	// BasisOffset is the last offset that the writer had applied when it wrote the
+	// batch.
 	BasisOffset id.Offset `cbor:"5,keyasint"`
 	Entries     []Entry   `cbor:"6,keyasint"`
 }
--- a/core/record/entry.go
+++ b/core/record/entry.go
@@ -75,8 +75,8 @@
 	Job id.Job `cbor:"1,keyasint"`
 }
 
-// Place commits a gang to a block. Until it is accepted, no task of this attempt runs;
-// after that, a job that must not be repeated is never started again.
+// Place commits a gang to a block. Until it is accepted, no task of this attempt
+// runs; after that, a job that must not be repeated is never started again.
 type Place struct {
 	Job   id.Job      `cbor:"1,keyasint"`
 	Epoch id.Epoch    `cbor:"2,keyasint"`
@@ -128,10 +128,10 @@
 	Reason  string   `cbor:"5,keyasint,omitempty"`
 }
 
-// KeyClaim claims the idempotency key of a request that must not be repeated. The first
-// accepted claim holds the key; only its writer may send the request, and only once.
-// In Entry.Release it releases the claim, which the writer does only if it hasn't
-// sent the request.
+// KeyClaim claims the idempotency key of a request that must not be repeated. The
+// first accepted claim holds the key; only its writer may send the request, and
+// only once. In Entry.ReleaseKey it releases the claim, which the writer does
+// only if it hasn't sent the request.
 type KeyClaim struct {
 	Customer id.Customer `cbor:"1,keyasint"`
 	Key      string      `cbor:"2,keyasint"`
--- a/core/record/record_test.go
+++ b/core/record/record_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// TestDamage checks that a change of any byte is detected, and that a batch of a newer
-// format version isn't reported as damaged.
+// TestDamage checks that a change of any byte is detected, and that a batch of a
+// newer format version isn't reported as damaged.
 func TestDamage(t *testing.T) {
 	raw, err := record.Encode(batch())
 	if err != nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// FuzzDecode checks that no input makes the decoder panic and that every batch that it
-// accepts can be encoded.
+// FuzzDecode checks that no input makes the decoder panic and that every batch
+// that it accepts can be encoded.
 func FuzzDecode(f *testing.F) {
 	raw, err := record.Encode(batch())
 	if err != nil {
--- a/core/recovery/recovery.go
+++ b/core/recovery/recovery.go
@@ -43,7 +43,7 @@
 // Loader collects records until a snapshot among them can be restored.
 type Loader struct {
 	records []Record
-	// chunks has the collected chunks of each snapshot, by Chunk.Index.
+	// chunks has the collected chunks of each snapshot, by SnapshotChunk.Index.
 	chunks map[snapshotKey]map[int]record.SnapshotChunk
 }
 
--- a/core/state/apply.go
+++ b/core/state/apply.go
@@ -121,11 +121,11 @@
 	if err != nil {
 		return err
 	}
-	spare, err := s.CheckConfig(next)
+	newWitness, err := s.CheckConfig(next)
 	if err != nil {
 		return err
 	}
-	s.Config, s.ConfigAt, s.Witness = next, s.Applied, spare
+	s.Config, s.ConfigAt, s.Witness = next, s.Applied, newWitness
 	return nil
 }
 
@@ -161,7 +161,7 @@
 	case j.Spec.AtMostOnce && p.Attempt > 1:
 		return ErrNotRepeatable
 	}
-	spare, err := s.CheckPlace(p)
+	newWitness, err := s.CheckPlace(p)
 	if err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 		return err
 	}
 	j.Attempt, j.Lease, j.Block, j.Cell, j.Home = p.Attempt, p.Lease, p.Block, p.Cell, p.Home
-	s.Witness = spare
+	s.Witness = newWitness
 	return nil
 }
 
--- a/core/state/check.go
+++ b/core/state/check.go
@@ -12,8 +12,8 @@
 
 // CheckPlace returns the witness after placement p, or the reason why p can't be
 // accepted with regard to accelerators and guarantees: its block must exist, be
-// neither drained nor in use, its home must not overlap what firm jobs outside its
-// cell hold, and every other guaranteed block must have a place.
+// neither drained nor in use, its home must not overlap what non-preemptible jobs
+// outside its cell hold, and every other guaranteed block must have a place.
 func (s *State) CheckPlace(p record.Place) (witness.Witness, error) {
 	j, ok := s.Jobs[p.Job]
 	if !ok {
@@ -36,8 +36,9 @@
 	return s.find(s.Config, &p)
 }
 
-// checkHome checks the cell of a placement, and that the accelerators that it would
-// hold without being preemptible overlap none that a firm job holds already.
+// checkHome checks the cell of a placement, and that the accelerators that it
+// would hold without being preemptible overlap none that a non-preemptible job
+// holds already.
 func (s *State) checkHome(j *Job, p record.Place) error {
 	required := p.Block
 	if p.Cell.Guarantee != "" {
@@ -80,9 +81,9 @@
 	return nil
 }
 
-// CheckConfig returns the witness for configuration c, or the reason why c can't be
-// accepted while the present gangs run: one of them would lose its accelerators, or a
-// guarantee would have no place.
+// CheckConfig returns the witness for configuration c, or the reason why c can't
+// be accepted while the present gangs run: one of them would lose its
+// accelerators, or a guarantee would have no place.
 func (s *State) CheckConfig(c config.Config) (witness.Witness, error) {
 	for _, k := range config.SortedKeys(s.running) {
 		j := s.running[k]
@@ -93,12 +94,12 @@
 	return s.find(c, nil)
 }
 
-// CheckWitness returns an error if Spare isn't a valid witness. It asserts an
+// CheckWitness returns an error if s.Witness isn't a valid witness. It asserts an
 // invariant that the reducer maintains.
 func (s *State) CheckWitness() error {
-	firm, bound := s.firm(s.Config, nil)
+	held, bound := s.heldAccelerators(s.Config, nil)
 	free := map[id.Rack]uint64{}
-	for _, r := range rooms(s.Config, firm) {
+	for _, r := range rackSpaces(s.Config, held) {
 		free[r.Rack] = r.Free
 	}
 	for _, n := range needs(s.Config, bound) {
@@ -114,15 +115,16 @@
 // find returns a witness for configuration c and the running jobs, plus placement
 // added if it isn't nil. It keeps the places of the current witness if possible.
 func (s *State) find(c config.Config, added *record.Place) (witness.Witness, error) {
-	firm, bound := s.firm(c, added)
-	return witness.Update(rooms(c, firm), s.Witness, needs(c, bound))
+	held, bound := s.heldAccelerators(c, added)
+	return witness.Update(rackSpaces(c, held), s.Witness, needs(c, bound))
 }
 
-// firm returns the accelerators of each rack that firm jobs hold, and the cells of c
-// that are bound to their home: they need no place in the witness because their home
-// serves as one as soon as it is free again.
-func (s *State) firm(c config.Config, added *record.Place) (map[id.Rack]uint64, map[record.Cell]bool) {
-	firm, bound := map[id.Rack]uint64{}, map[record.Cell]bool{}
+// heldAccelerators returns the accelerators of each rack that non-preemptible
+// jobs hold, and the cells of c that are bound to their home: they need no place
+// in the witness because their home serves as one as soon as it is free again.
+// If added isn't nil, the placement added counts like a non-preemptible job.
+func (s *State) heldAccelerators(c config.Config, added *record.Place) (map[id.Rack]uint64, map[record.Cell]bool) {
+	held, bound := map[id.Rack]uint64{}, map[record.Cell]bool{}
 	hold := func(cell record.Cell, home, own block.Block) {
 		b := own
 		if cell.Guarantee != "" {
@@ -130,7 +132,7 @@
 			fits := c.Guarantees[cell.Guarantee].Size == home.Size
 			bound[cell] = bound[cell] || fits && home.Mask()&^UsableAccelerators(c, home.Rack) == 0
 		}
-		firm[b.Rack] |= b.Mask()
+		held[b.Rack] |= b.Mask()
 	}
 	for _, j := range s.running {
 		if j.NonPreemptible() {
@@ -140,11 +142,11 @@
 	if added != nil {
 		hold(added.Cell, added.Home, added.Block)
 	}
-	return firm, bound
+	return held, bound
 }
 
 // releaseHome makes the home of an ended job's cell the cell's place in the witness,
-// unless another firm job still uses the cell.
+// unless another non-preemptible job still uses the cell.
 func (s *State) releaseHome(j *Job) {
 	g, ok := s.Config.Guarantees[j.Cell.Guarantee]
 	if !ok || j.Cell.Index >= g.Count || g.Size != j.Home.Size {
@@ -160,8 +162,8 @@
 	}
 }
 
-// heldBlock returns the block that a firm job holds: the home of its cell, or its own
-// block.
+// heldBlock returns the block that a non-preemptible job holds: the home of its
+// cell, or its own block.
 func heldBlock(j *Job) block.Block {
 	if j.Cell.Guarantee != "" {
 		return j.Home
@@ -169,11 +171,12 @@
 	return j.Block
 }
 
-// rooms returns, for each rack, the usable accelerators that no firm job holds.
-func rooms(c config.Config, firm map[id.Rack]uint64) []witness.RackSpace {
+// rackSpaces returns, for each rack, the usable accelerators that no
+// non-preemptible job holds.
+func rackSpaces(c config.Config, held map[id.Rack]uint64) []witness.RackSpace {
 	out := make([]witness.RackSpace, 0, len(c.Racks))
 	for _, k := range config.SortedKeys(c.Racks) {
-		out = append(out, witness.RackSpace{Rack: k, Free: UsableAccelerators(c, k) &^ firm[k]})
+		out = append(out, witness.RackSpace{Rack: k, Free: UsableAccelerators(c, k) &^ held[k]})
 	}
 	return out
 }
@@ -204,7 +207,8 @@
 	return m
 }
 
-// UsableAccelerators returns the accelerators of a rack on which new tasks may be placed.
+// UsableAccelerators returns the accelerators of a rack on which new tasks may be
+// placed.
 func UsableAccelerators(c config.Config, rack id.Rack) uint64 {
 	r := c.Racks[rack]
 	var m uint64
--- a/core/state/doc.go
+++ b/core/state/doc.go
@@ -5,8 +5,8 @@
 // record is either accepted or void, which depends on the earlier records only, so
 // all hosts compute the same verdict.
 //
-// The reducer rejects the following, whatever a faulty writer appends to the log: a
-// second owner of one epoch, two gangs on one accelerator, a second start of a job
-// that must not be repeated, a return to an earlier configuration, and a placement or
-// a configuration that would leave a guarantee without a place.
+// The reducer rejects the following, whatever a faulty writer appends to the log:
+// a second owner of one epoch, two gangs on one accelerator, a second start of a
+// job that must not be repeated, a return to an earlier configuration, and a
+// placement or a configuration that would leave a guarantee without a place.
 package state
--- a/core/state/script_test.go
+++ b/core/state/script_test.go
@@ -14,11 +14,11 @@
 	"curlewsill.org/curlewsill/core/state"
 )
 
-// TestScripts applies entries to the reducer, one record for each line, and compares
-// the verdicts. A line is ENTRY => VERDICT, where VERDICT is part of the error or
-// "accepted"; "again" appends the last record to the log once more. The configuration
-// is one rack r1 of 64 accelerators, a guarantee g of 32 for customer a, and a
-// customer b.
+// TestScripts applies entries to the reducer, one record for each line, and
+// compares the verdicts. A line is ENTRY => VERDICT, where VERDICT is part of the
+// error or "accepted"; "again" appends the last record to the log once more. The
+// configuration is one rack r1 of 64 accelerators, a guarantee g of 32 for
+// customer a, and a customer b.
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, run)
 }
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -60,8 +60,8 @@
 	Changed id.Offset `cbor:"8,keyasint" json:"changed"`
 }
 
-// NonPreemptible reports whether the job runs and can't be preempted, because it uses a
-// guarantee or must not be repeated.
+// NonPreemptible reports whether the job runs and can't be preempted, because it
+// uses a guarantee or must not be repeated.
 func (j *Job) NonPreemptible() bool {
 	return j.State == Running && (j.Cell.Guarantee != "" || j.Spec.AtMostOnce)
 }
@@ -143,30 +143,30 @@
 
 // image is the encoded form of a State. Maps with struct keys become sorted lists.
 type image struct {
-	Applied  id.Offset     `cbor:"1,keyasint"`
-	Config   config.Config `cbor:"2,keyasint"`
-	ConfigAt id.Offset     `cbor:"3,keyasint"`
-	Owner    Owner         `cbor:"4,keyasint"`
-	Jobs     []*Job        `cbor:"5,keyasint"`
-	Writers  []writerImage `cbor:"6,keyasint"`
-	Keys     []keyImage    `cbor:"7,keyasint"`
-	Ended    []id.Job      `cbor:"8,keyasint"`
-	Spare    []spareImage  `cbor:"9,keyasint"`
-}
-
-type spareImage struct {
+	Applied  id.Offset      `cbor:"1,keyasint"`
+	Config   config.Config  `cbor:"2,keyasint"`
+	ConfigAt id.Offset      `cbor:"3,keyasint"`
+	Owner    Owner          `cbor:"4,keyasint"`
+	Jobs     []*Job         `cbor:"5,keyasint"`
+	Writers  []writerImage  `cbor:"6,keyasint"`
+	Keys     []keyImage     `cbor:"7,keyasint"`
+	Ended    []id.Job       `cbor:"8,keyasint"`
+	Witness  []witnessImage `cbor:"9,keyasint"`
+}
+
+type witnessImage struct {
 	Cell  record.Cell `cbor:"1,keyasint"`
 	Block block.Block `cbor:"2,keyasint"`
 }
 
 type writerImage struct {
-	Life   WriterID `cbor:"1,keyasint"`
+	ID     WriterID `cbor:"1,keyasint"`
 	Writer Writer   `cbor:"2,keyasint"`
 }
 
 type keyImage struct {
-	Key   Key       `cbor:"1,keyasint"`
-	Claim KeyHolder `cbor:"2,keyasint"`
+	Key    Key       `cbor:"1,keyasint"`
+	Holder KeyHolder `cbor:"2,keyasint"`
 }
 
 var images = codec.New[image]()
@@ -187,7 +187,7 @@
 		im.Keys = append(im.Keys, keyImage{k, s.Keys[k]})
 	}
 	for _, c := range s.Witness.Cells() {
-		im.Spare = append(im.Spare, spareImage{c, s.Witness[c]})
+		im.Witness = append(im.Witness, witnessImage{c, s.Witness[c]})
 	}
 	return images.Encode(im)
 }
@@ -214,13 +214,13 @@
 		}
 	}
 	for _, w := range im.Writers {
-		n.Writers[w.Life] = w.Writer
+		n.Writers[w.ID] = w.Writer
 	}
 	for _, k := range im.Keys {
-		n.Keys[k.Key] = k.Claim
+		n.Keys[k.Key] = k.Holder
 		n.keyOrder = append(n.keyOrder, k.Key)
 	}
-	for _, p := range im.Spare {
+	for _, p := range im.Witness {
 		n.Witness[p.Cell] = p.Block
 	}
 	*s = *n
--- a/core/upkeep/upkeep.go
+++ b/core/upkeep/upkeep.go
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Finished reports whether every machine that was not dropped had its
+// Finished reports whether every machine that was not excluded had its
 // maintenance.
 func (p *Plan) Finished() bool { return p.count(done) == len(p.machines) }
 
@@ -119,17 +119,17 @@
 	return slices.Concat(p.inState(waiting), p.inState(emptying), p.inState(ordered), p.inState(down))
 }
 
-// BlocksNewTasks reports whether a machine must accept no new tasks: it is being emptied,
-// ordered down or down.
+// BlocksNewTasks reports whether a machine must accept no new tasks: it is being
+// emptied, ordered down or down.
 func (p *Plan) BlocksNewTasks(m id.Machine) bool {
 	x := p.machines[m]
 	return x != nil && (x.state == emptying || x.state == ordered || x.state == down)
 }
 
-// StartEmptying starts to empty machines, those with the lowest cost first, until the
-// number of machines in maintenance reaches the wave's limit. It returns them.
-// The function cost returns the work that is lost if a machine is emptied, or
-// false if it can't be emptied now.
+// StartEmptying starts to empty machines, those with the lowest cost first, until
+// the number of machines in maintenance reaches the wave's limit. It returns
+// them. The function cost returns the work that is lost if a machine is emptied,
+// or false if it can't be emptied now.
 func (p *Plan) StartEmptying(now unit.Instant, cost func(id.Machine) (float64, bool)) []id.Machine {
 	var out []id.Machine
 	for p.inMaintenance() < max(1, p.wave.MaxDown) {
@@ -152,10 +152,10 @@
 	return out
 }
 
-// EmptyingOverdue reports whether the emptying of a machine has used up its time, so that
-// the remaining tasks are to be stopped. The time until the deadline is divided
-// evenly among the remaining batches of machines, and the downtime is subtracted
-// from each share.
+// EmptyingOverdue reports whether the emptying of a machine has used up its time,
+// so that the remaining tasks are to be stopped. The time until the deadline is
+// divided evenly among the remaining batches of machines, and the downtime is
+// subtracted from each share.
 func (p *Plan) EmptyingOverdue(now unit.Instant, m id.Machine) bool {
 	remaining := len(p.machines) - p.count(done) - p.count(down)
 	batches := (remaining + p.wave.MaxDown - 1) / max(1, p.wave.MaxDown)
@@ -163,8 +163,8 @@
 	return now.Sub(p.machines[m].since) >= emptyingTime
 }
 
-// MarkOrdered records that the order to take an empty machine down is sent. It reports
-// false if the order must not be sent now.
+// MarkOrdered records that the order to take an empty machine down is sent. It
+// reports false if the order must not be sent now.
 func (p *Plan) MarkOrdered(now unit.Instant, m id.Machine) bool {
 	return now >= p.machines[m].retryAt && p.apply(m, evOrder)
 }
@@ -177,10 +177,10 @@
 	}
 }
 
-// CompleteOverdue completes the maintenance of machines that have been down for longer than
-// the downtime and listingDelay. An order for a machine that had its maintenance
-// before gets the same answer as one that takes a machine down, but the machine
-// stays up, so no new incarnation appears.
+// CompleteOverdue completes the maintenance of machines that have been down for
+// longer than the downtime and listingDelay. An order for a machine that had its
+// maintenance before gets the same answer as one that takes a machine down, but
+// the machine stays up, so no new incarnation appears.
 func (p *Plan) CompleteOverdue(now unit.Instant) {
 	for _, m := range p.inState(down) {
 		if now.Sub(p.machines[m].since) > p.downtime+listingDelay {
@@ -189,8 +189,8 @@
 	}
 }
 
-// MarkRefused records that a machine can't be taken down now. After retryDelay it may
-// be chosen again.
+// MarkRefused records that a machine can't be taken down now. After retryDelay it
+// may be chosen again.
 func (p *Plan) MarkRefused(now unit.Instant, m id.Machine) {
 	if p.apply(m, evRefused) {
 		p.machines[m].retryAt = now.Add(retryDelay)
--- a/core/upkeep/upkeep_test.go
+++ b/core/upkeep/upkeep_test.go
@@ -15,14 +15,18 @@
 
 // TestScripts runs the scripts of testdata against a plan. A line is a command:
 //
-//	wave WITHIN MOST MACHINE...       creates a plan with a downtime of 2 s
+//	wave DURATION MAX MACHINE...      creates a plan that may take DURATION, with MAX
+//	                                  machines down at a time, each for 2 s
 //	at TIME                           sets the time since the wave was first read
-//	choose [MACHINE=COST]... -> M...  checks the machines that Choose returns;
+//	choose [MACHINE=COST]... -> M...  checks the machines that StartEmptying returns;
 //	                                  those without a cost can't be emptied now
-//	hurry M true|false                checks the result of Hurry
-//	order M true|false                checks the result of Order
-//	carried|refused|back|drop M       calls the method of this name
-//	settle                            calls Settle
+//	hurry M true|false                checks the result of EmptyingOverdue
+//	order M true|false                checks the result of MarkOrdered
+//	carried M                         calls MarkDown
+//	refused M                         calls MarkRefused
+//	back M                            calls MarkDone
+//	drop M                            calls Exclude
+//	settle                            calls CompleteOverdue
 //	finished true|false               checks the result of Finished
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, func(t *testing.T, text string) {
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -17,8 +17,8 @@
 //     lease before. It is created gated: it holds its accelerators but runs
 //     nothing until its gate is opened.
 //   - A task is stopped when its lease expires by the worker's own clock. The
-//     lease of a new task lasts for GatedTerm; afterwards only a renewal extends
-//     it.
+//     lease of a new task lasts for GatedLeaseDuration; afterwards only a renewal
+//     extends it.
 package worker
 
 import (
@@ -28,7 +28,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// GatedLeaseDuration is the duration of the first lease of a task, from its creation.
+// GatedLeaseDuration is the duration of the first lease of a task, from its
+// creation.
 const GatedLeaseDuration = 10 * time.Second
 
 // Sync is the list of tasks that the owner wants a worker to hold.
