--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -115,11 +115,12 @@
 	Task       job.TaskID
 	Run        job.RunNumber
 	Checkpoint string
-	// Percent is the completed part of the work. For a long-running task it is
-	// 100 while the task works in full.
+	// Percent is the completed part of the work in percent. For a long-running
+	// task it is 100 while the task is fully operational.
 	Percent int
 	// Load is an approximate measurement over the last half second: the tail
-	// latency of a task that serves requests, for other tasks the used CPU time.
+	// latency in milliseconds of a task that serves requests, for other tasks the
+	// used CPU time.
 	Load int64
 }
 
--- a/core/fleet/life.go
+++ b/core/fleet/life.go
@@ -17,9 +17,9 @@
 // later start time doesn't imply a later incarnation.
 type StartTime int64
 
-// IncarnationID returns the id of the incarnation that a worker started under its
-// name at a time. A worker that doesn't report its start time has its name as its
-// id, and never restarts under the same name.
+// IncarnationID returns the id of the incarnation that started under a worker's
+// name at the given time. A worker that doesn't report its start time has its
+// name as its id, and never restarts under the same name.
 func IncarnationID(name id.WorkerName, started StartTime) id.Worker {
 	return id.Worker(string(name) + startSeparator + strconv.FormatInt(int64(started), 10))
 }
--- a/core/jobtable/jobtable.go
+++ b/core/jobtable/jobtable.go
@@ -95,8 +95,8 @@
 // applied.
 func (t *Table) NextOffset() id.Offset { return t.next }
 
-// Advance records that all records before an offset were applied. NextOffset
-// never decreases.
+// Advance records that all records before the offset next were applied. A lower
+// offset than NextOffset has no effect.
 func (t *Table) Advance(next id.Offset) { t.next = max(t.next, next) }
 
 // Owner returns the newest ownership claim.
