--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -89,11 +89,11 @@
 func (s *Scheduler) optionIn(now unit.Instant, j record.Job, cell record.Cell, size int) (option, bool) {
 	home, used := s.inventory.Home(cell)
 	if !used {
-		spare, ok := s.inventory.UnusedCellPlace(cell)
+		planned, ok := s.inventory.UnusedCellPlace(cell)
 		if !ok {
 			return option{}, false
 		}
-		home = s.cheapestHome(now, spare)
+		home = s.cheapestHome(now, planned)
 	}
 	r := s.inventory.Rack(home.Rack)
 	if r == nil {
@@ -110,15 +110,15 @@
 // cheapestHome returns the block for a cell that is not in use at which borrowers
 // lose the least work, without moving the block of any other cell. The block
 // currently planned for the cell always qualifies.
-func (s *Scheduler) cheapestHome(now unit.Instant, spare block.Block) block.Block {
-	best, lowest := spare, math.MaxInt
+func (s *Scheduler) cheapestHome(now unit.Instant, planned block.Block) block.Block {
+	best, lowest := planned, math.MaxInt
 	for i := range s.inventory.Racks {
 		r := &s.inventory.Racks[i]
 		guarded := r.Guarded()
-		if r.ID == spare.Rack {
-			guarded &^= spare.Mask()
+		if r.ID == planned.Rack {
+			guarded &^= planned.Mask()
 		}
-		b, cost, ok := s.cheapestStart(now, r.Live&^guarded, r, spare.Size)
+		b, cost, ok := s.cheapestStart(now, r.Live&^guarded, r, planned.Size)
 		if ok && cost < lowest {
 			best, lowest = b, cost
 		}
@@ -149,9 +149,9 @@
 }
 
 // costSums has at index i the work that would be lost if the gangs on the
-// accelerators before i were stopped, in accelerator-minutes. An accelerator that is
-// held or set aside counts at least 1. Free ones, and those whose gang is stopping
-// already, count 0 unless they are set aside.
+// accelerators before i were stopped, in accelerator-minutes. An accelerator that
+// is held or set aside counts at least 1. Free ones, and those whose gang is
+// stopping already, count 0 unless they are set aside.
 type costSums [block.MaxSize + 1]int
 
 // costSumsOf returns the preemption costs of a rack. They are cached for one pass,
@@ -186,14 +186,14 @@
 }
 
 // tryBorrow starts the job on accelerators that no gang holds and that are not set
-// aside. It avoids the reserved block unless the job is expected to end before that
-// block is free.
+// aside. It avoids the reserved block unless that is reserved for this job, or the
+// job is expected to end before the block is free.
 func (s *Scheduler) tryBorrow(now unit.Instant, j record.Job) bool {
 	var excluded uint64
 	if s.reserved.Size > 0 && s.reservedFor != j.ID && s.expectedRunTime(j.Customer, j.Declared) > s.reservedFreeIn {
 		excluded = s.reserved.Mask()
 	}
-	rooms := make([]place.RackSpace, 0, len(s.inventory.Racks))
+	spaces := make([]place.RackSpace, 0, len(s.inventory.Racks))
 	for i := range s.inventory.Racks {
 		r := &s.inventory.Racks[i]
 		free := r.Live &^ r.Taken() & s.usableFor(r, j)
@@ -201,14 +201,14 @@
 			free &^= excluded
 		}
 		if free != 0 {
-			rooms = append(rooms, place.RackSpace{Rack: r.ID, Free: free, Avoid: r.Guarded()})
+			spaces = append(spaces, place.RackSpace{Rack: r.ID, Free: free, Avoid: r.Guarded()})
 		}
 	}
 	choose := s.policy.Choose
 	if j.AtMostOnce {
 		choose = s.chooseForNonPreemptible
 	}
-	b, ok := choose(rooms, j.Accelerators, s.demand)
+	b, ok := choose(spaces, j.Accelerators, s.demand)
 	if ok {
 		s.startGang(now, j, b, record.Cell{}, block.Block{})
 	}
@@ -218,19 +218,19 @@
 // chooseForNonPreemptible chooses a block for a gang that can't be preempted. It
 // prefers a block that overlaps no place of a guarantee; otherwise it takes one
 // where the overlapped places of unused cells can be moved elsewhere.
-func (s *Scheduler) chooseForNonPreemptible(rooms []place.RackSpace, size int, demand []int) (block.Block, bool) {
-	unguarded := slices.Clone(rooms)
+func (s *Scheduler) chooseForNonPreemptible(spaces []place.RackSpace, size int, demand []int) (block.Block, bool) {
+	unguarded := slices.Clone(spaces)
 	for i := range unguarded {
 		unguarded[i].Free &^= unguarded[i].Avoid
 	}
 	if b, ok := s.policy.Choose(unguarded, size, demand); ok {
 		return b, true
 	}
-	for i := range rooms {
-		room := rooms[i : i+1]
+	for i := range spaces {
+		single := spaces[i : i+1]
 		// The blocks of cells in use can't be moved.
-		room[0].Free &^= s.inventory.Rack(room[0].Rack).Firm
-		if b, ok := s.policy.Choose(room, size, demand); ok && s.inventory.FitsGuarantees(s.state.Config, b) {
+		single[0].Free &^= s.inventory.Rack(single[0].Rack).Firm
+		if b, ok := s.policy.Choose(single, size, demand); ok && s.inventory.FitsGuarantees(s.state.Config, b) {
 			return b, true
 		}
 	}
@@ -297,8 +297,8 @@
 	shortest := time.Duration(-1)
 	for i := range s.inventory.Racks {
 		r := &s.inventory.Racks[i]
-		room := r.Live & s.usableFor(r, j)
-		starts := block.Starts(room, j.Accelerators)
+		usable := r.Live & s.usableFor(r, j)
+		starts := block.Starts(usable, j.Accelerators)
 		if starts == 0 {
 			continue
 		}
--- a/core/sched/doc.go
+++ b/core/sched/doc.go
@@ -7,8 +7,8 @@
 // syncs that the caller writes and sends, and no task runs until the log has
 // accepted its placement.
 //
-// Each step first advances the gangs. A scheduling pass then refuses jobs that
-// can never run and tries the waiting groups of jobs. A job is first tried within
+// Each step first advances the gangs. If a scheduling pass is due, it then refuses
+// jobs that can never run and tries the waiting groups of jobs. A job is first tried within
 // its customer's guarantees, where it may preempt borrowers, and then on borrowed
 // capacity, where only an urgent job may preempt. The first job that finds no
 // room gets a reservation: a block that other jobs may use only if they are
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -10,8 +10,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// maxAttempts is the number of attempts of a repeatable job after which a crash
-// counts as the job's own failure.
+// maxAttempts is the number of the attempt from which on a crash of a repeatable
+// job counts as the job's own failure. A crash in an earlier attempt requeues the
+// job, because the worker may be the cause.
 const maxAttempts = 3
 
 // reconcile adopts the placements in the log that have no gang here, queues the
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -175,7 +175,7 @@
 		if block.LongestRun(s.usableFor(&s.inventory.Racks[i], j)) < j.Accelerators {
 			continue
 		}
-		if j.AtMostOnce && !s.hasGuaranteeOf(j.Customer, j.Accelerators) && !s.couldClear(j.Accelerators) {
+		if j.AtMostOnce && !s.hasGuaranteeOf(j.Customer, j.Accelerators) && !s.couldFitGuarantees(j.Accelerators) {
 			return "a job that can't be stopped would leave a guarantee without a place"
 		}
 		return ""
@@ -186,12 +186,12 @@
 	return "no rack has that many adjacent accelerators with the cores and memory asked for"
 }
 
-// couldClear is inventory.CouldClear, cached for one configuration.
-func (s *Scheduler) couldClear(size int) bool {
-	ok, known := s.couldClearSize[size]
+// couldFitGuarantees is inventory.CouldFitGuarantees, cached for one configuration.
+func (s *Scheduler) couldFitGuarantees(size int) bool {
+	ok, known := s.couldFitBySize[size]
 	if !known {
 		ok = inventory.CouldFitGuarantees(s.state.Config, size)
-		s.couldClearSize[size] = ok
+		s.couldFitBySize[size] = ok
 	}
 	return ok
 }
--- a/core/sched/ratio.go
+++ b/core/sched/ratio.go
@@ -64,7 +64,8 @@
 }
 
 // remainingRunTime returns how much longer a gang is expected to run. A gang that
-// has exceeded its estimate is expected to run for as long again as it has run.
+// has exceeded its estimate is expected to run for as long again as it has run,
+// but for at least 1 s.
 func (s *Scheduler) remainingRunTime(now unit.Instant, r *run) time.Duration {
 	ran := now.Sub(r.startedAt)
 	left := s.expectedRunTime(r.Job.Customer, r.Job.Declared) - ran
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -55,9 +55,9 @@
 	refusing map[id.Job]bool
 	// crashedOn has, for each job, the workers on which it crashed.
 	crashedOn map[id.Job]map[id.Worker]bool
-	// couldClearSize caches the results of couldClear by gang size for the
+	// couldFitBySize caches the results of couldFitGuarantees by gang size for the
 	// configuration indexedConfig.
-	couldClearSize map[int]bool
+	couldFitBySize map[int]bool
 	// runTimeRatios has, for each customer, the ratios of actual to declared run
 	// times.
 	runTimeRatios map[id.Customer]*ratioHistory
@@ -90,8 +90,9 @@
 // run is one attempt of a job: its gang and the scheduler's bookkeeping for it.
 type run struct {
 	*gang.Gang
-	// placementEmitted is set once the placement entry was emitted, settled once the
-	// verdict on that entry is known, and ended once the end entry was emitted.
+	// placementEmitted is set once the placement entry was emitted, verdictKnown
+	// once the verdict on that entry is known, and endEmitted once the end entry
+	// was emitted.
 	placementEmitted, verdictKnown, endEmitted bool
 	// startedAt is when the log accepted the placement or when the gang was
 	// adopted; before that, when its leases were first requested.
@@ -181,8 +182,8 @@
 	}
 }
 
-// RequestReconcile makes the next step reconcile the scheduler with the whole state, because
-// it may have missed entries.
+// RequestReconcile makes the next step reconcile the scheduler with the whole
+// state, because it may have missed entries.
 func (s *Scheduler) RequestReconcile() { s.reload = true }
 
 // EntrySettled processes the verdict on an entry that this scheduler emitted.
@@ -274,8 +275,8 @@
 	}
 }
 
-// reportUnchanged processes a report without a task list, which says that the worker's
-// tasks are as in its report on the sync rep.Base.
+// reportUnchanged processes a report without a task list, which says that the
+// worker's tasks are as in its report on the sync rep.Base.
 func (s *Scheduler) reportUnchanged(now unit.Instant, rep worker.Report, h *health) {
 	if rep.Base != h.base {
 		return
@@ -307,7 +308,7 @@
 		return
 	}
 	s.indexedConfig, s.dirty = s.state.ConfigAt+1, true
-	s.couldClearSize = map[int]bool{}
+	s.couldFitBySize = map[int]bool{}
 	s.locations = map[id.Worker]location{}
 	for _, k := range config.SortedKeys(s.state.Config.Racks) {
 		r := s.state.Config.Racks[k]
