--- a/core/world/evacuation_test.go
+++ b/core/world/evacuation_test.go
@@ -53,12 +53,12 @@
 		world.Evacuate, world.KillOwner, world.Evacuate, world.Late, world.Apart, world.Evacuate, world.Silence, world.StoreDown, world.Evacuate,
 		world.StoreSlow, world.Drain, world.KillHosts, world.Kill,
 	}
-	tellsStart := seed%2 == 0
-	if tellsStart {
+	reportsStart := seed%2 == 0
+	if reportsStart {
 		kinds = append(kinds, world.Reborn)
 	}
 	return simulateSite(t, seed, kinds, randomJob, length, func(s *world.Setup) {
 		enableEvacuations(s)
-		s.ReportStart, s.Delivery = tellsStart, d
+		s.ReportStart, s.Delivery = reportsStart, d
 	})
 }
--- a/core/world/fault.go
+++ b/core/world/fault.go
@@ -23,20 +23,20 @@
 // The kinds of faults.
 const (
 	// Kill ends workers at once. They come back as new incarnations after
-	// Lasts.
+	// Duration.
 	Kill FaultKind = "kill"
 	// Reborn is Kill with workers that come back under the names that they had.
-	// It requires Setup.TellStart.
+	// It requires Setup.ReportStart.
 	Reborn FaultKind = "reborn"
 	// Silence lets workers neither receive nor answer orders, while the list
 	// still shows them. What runs there continues until its lease ends.
 	Silence FaultKind = "silence"
-	// Drain announces that workers leave after Lasts. They come back after
-	// Lasts once more.
+	// Drain announces that workers leave after Duration. They come back after
+	// Duration once more.
 	Drain FaultKind = "drain"
 	// Apart partitions workers from the hosts, which can't connect, and from
-	// the list of workers, which drops them after a while. What runs there
-	// continues until its lease ends.
+	// the list of workers, which drops them after Times.MemberTTL. What runs
+	// there continues until its lease ends.
 	Apart FaultKind = "apart"
 	// StaleEntry lets the list of workers show the previous incarnation of
 	// workers again, until that entry expires.
@@ -52,24 +52,24 @@
 	// answer all other orders.
 	Mute FaultKind = "mute"
 	// Shrink divides the capacity of workers by Factor, which the list shows.
-	// They have their full capacity again after Lasts.
+	// They have their full capacity again after Duration.
 	Shrink FaultKind = "shrink"
-	// Slow makes the runs that workers start slower by Factor.
+	// Slow divides the speed of the runs that workers start by Factor.
 	Slow FaultKind = "slow"
 	// Still stalls the runs on workers, while the workers answer all orders.
 	Still FaultKind = "still"
-	// Evacuate evacuates failure domains, at least one, until Lasts has passed;
-	// a later fault extends it. It requires Setup.Evacuation.
+	// Evacuate evacuates failure domains, at least one, until Duration has
+	// passed; a later fault extends it. It requires Setup.EvacuationBound.
 	Evacuate FaultKind = "evacuate"
 	// Late lets a share of the orders get no answer. Each is executed Factor
-	// seconds later.
+	// seconds later, but at most maxOrderDelay with Setup.ReportStart.
 	Late FaultKind = "late"
 	// StoreDown makes the store unavailable.
 	StoreDown FaultKind = "store-down"
-	// StoreSlow makes appends slower by Factor.
+	// StoreSlow makes appends take Factor times as long.
 	StoreSlow FaultKind = "store-slow"
 	// KillOwner ends the owner's host, KillHosts a share of all hosts. They
-	// come back after Lasts.
+	// come back after Duration.
 	KillOwner FaultKind = "kill-owner"
 	KillHosts FaultKind = "kill-hosts"
 )
@@ -94,7 +94,8 @@
 	// fault affects, from 0 to 1.
 	Share    float64
 	Duration time.Duration
-	// Factor is for Shrink, Slow, Late and StoreSlow.
+	// Factor is the delay in seconds for Late. For Shrink, Slow and StoreSlow
+	// it is a divisor or a multiplier, and counts as 1 if it is below.
 	Factor float64
 }
 
@@ -129,7 +130,7 @@
 		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Duration, newID) })
 	case Reborn:
 		if !w.setup.ReportStart {
-			return fmt.Errorf("%w: %q requires workers that report their start (Setup.TellStart)", ErrFault, f.Kind)
+			return fmt.Errorf("%w: %q requires workers that report their start (Setup.ReportStart)", ErrFault, f.Kind)
 		}
 		w.eachChosen(f, func(m *machine) { m.endIncarnation(f.Duration, sameID) })
 	case Silence:
@@ -156,7 +157,7 @@
 		w.eachChosen(f, func(m *machine) { m.stalls = append(m.stalls, interval{from: w.now, to: until}) })
 	case Evacuate:
 		if w.setup.EvacuationBound == 0 {
-			return fmt.Errorf("%w: %q requires a bound for evacuations (Setup.Evacuation)", ErrFault, f.Kind)
+			return fmt.Errorf("%w: %q requires a bound for evacuations (Setup.EvacuationBound)", ErrFault, f.Kind)
 		}
 		w.evacuate(f)
 	case Late:
@@ -183,16 +184,16 @@
 	return nil
 }
 
-// StopWorker ends a worker's incarnation. The worker is down until Up. Down does
-// nothing for a worker that is down or unknown.
+// StopWorker ends a worker's incarnation. The worker is down until StartWorker.
+// StopWorker does nothing for a worker that is down or unknown.
 func (w *World) StopWorker(name id.Worker) {
 	if m := w.machineByID(name); m != nil {
 		m.endIncarnation(0, newID)
 	}
 }
 
-// StartWorker starts a new incarnation of a worker. It does nothing for a worker that is
-// up or unknown.
+// StartWorker starts a new incarnation of a worker. It does nothing for a worker
+// that is up or unknown.
 func (w *World) StartWorker(name id.Worker) {
 	if m := w.machineByID(name); m != nil && !m.up {
 		m.startIncarnation(newID)
--- a/core/world/gang.go
+++ b/core/world/gang.go
@@ -42,7 +42,8 @@
 		g.startWork(w)
 		return
 	}
-	w.Schedule(w.setup.Times.GangTimeout, func() { // also in a broken gang, whose other members have ended
+	// The timeout also applies in a broken gang, whose other members have ended.
+	w.Schedule(w.setup.Times.GangTimeout, func() {
 		if !r.ended && r.workStart == 0 {
 			r.finish(fleet.EndGangTimeout)
 		}
--- a/core/world/long_test.go
+++ b/core/world/long_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// crashOneIn is the number of jobs to one that crashes workers.
+// crashOneIn is the number of jobs of which one, on average, crashes workers.
 const crashOneIn = 8
 
 // longKinds are the kinds of faults of TestLong, and the others those of its
@@ -132,8 +132,8 @@
 	return simulateJobs(t, seed, kinds, randomJob, length)
 }
 
-// simulateTellStart is simulateLong with workers that report their starts.
-func simulateTellStart(t *testing.T, seed uint64, kinds []world.FaultKind, length time.Duration, d world.Delivery) *world.World {
+// simulateReportStart is simulateLong with workers that report their starts.
+func simulateReportStart(t *testing.T, seed uint64, kinds []world.FaultKind, length time.Duration, d world.Delivery) *world.World {
 	return simulateSite(t, seed, kinds, randomJob, length, func(s *world.Setup) { s.ReportStart, s.Delivery = true, d })
 }
 
@@ -171,8 +171,8 @@
 		w.Run(time.Duration(random.ExpFloat64() * float64(900*time.Millisecond)))
 	}
 	w.Run(5 * time.Minute)
-	// The backlog of a long run needs up to the same time again, and a task
-	// that starts last on a slow worker up to longestRunTime.
+	// The backlog of a long run may need the same time again, and a task that
+	// starts last on a slow worker up to longestRunTime.
 	for rest := length + longestRunTime; rest > 0 && openJobs(w) > 0; rest -= time.Minute {
 		w.Run(time.Minute)
 	}
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -14,11 +14,11 @@
 )
 
 // capacityGrace is how long after a worker's capacity has shrunk an owner may
-// not know the new capacity, by the platform's specification.
+// still send orders for the former capacity, by the platform's specification.
 const capacityGrace = 4500 * time.Millisecond
 
 // initialClock is the reading of a worker's clock when the simulation begins.
-// It must not be 0.
+// It must not be 0, which a dispatcher takes for a clock that it has not read.
 const initialClock = 100 * time.Second
 
 // machine is one worker of the site through all its incarnations.
@@ -30,8 +30,8 @@
 	incarnation, idCount int
 	currentID            id.Worker
 	up                   bool
-	// clockOffset is how far the clock was ahead of virtual time when it last
-	// restarted.
+	// clockOffset is how far the clock is ahead of one that has run since the
+	// simulation began; 0 if the clock has never restarted.
 	clockOffset time.Duration
 	// runs holds the current runs in the order of their starts.
 	runs []*run
@@ -58,8 +58,8 @@
 	// of their beginnings.
 	stalls []interval
 	// fullCapacity is the capacity when the worker isn't shrunk.
-	// capacityGraceUntil is until when an owner may not know the present
-	// capacity.
+	// capacityGraceUntil is until when an owner may still send orders for the
+	// former capacity.
 	fullCapacity       job.Resources
 	capacityGraceUntil unit.Instant
 	// previousListing is the entry of the previous incarnation. Its id is empty
@@ -169,7 +169,8 @@
 		}
 		w.owner.enqueueEvent(func(o *owner) {
 			if previousID != l.ID {
-				o.dispatcher.Unlist(w.now, previousID) // the list has one entry for each name
+				// The list has one entry for each name.
+				o.dispatcher.Unlist(w.now, previousID)
 			}
 			o.dispatcher.List(w.now, l)
 		})
@@ -205,8 +206,8 @@
 // reachable reports whether hosts can connect to the worker.
 func (m *machine) reachable() bool { return m.up && m.world.now >= m.partitionedUntil }
 
-// receiveOrder checks an order on arrival. It returns Carried if the worker can
-// be reached and admits the order.
+// receiveOrder checks an order on arrival. It returns CarriedOut if the worker
+// can be reached and admits the order.
 func (m *machine) receiveOrder(t dispatch.Target) fleet.Verdict {
 	if !m.reachable() {
 		return fleet.Unreachable
@@ -215,7 +216,7 @@
 }
 
 // admitOrder checks the name and the fence of an order against the present
-// incarnation, and raises its fence. It returns Carried for an order to
+// incarnation, and raises its fence. It returns CarriedOut for an order to
 // execute.
 func (m *machine) admitOrder(t dispatch.Target) fleet.Verdict {
 	switch {
@@ -307,9 +308,9 @@
 }
 
 // endAll ends all runs.
-func (m *machine) endAll(how fleet.EndReason) {
+func (m *machine) endAll(reason fleet.EndReason) {
 	for len(m.runs) > 0 {
-		m.runs[0].finish(how)
+		m.runs[0].finish(reason)
 	}
 }
 
@@ -433,7 +434,8 @@
 	m.world.list(old)
 	m.world.Schedule(m.world.setup.Times.MemberTTL, func() {
 		m.world.unlist(old.ID)
-		m.publishListing() // restores the present entry if both incarnations have one name
+		// This restores the present entry if both incarnations have one name.
+		m.publishListing()
 	})
 }
 
@@ -451,8 +453,8 @@
 	})
 }
 
-// drain announces that the worker leaves, ends its incarnation then, and brings
-// it back after another while, or never if that is 0.
+// drain announces that the worker leaves, ends its incarnation after the
+// remaining time, and brings it back after another while, or never if that is 0.
 func (m *machine) drain(remaining, back time.Duration) {
 	if !m.up {
 		return
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -190,8 +190,8 @@
 	return c.Pass + c.Worker*time.Duration(len(w.machines)) + c.Task*time.Duration(w.openTasks())
 }
 
-// countNotes counts the events that the dispatcher noted. An owner that a
-// worker has fenced ends.
+// countNotes counts the events that the dispatcher noted, and records the
+// violations among them. An owner that a worker has fenced ends.
 func (o *owner) countNotes() {
 	w := o.world
 	for _, n := range o.dispatcher.Notes() {
@@ -294,7 +294,7 @@
 	}})
 }
 
-// always permits an order to leave.
+// alwaysAllowed permits an order to leave at any time.
 func alwaysAllowed() bool { return true }
 
 // sendOrder sends one order, unless mayLeave forbids that when its turn comes,
--- a/core/world/reborn_test.go
+++ b/core/world/reborn_test.go
@@ -20,7 +20,7 @@
 // dropped the ends unread, the runs vanished for the owner ("task-vanished",
 // "running"), and completed tasks were started again.
 func TestReborn(t *testing.T) {
-	scripttest.EachIn(t, "reborn", func(t *testing.T, text string) { (&scriptRunner{t: t, tellStart: true}).run(text) })
+	scripttest.EachIn(t, "reborn", func(t *testing.T, text string) { (&scriptRunner{t: t, reportStart: true}).run(text) })
 }
 
 // TestLongReborn is TestLong with workers that restart under the names that
@@ -37,7 +37,7 @@
 
 // simulateReborn runs one seed of TestLongReborn.
 func simulateReborn(t *testing.T, seed uint64, length time.Duration, d world.Delivery) *world.World {
-	return simulateTellStart(t, seed, rebornKinds, length, d)
+	return simulateReportStart(t, seed, rebornKinds, length, d)
 }
 
 // simulation runs one seed of a long run with one Delivery of late orders.
@@ -68,7 +68,7 @@
 		for name, kinds := range map[string][]world.FaultKind{"long": longKinds, "lives": incarnationKinds} {
 			t.Run(fmt.Sprintf("%s/seed=%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				checkLong(t, simulateTellStart(t, seed, kinds, time.Duration(*longSeconds)*time.Second, world.AtWorker))
+				checkLong(t, simulateReportStart(t, seed, kinds, time.Duration(*longSeconds)*time.Second, world.AtWorker))
 			})
 		}
 	}
@@ -83,6 +83,6 @@
 // simulateCrashesReborn runs one seed of TestLongCrashesReborn.
 func simulateCrashesReborn(t *testing.T, seed uint64, length time.Duration, d world.Delivery) *world.World {
 	kinds := []world.FaultKind{world.Reborn, world.KillOwner, world.Late, world.StoreSlow, world.Reborn, world.KillHosts, world.Drain}
-	tellStart := func(s *world.Setup) { s.ReportStart, s.Delivery = true, d }
-	return simulateSite(t, seed, kinds, crashingJobs(seed, "reborn"), length, tellStart)
+	reportStart := func(s *world.Setup) { s.ReportStart, s.Delivery = true, d }
+	return simulateSite(t, seed, kinds, crashingJobs(seed, "reborn"), length, reportStart)
 }
--- a/core/world/run.go
+++ b/core/world/run.go
@@ -71,8 +71,8 @@
 	if now < r.machine.slowUntil {
 		r.speed /= r.machine.slowBy
 	}
-	if far := r.machine.world.setup.CrossRackSlowdown; far > 0 && r.crossesRacks() {
-		r.speed /= far
+	if slowdown := r.machine.world.setup.CrossRackSlowdown; slowdown > 0 && r.crossesRacks() {
+		r.speed /= slowdown
 	}
 	if r.step.LongRunning {
 		return
@@ -107,26 +107,26 @@
 // scheduleEnd schedules the end of the run after a time, or an earlier failure.
 func (r *run) scheduleEnd(after time.Duration) {
 	w := r.machine.world
-	how := fleet.EndDone
+	reason := fleet.EndDone
 	if w.draw("fail", r.task, r.number) < r.job.FailProbability {
-		how, after = fleet.EndFailed, scale(after, w.draw("when", r.task, r.number))
+		reason, after = fleet.EndFailed, scale(after, w.draw("when", r.task, r.number))
 	}
 	if w.now < r.machine.failsUntil {
-		how, after = fleet.EndFailed, min(after, quickFailTime)
+		reason, after = fleet.EndFailed, min(after, quickFailTime)
 	}
 	r.dueAt = w.now.Add(after)
-	w.Schedule(after, func() { r.endWhenDue(how) })
+	w.Schedule(after, func() { r.endWhenDue(reason) })
 }
 
 // endWhenDue ends the run as scheduled, or defers the end by the time for which
 // the run stalled. The members of a gang end together when the work of all is
 // done.
-func (r *run) endWhenDue(how fleet.EndReason) {
+func (r *run) endWhenDue(reason fleet.EndReason) {
 	if r.ended {
 		return
 	}
 	members := []*run{r}
-	if how == fleet.EndDone && r.gang != nil {
+	if reason == fleet.EndDone && r.gang != nil {
 		members = r.gang.members
 	}
 	now, deferral := r.machine.world.now, time.Duration(0)
@@ -135,11 +135,11 @@
 	}
 	switch {
 	case deferral > 0:
-		r.machine.world.Schedule(deferral, func() { r.endWhenDue(how) })
-	case how == fleet.EndDone && r.gang != nil:
+		r.machine.world.Schedule(deferral, func() { r.endWhenDue(reason) })
+	case reason == fleet.EndDone && r.gang != nil:
 		r.gang.finishAll()
 	default:
-		r.finish(how)
+		r.finish(reason)
 	}
 }
 
@@ -172,20 +172,20 @@
 }
 
 // finish ends the run and adds its end to the ends that the worker reports.
-func (r *run) finish(how fleet.EndReason) {
+func (r *run) finish(reason fleet.EndReason) {
 	m, w := r.machine, r.machine.world
-	r.release(how == fleet.EndDone)
+	r.release(reason == fleet.EndDone)
 	h := r.job.historyOf(r.task)
 	switch {
-	case how == fleet.EndFailed:
+	case reason == fleet.EndFailed:
 		h.failures++
-	case how == fleet.EndDone && !h.done:
+	case reason == fleet.EndDone && !h.done:
 		h.done = true
 		r.job.doneTasks++
 	}
-	w.tally.count(how)
-	e := fleet.End{Task: r.task, Run: r.number, Reason: how}
-	if how != fleet.EndDone {
+	w.tally.count(reason)
+	e := fleet.End{Task: r.task, Run: r.number, Reason: reason}
+	if reason != fleet.EndDone {
 		e.Checkpoint = r.checkpoint()
 	}
 	m.lastSeq++
@@ -194,7 +194,7 @@
 	if m.answerHeld != nil {
 		m.answerHeld()
 	}
-	if r.gang != nil && how != fleet.EndDone {
+	if r.gang != nil && reason != fleet.EndDone {
 		r.gang.breakUp()
 	}
 }
--- a/core/world/script_test.go
+++ b/core/world/script_test.go
@@ -27,8 +27,11 @@
 //	job NAME [count=N] [gpus=N] [takes=D] [estimate=D] [priority=N]
 //	        [attempts=N] [gang] [saves] [twosteps] [fails=X] [cancel=D]
 //	        [crashes=D] [reborn] [lasts] [apart=N]
-//	    submits a job; its first task crashes its worker after the time
-//	    "crashes", and the worker restarts under its name with "reborn"
+//	    submits a job; "lasts" makes its tasks long-running, "apart" bounds
+//	    how many of a step run on one worker, and "twosteps" adds a second
+//	    step that depends on the first; the job's first task crashes its
+//	    worker after the time "crashes", and the worker restarts under its
+//	    name with "reborn"
 //	strike KIND [share=X] [lasts=D] [factor=X]
 //	    injects a fault
 //	run D
@@ -52,8 +55,8 @@
 	t    *testing.T
 	line string
 	w    *world.World
-	// tellStart is set for scripts in which workers restart under their names.
-	tellStart bool
+	// reportStart is set for scripts in which workers restart under their names.
+	reportStart bool
 	// changeSetup changes the setup before the World is created; nil for none.
 	changeSetup func(*world.Setup)
 }
@@ -130,7 +133,7 @@
 func (p *scriptRunner) newWorld(o args) {
 	s := setup(int(o.number("workers", 8)), int(o.number("hosts", 1)), o.number("cores", 1))
 	s.Times.MaxDrift, s.Times.StopTime = o.number("drift", 0), o.duration("stop", 0)
-	s.ReportStart = p.tellStart
+	s.ReportStart = p.reportStart
 	s.Costs = world.Costs{Pass: o.duration("pass", 0), Order: o.duration("order", 0)}
 	for i := range s.Workers {
 		s.Workers[i].Speed = o.number("speed", 1)
--- a/core/world/seeds_test.go
+++ b/core/world/seeds_test.go
@@ -10,8 +10,8 @@
 	"curlewsill.org/curlewsill/core/world"
 )
 
-// seedDuration is how long each seed of testdata/seeds.txt runs with faults. It
-// is the duration of the long runs that found the seeds.
+// seedDuration is how long each seed of testdata/seeds.txt runs with faults. The
+// seeds failed in long runs of this duration.
 const seedDuration = 60 * time.Second
 
 // seedSimulations are the long runs by their names in testdata/seeds.txt.
--- a/core/world/setup.go
+++ b/core/world/setup.go
@@ -24,16 +24,16 @@
 	Guarantees []Guarantee
 	Costs      Costs
 	Times      Times
-	// CheckpointInterval is the amount of work between two checkpoints of a task that
-	// saves checkpoints.
+	// CheckpointInterval is the amount of work between two checkpoints of a
+	// task that saves checkpoints.
 	CheckpointInterval time.Duration
-	// CrossRackSlowdown is the factor by which a task is slower when it runs outside the rack
-	// of its data, or in a gang that asks for one rack and spans several. 0
-	// stands for 1.
+	// CrossRackSlowdown is the factor by which a task is slower when it runs
+	// outside the rack of its data, or in a gang that asks for one rack and
+	// spans several. 0 stands for 1.
 	CrossRackSlowdown float64
-	// EvacuationBound is how long after the operator has evacuated a failure domain
-	// a task may still start there. The dispatchers that Make returns are
-	// configured with the same bound. 0 disables evacuations.
+	// EvacuationBound is how long after the operator has evacuated a failure
+	// domain a task may still start there. The dispatchers that NewDispatcher
+	// returns are configured with the same bound. 0 disables evacuations.
 	EvacuationBound time.Duration
 	// ReportStart lets workers report when their incarnations started, so that a
 	// worker may restart under the name that it had.
@@ -122,30 +122,30 @@
 type Times struct {
 	// RoundTrip is the round-trip time of an order and its answer.
 	RoundTrip time.Duration
-	// LinkTime is the time for which each order occupies the owner's network link.
-	// Orders leave one after the other.
+	// LinkTime is the time for which each order occupies the owner's network
+	// link. Orders leave one after the other.
 	LinkTime time.Duration
 	// Append is the duration of an append. During its first part, AppendGap,
 	// the store begins no other append.
 	Append, AppendGap time.Duration
-	// ReadDelay is the delay until hosts have read a new record. Poll is the period
-	// at which the owner reads the operator's records.
+	// ReadDelay is the delay until hosts have read a new record. OperatorPoll
+	// is the period at which the owner reads the operator's records.
 	ReadDelay, OperatorPoll time.Duration
 	// Timeout is how long the owner waits for an answer.
 	Timeout time.Duration
-	// MinPassInterval and IdleEvery are the minimum and the maximum time between two
-	// scheduling passes.
+	// MinPassInterval and MaxPassInterval are the minimum and the maximum time
+	// between two scheduling passes.
 	MinPassInterval, MaxPassInterval time.Duration
-	// EventTimeFactor times the duration of a pass is how long events are processed
-	// before the next pass.
+	// EventTimeFactor times the duration of a pass is how long events are
+	// processed before the next pass.
 	EventTimeFactor float64
-	// ListingDelay is the delay until the owner learns of a change of the list of
-	// workers.
+	// ListingDelay is the delay until the owner learns of a change of the list
+	// of workers.
 	ListingDelay time.Duration
 	// GangTimeout is how long the members of a gang wait for the other members.
 	GangTimeout time.Duration
-	// StopTime is how long a task holds its resources after a stop order. Restore
-	// is how long a task takes to resume from a checkpoint.
+	// StopTime is how long a task holds its resources after a stop order.
+	// RestoreTime is how long a task takes to resume from a checkpoint.
 	StopTime, RestoreTime time.Duration
 	// MaxLease is the longest lease that a worker accepts; 0 for no bound. The
 	// bound only matters when an incarnation executes an order whose lease was
@@ -153,12 +153,12 @@
 	MaxLease time.Duration
 	// RestartDelay is how long a worker is down after a task has crashed it.
 	RestartDelay time.Duration
-	// GroupPoll is the period at which a host polls the group of hosts. MemberTTL is
-	// how long the store still lists a host, and the list of workers a worker,
-	// that is down or can't be reached.
+	// GroupPoll is the period at which a host polls the group of hosts.
+	// MemberTTL is how long the store still lists a host that is down, and the
+	// list of workers still shows a worker that is down or partitioned.
 	GroupPoll, MemberTTL time.Duration
-	// MaxDrift is the maximum part by which a worker's clock is slow, from 0 to
-	// 0.02.
+	// MaxDrift is the maximum fraction by which a worker's clock is slow, from
+	// 0 to 0.02.
 	MaxDrift float64
 }
 
@@ -167,17 +167,17 @@
 	Name id.Job
 	// Spec has no time of acceptance yet.
 	Spec job.Spec
-	// RunTimes holds the real run time of each task on a worker of speed 1, in the
-	// order of rounds, steps and indexes.
+	// RunTimes holds the real run time of each task on a worker of speed 1, in
+	// the order of rounds, steps and indexes.
 	RunTimes []time.Duration
-	// FailProbability is the probability that a run fails; 1 for a job that can't
-	// complete.
+	// FailProbability is the probability that a run fails; 1 for a job that
+	// can't complete.
 	FailProbability float64
 	// CrashAfter is how long after its start each run of the job's first task
 	// crashes its worker; 0 for a job that crashes no worker.
 	CrashAfter time.Duration
-	// SameName lets the workers that the job crashes restart under the names that
-	// they had.
+	// SameName lets the workers that the job crashes restart under the names
+	// that they had.
 	SameName bool
 	// CancelAfter is how long after the submission the customer cancels the
 	// job; 0 for never.
--- a/core/world/storm_test.go
+++ b/core/world/storm_test.go
@@ -19,8 +19,8 @@
 	width  int
 	share  float64
 	period time.Duration
-	// crashOneIn is the number of jobs to one that crashes its workers
-	// crashAfter its start; 0 for none.
+	// One of crashOneIn jobs, on average, crashes its workers, each crashAfter
+	// the start of its run; no job does if crashOneIn is 0.
 	crashOneIn int
 	crashAfter time.Duration
 }
@@ -41,8 +41,8 @@
 
 // TestStorms simulates storms of crashes over gangs of several widths. No job
 // that can complete may be given up, and tasks that crash workers must not be
-// started more often than allowed. For all cases with a table of results, where
-// not all cases pass:
+// started more often than allowed. The following command runs all cases, of
+// which not all pass, and logs the results of each:
 //
 //	go test ./core/world -run Storms -v -args -stormseeds 20
 //
@@ -50,7 +50,7 @@
 // crashes, which each worker of any member raised, so that wide gangs were
 // given up that crash nothing: on a site of 350 workers, a gang of 38 members
 // at "3 of 3 at once", because of the workers of its members 2, 3 and 1. And
-// crashes counted against orders that the worker's next incarnation had
+// crashes were counted for start orders that the worker's next incarnation had
 // refused.
 func TestStorms(t *testing.T) {
 	cases := []stormCase{
--- a/core/world/tally.go
+++ b/core/world/tally.go
@@ -55,9 +55,10 @@
 	Name  id.Job
 	Kind  string
 	State State
-	// At is the time of the submission since the beginning. Started is the time
-	// from the submission to the start of the first run, and Took that to the
-	// outcome; 0 while there is none.
+	// At is the time of the submission since the beginning. StartDelay is the
+	// time from the submission to the start of the first run, and
+	// CompletionTime that from the submission to the outcome; each is 0 while
+	// there is none.
 	At, StartDelay, CompletionTime time.Duration
 	// Chain is the work of the longest chain of dependent steps, on workers of
 	// speed 1.
@@ -66,8 +67,8 @@
 	Work float64
 	// FailProbability is the probability that a run fails.
 	FailProbability float64
-	// CrashesWorkers is set if the job's first task crashes each worker that starts
-	// it.
+	// CrashesWorkers is set if the job's first task crashes each worker that
+	// starts it.
 	CrashesWorkers bool
 }
 
@@ -76,8 +77,8 @@
 	out := make([]Outcome, 0, len(w.submissions))
 	for _, s := range w.submissions {
 		o := Outcome{
-			Name: s.Name, Kind: s.Kind, State: s.state, At: s.submittedAt.Sub(Begin), Work: s.totalWork(), Chain: s.longestChain(), FailProbability: s.FailProbability,
-			CrashesWorkers: s.CrashAfter > 0,
+			Name: s.Name, Kind: s.Kind, State: s.state, At: s.submittedAt.Sub(Begin),
+			Work: s.totalWork(), Chain: s.longestChain(), FailProbability: s.FailProbability, CrashesWorkers: s.CrashAfter > 0,
 		}
 		if s.startedAt != 0 {
 			o.StartDelay = s.startedAt.Sub(s.submittedAt)
@@ -125,7 +126,10 @@
 // Tally holds the counters of a World.
 type Tally struct {
 	// Starts counts the runs that workers started. The other fields count how
-	// runs ended.
+	// runs ended: Done with success, Failed by a failure, Stopped by an order,
+	// Lapsed with the worker's lease, Broken with another member of the gang,
+	// Alone because the gang was not complete in time, and Vanished with the
+	// worker's incarnation.
 	Starts, Done, Failed, Stopped, Lapsed, Broken, Alone, Vanished int
 	// Crashes counts the incarnations of workers that tasks have crashed.
 	Crashes int
@@ -135,16 +139,16 @@
 	Useful, Wasted float64
 	// Passes counts the owners' scheduling passes, Claims the changes of owner.
 	Passes, Claims int
-	// OwnerCPUTime is the processor time of the owners' work on whole cores, OwnedTime
-	// how long the owners' processors were busy, and LongestWait the longest
-	// time for which a work item waited for the processor.
+	// OwnerCPUTime is the processor time of the owners' work on whole cores,
+	// OwnerBusyTime how long the owners' processors were busy, and LongestWait
+	// the longest time for which a work item waited for the processor.
 	OwnerCPUTime, OwnerBusyTime, LongestWait time.Duration
 	Violations                               int
 }
 
 // count counts the end of a run.
-func (t *Tally) count(how fleet.EndReason) {
-	switch how {
+func (t *Tally) count(reason fleet.EndReason) {
+	switch reason {
 	case fleet.EndDone:
 		t.Done++
 	case fleet.EndFailed:
@@ -181,7 +185,8 @@
 type Sample struct {
 	// At is the time since the beginning.
 	At time.Duration
-	// Utilization is the share of the accelerators of running workers that runs hold.
+	// Utilization is the share of the accelerators that runs hold, of those of
+	// workers that are up.
 	Utilization float64
 	// Fragmentation is the share of the free accelerators that are on partly
 	// used workers, where no task can use them that needs a whole worker. It is
--- a/core/world/world.go
+++ b/core/world/world.go
@@ -17,9 +17,9 @@
 )
 
 var (
-	// ErrSetup reports a setup without workers, hosts or Make, or with a speed
-	// or a number of cores that isn't above 0.
-	ErrSetup = errors.New("world: a setup needs Make, and workers and hosts with speeds and cores above 0")
+	// ErrSetup reports a setup without workers, hosts or NewDispatcher, or with
+	// a speed or a number of cores that isn't above 0.
+	ErrSetup = errors.New("world: a setup needs NewDispatcher, and workers and hosts with speeds and cores above 0")
 	// ErrNeverFits reports a job that doesn't fit even on the empty site.
 	ErrNeverFits = errors.New("world: the job does not fit even on the empty site")
 	// ErrJob reports an incomplete job, or one whose name is taken.
