--- a/core/proof/check_test.go
+++ b/core/proof/check_test.go
@@ -76,9 +76,9 @@
 // updatePartial records since when a gang runs on only some of its workers. A
 // member whose task exited by itself doesn't make the gang partial.
 func (w *world) updatePartial(g *gangWatch) {
-	whole := len(g.running)+g.exited >= g.size
+	complete := len(g.running)+g.exited >= g.size
 	switch {
-	case whole || len(g.running) == 0:
+	case complete || len(g.running) == 0:
 		g.partialSince = 0
 	case g.partialSince == 0:
 		g.partialSince = w.now
@@ -179,7 +179,7 @@
 	switch {
 	case len(c.replies) > 1:
 		w.reportViolation("request %s was answered %d times", c.name, len(c.replies))
-	case r.RelayedAttempt != 0 && !c.wholeAttempts[r.RelayedAttempt]:
+	case r.RelayedAttempt != 0 && !c.completeAttempts[r.RelayedAttempt]:
 		w.reportViolation("request %s got the answer of attempt %d, which was not complete", c.name, r.RelayedAttempt)
 	case r.Ran == route.RanNo && c.runs > 0:
 		w.reportViolation("request %s was refused as not run but ran %d times", c.name, c.runs)
--- a/core/proof/script_test.go
+++ b/core/proof/script_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-// script is a world and the plans that a script has drawn, by name.
+// script is a world and the plans that a script has made, by name.
 type script struct {
 	*world
 	plans map[string]plan.Plan
@@ -236,7 +236,7 @@
 	w.checkStates()
 }
 
-// cmdPlan draws a plan at a host and keeps it under a name: plan NAME HOST
+// cmdPlan makes a plan at a host and keeps it under a name: plan NAME HOST
 // [guarantees=...] [customer=NAME weight=N quota=N] [delete=SERVICE].
 func cmdPlan(s *script, w words) error {
 	changes, err := siteChanges(0, w.list("guarantees"))
--- a/core/proof/world_test.go
+++ b/core/proof/world_test.go
@@ -197,11 +197,11 @@
 type call struct {
 	name    string
 	request route.Request
-	// runs counts executions at backend servers; wholeAttempts has the numbers
+	// runs counts executions at backend servers; completeAttempts has the numbers
 	// of the attempts whose complete answer arrived.
-	runs          int
-	wholeAttempts map[int]bool
-	replies       []route.Reply
+	runs             int
+	completeAttempts map[int]bool
+	replies          []route.Reply
 	// callerGone is set once the caller or the host that took the request is
 	// gone.
 	callerGone bool
@@ -571,8 +571,8 @@
 	end := func(after time.Duration, o route.Outcome) {
 		w.schedule(after, func() {
 			res.Outcome, res.Took = o, after
-			if o == route.Complete && c.wholeAttempts != nil {
-				c.wholeAttempts[a.Number] = true
+			if o == route.Complete && c.completeAttempts != nil {
+				c.completeAttempts[a.Number] = true
 			}
 			w.stepIncarnation(m, incarnation, node.AttemptEnded{Result: res})
 		})
@@ -640,7 +640,7 @@
 func (w *world) request(m *machine, name string, q route.Request) {
 	w.lastRequest++
 	q.ID = w.lastRequest
-	w.calls[callID{m.name, q.ID}] = &call{name: name, request: q, wholeAttempts: map[int]bool{}, arrivedAt: w.now, incarnation: m.incarnation}
+	w.calls[callID{m.name, q.ID}] = &call{name: name, request: q, completeAttempts: map[int]bool{}, arrivedAt: w.now, incarnation: m.incarnation}
 	w.step(m, node.RequestArrived{Request: q})
 }
 
