--- a/core/proof/long_test.go
+++ b/core/proof/long_test.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// requests sends up to four equal requests, each to a random host. If they must run
-// at most once, they may have a key, which they share. Some callers go away.
+// requests sends up to four equal requests, each to a random host. If they must
+// run at most once, they may have a key, which they share. Some callers go away.
 func (c *chaos) requests() {
 	key := ""
 	once := c.rng.IntN(3) == 0
--- a/core/proof/script_test.go
+++ b/core/proof/script_test.go
@@ -333,7 +333,7 @@
 	return nil
 }
 
-// cmdGone tells the host that the caller of a request went away: gone NAME.
+// cmdGone notifies the host that the caller of a request went away: gone NAME.
 func cmdGone(s *script, w words) error {
 	for k, c := range s.calls {
 		if c.name == w.at(0) {
@@ -366,8 +366,8 @@
 }
 
 // cmdWorker controls workers: worker W[,W...] kill|start|silent|answer|break|mend.
-// A silent worker runs its tasks but answers no sync, until it is told to answer.
-// A broken worker crashes each task that it starts, until it is mended. A name
+// A silent worker runs its tasks but answers no sync until the verb answer. A
+// broken worker crashes each task that it starts until the verb mend. A name
 // that ends in * stands for all workers with this prefix.
 func cmdWorker(s *script, w words) error {
 	found := false
@@ -399,10 +399,10 @@
 	return nil
 }
 
-// cmdLog sets the mode of the log or changes its records: log MODE [by=2m], or log
-// damage|forget|forget-old. The modes are those of logMode; by is the delay of late
-// appends. Damage appends an invalid record, forget drops all records, and
-// forget-old drops all but the newest three.
+// cmdLog sets the mode of the log or changes its records: log MODE [by=2m], or
+// log damage|forget|forget-old. The modes are those of logMode; by is the delay
+// of late appends. Damage appends an invalid record, forget drops all records,
+// and forget-old drops all but the newest three.
 func cmdLog(s *script, w words) error {
 	switch w.at(0) {
 	case "damage":
--- a/core/world/evacuation.go
+++ b/core/world/evacuation.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// pollOperator lets the owner read the operator's records periodically. While
+// pollOperator makes the owner read the operator's records periodically. While
 // the store is unavailable, the owner gets no update.
 func (o *owner) pollOperator() {
 	w := o.world
--- a/core/world/fault.go
+++ b/core/world/fault.go
@@ -28,7 +28,7 @@
 	// Reborn is Kill with workers that come back under the names that they had.
 	// It requires Setup.ReportStart.
 	Reborn FaultKind = "reborn"
-	// Silence lets workers neither receive nor answer orders, while the list
+	// Silence makes workers neither receive nor answer orders, while the list
 	// still shows them. What runs there continues until its lease ends.
 	Silence FaultKind = "silence"
 	// Drain announces that workers leave after Duration. They come back after
@@ -38,17 +38,17 @@
 	// the list of workers, which drops them after Times.MemberTTL. What runs
 	// there continues until its lease ends.
 	Apart FaultKind = "apart"
-	// StaleEntry lets the list of workers show the previous incarnation of
-	// workers again, until that entry expires.
+	// StaleEntry makes the list of workers show the previous incarnation of
+	// workers again, until that entry expires after Times.MemberTTL.
 	StaleEntry FaultKind = "stale-entry"
-	// ReadList lets the owner read the whole list again, in reverse order of
+	// ReadList makes the owner read the whole list again, in reverse order of
 	// names.
 	ReadList FaultKind = "read-list"
-	// Fail lets all runs fail that workers start.
+	// Fail makes all runs fail that workers start.
 	Fail FaultKind = "fail"
-	// Busy lets workers refuse all start orders.
+	// Busy makes workers refuse all start orders.
 	Busy FaultKind = "busy"
-	// Mute lets workers neither execute nor answer start orders, while they
+	// Mute makes workers neither execute nor answer start orders, while they
 	// answer all other orders.
 	Mute FaultKind = "mute"
 	// Shrink divides the capacity of workers by Factor, which the list shows.
@@ -61,7 +61,7 @@
 	// Evacuate evacuates failure domains, at least one, until Duration has
 	// passed; a later fault extends it. It requires Setup.EvacuationBound.
 	Evacuate FaultKind = "evacuate"
-	// Late lets a share of the orders get no answer. Each is executed Factor
+	// Late leaves a share of the orders unanswered. Each is executed Factor
 	// seconds later, but at most maxOrderDelay with Setup.ReportStart.
 	Late FaultKind = "late"
 	// StoreDown makes the store unavailable.
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -424,7 +424,7 @@
 	}
 }
 
-// showPreviousListing lets the list show the previous incarnation until that
+// showPreviousListing makes the list show the previous incarnation until that
 // entry expires.
 func (m *machine) showPreviousListing() {
 	if m.previousListing.ID == "" {
@@ -439,7 +439,7 @@
 	})
 }
 
-// readList lets the owner read the whole list, in reverse order of names.
+// readList makes the owner read the whole list, in reverse order of names.
 func (w *World) readList() {
 	if w.owner == nil {
 		return
--- a/core/world/tally.go
+++ b/core/world/tally.go
@@ -63,7 +63,8 @@
 	// Chain is the work of the longest chain of dependent steps, on workers of
 	// speed 1.
 	Chain time.Duration
-	// Work is the total work of the tasks in core-seconds.
+	// Work is the total work of the tasks in core-seconds, where an accelerator
+	// counts for coresPerAccelerator cores.
 	Work float64
 	// FailProbability is the probability that a run fails.
 	FailProbability float64
@@ -135,7 +136,7 @@
 	Crashes int
 	// Useful is the core-seconds of runs that ended with success, Wasted the
 	// core-seconds of work that was neither completed nor saved in a
-	// checkpoint.
+	// checkpoint. Accelerators count as in Outcome.Work.
 	Useful, Wasted float64
 	// Passes counts the owners' scheduling passes, Claims the changes of owner.
 	Passes, Claims int
--- a/core/world/world.go
+++ b/core/world/world.go
@@ -179,7 +179,7 @@
 	w.store.append(jobsLog, 0, []jobtable.Record{w.table.CancelRecord(s.Name)}, func(bool) { w.notifyOwner(s.Name) })
 }
 
-// notifyOwner lets the owner read the stored record of a job after the read
+// notifyOwner makes the owner read the stored record of a job after the read
 // delay. An owner that takes over later reads it when it begins.
 func (w *World) notifyOwner(name id.Job) {
 	w.Schedule(w.setup.Times.ReadDelay, func() {
