--- a/internal/entry/assure.go
+++ b/internal/entry/assure.go
@@ -28,13 +28,14 @@
 	readStaleAfter = 1800 * time.Millisecond
 	// absentHostRetention is how long a host that has left the group of live
 	// hosts must still confirm. If it doesn't return, only the assurance during
-	// a store outage is lost, and without one, leases of 6 s still survive an
-	// outage of 9 s.
+	// a store outage is lost; even without it, leases of 6 s survive an outage
+	// of 9 s.
 	absentHostRetention = 30 * time.Second
 )
 
-// assure records that no other host was the owner at the time when a read of
-// the jobs was sent. The caller has already applied the records of that read.
+// assure records that no other host was the owner at the time when the read,
+// append or question that shows this was sent. The records that a read returned
+// have already been applied.
 func (h *Host) assure(sent unit.Instant) { h.assured = max(h.assured, sent) }
 
 // otherHost is another host as last seen in the group of live hosts.
@@ -44,9 +45,10 @@
 	seen    unit.Instant
 }
 
-// rememberHosts records the hosts that a read of the group has returned. A host that
-// is missing from the group is kept for a while: it may be cut off from the
-// store and claim the ownership when the store becomes reachable again.
+// rememberHosts records the hosts that a read of the group has returned. A host
+// that is missing from the group is kept for absentHostRetention: it may be cut
+// off from the store and claim the ownership when the store becomes reachable
+// again.
 func (h *Host) rememberHosts(now unit.Instant, members []election.Member, addresses map[id.Host]string) {
 	for _, m := range members {
 		if machine := machineOf(m.Host); machine != h.settings.Host {
--- a/internal/entry/assured_internal_test.go
+++ b/internal/entry/assured_internal_test.go
@@ -47,8 +47,8 @@
 // are handled as they arrive.
 func newAssured(ctx context.Context, store *storeScript) *Host {
 	h := &Host{
-		log: zap.NewNop(), metrics: newMetrics(), health: newStoreHealth(zap.NewNop()), self: "a#1", table: jobtable.New(), events: ring.New[event](eventCapacity),
-		clock: newTestClock(), watchers: watchers{},
+		log: zap.NewNop(), metrics: newMetrics(), health: newStoreHealth(zap.NewNop()), self: "a#1", table: jobtable.New(),
+		events: ring.New[event](eventCapacity), clock: newTestClock(), watchers: watchers{},
 		store: platform.NewStore("store", &http.Client{Transport: store}), election: election.New(election.Member{Host: "a#1", Ability: 100}),
 	}
 	go decideEach(ctx, h.events, h.now, func(unit.Instant) {})
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -35,9 +35,9 @@
 // BenchmarkPath runs one host as the owner of many workers; each iteration
 // submits one second of jobs. The processor time of the process includes the
 // host and the stand-ins; a profile (-cpuprofile) separates them by package.
-// The benchmark counts the connections opened to workers since the start. When
-// each waiting step iterated over all workers, a second took 8.2 MB and 74,463
-// allocations; now it takes 6.9 MB and 66,290.
+// The benchmark counts the connections opened to workers since the start. If
+// each waiting step iterates over all workers, an iteration takes 8.2 MB and
+// 74,463 allocations instead of 6.9 MB and 66,290.
 func BenchmarkPath(b *testing.B) {
 	store := standin.NewStore()
 	address, stop, err := standin.Listen(store)
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -40,29 +40,29 @@
 
 // state answers a request for the state of a job.
 func (f *clientHandler) state(ctx context.Context, c *call) reply {
-	l, ok := f.find(ctx, c.job)
+	v, ok := f.find(ctx, c.job)
 	switch {
 	case !ok:
 		return refused("the newest state can't be read")
-	case !l.known || l.ofOtherCustomer(c):
+	case !v.known || v.ofOtherCustomer(c):
 		return reply{status: http.StatusGone, why: "no such job"}
 	}
-	if l.state == jobtable.StateRunning {
-		l = f.awaitEnd(ctx, c.job, l)
+	if v.state == jobtable.StateRunning {
+		v = f.awaitEnd(ctx, c.job, v)
 	}
-	return reply{status: http.StatusOK, body: platform.StateBody{State: l.state}, why: string(l.state)}
+	return reply{status: http.StatusOK, body: platform.StateBody{State: v.state}, why: string(v.state)}
 }
 
 // cancel cancels a job. The answer is sent when the cancel record is in the
 // store.
 func (f *clientHandler) cancel(ctx context.Context, c *call) reply {
-	l, ok := f.find(ctx, c.job)
+	v, ok := f.find(ctx, c.job)
 	switch {
 	case !ok:
 		return refused("the newest state can't be read")
-	case !l.known || l.ofOtherCustomer(c) || l.state == jobtable.StateCompleted || l.state == jobtable.StateFailed:
+	case !v.known || v.ofOtherCustomer(c) || v.state == jobtable.StateCompleted || v.state == jobtable.StateFailed:
 		return reply{status: http.StatusGone, why: "no such open job"}
-	case l.state == jobtable.StateCancelled:
+	case v.state == jobtable.StateCancelled:
 		return reply{status: http.StatusOK, why: "cancelled before"}
 	}
 	return f.store(ctx, f.records.CancelRecord(c.job), "cancelled")
@@ -92,11 +92,11 @@
 	if err != nil {
 		return reply{status: http.StatusBadRequest, why: err.Error()}
 	}
-	l, ok := f.awaitLoaded(ctx, c.job)
-	if !ok || !l.loaded {
+	v, ok := f.awaitLoaded(ctx, c.job)
+	if !ok || !v.loaded {
 		return refused("the jobs are not known yet")
 	}
-	if l.known {
+	if v.known {
 		return reply{status: http.StatusOK, why: "accepted before"}
 	}
 	applyQueueDefaults(&spec, c.queue, c.customer)
--- a/internal/entry/checks_test.go
+++ b/internal/entry/checks_test.go
@@ -14,9 +14,9 @@
 	"curlewsill.org/curlewsill/platform/standin"
 )
 
-// ask executes a command that queries the site as a client does, or checks
+// doQuery executes a command that queries the site as a client does, or checks
 // something.
-func (s *site) ask(f []string) {
+func (s *site) doQuery(f []string) {
 	host := 0
 	if f[0] != "starts" {
 		host = s.number(f[1])
@@ -192,7 +192,8 @@
 func (s *site) awaitWave(wave string) {
 	s.eventually(func() (bool, string) {
 		status := string(s.store.Get("keyed.status", "wave/"+wave))
-		return strings.Contains(status, "completed"), fmt.Sprintf("wave %s has status %s; machines %v went down", wave, status, s.machineService.UpkeepsStarted())
+		return strings.Contains(status, "completed"),
+			fmt.Sprintf("wave %s has status %s; machines %v went down", wave, status, s.machineService.UpkeepsStarted())
 	})
 }
 
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -26,10 +26,10 @@
 
 const (
 	// epochRandomBits is the number of random bits of an epoch, and
-	// epochOffsetShift the number of bits below the offset. The random part
-	// leaves room for every increase of one owner's fence. Together with the
-	// offset, an epoch stays below 2^53, which a JSON number represents
-	// exactly.
+	// epochOffsetShift the number of bits below the offset, one more, so that
+	// every increase of one owner's fence stays below the next offset's epochs.
+	// Together with the offset, an epoch stays below 2^53, which a JSON number
+	// represents exactly.
 	epochRandomBits  = id.FenceRevisionBits
 	epochOffsetShift = id.FenceRevisionBits + 1
 )
@@ -45,9 +45,9 @@
 	return vacant || h.election.ShouldClaim(now)
 }
 
-// noteFormerIncarnation marks the ownership as vacant if the owner is an earlier
-// incarnation of this host, since that process has ended for certain. The store
-// would list it as a live host until its time to live expires.
+// noteFormerIncarnation marks the ownership as vacant if the owner is an
+// earlier incarnation of this host, since that process has ended for certain.
+// The store would list it as a live host until its time to live expires.
 func (h *Host) noteFormerIncarnation() {
 	o := h.table.Owner()
 	if o.Host != h.self && machineOf(o.Host) == h.settings.Host {
--- a/internal/entry/deadconns.go
+++ b/internal/entry/deadconns.go
@@ -23,11 +23,11 @@
 // deadConnHandler returns a function that logs and counts connections of a kind
 // that were found dead.
 func (m *metrics) deadConnHandler(log *zap.Logger, kind peerKind) func(conntrack.DeadConn) {
-	return func(f conntrack.DeadConn) {
-		m.deadConnections.WithLabelValues(string(kind), strconv.FormatBool(f.First)).Inc()
-		m.suspectConnections.WithLabelValues(string(kind)).Add(float64(f.Closed))
-		log.Warn("connection-dead", zap.String("kind", string(kind)), zap.String("to", f.To), zap.Duration("age", f.Age),
-			zap.Duration("idle", f.Idle), zap.Bool("first", f.First), zap.String("why", f.Why),
-			zap.Int("closed", f.Closed))
+	return func(c conntrack.DeadConn) {
+		m.deadConnections.WithLabelValues(string(kind), strconv.FormatBool(c.First)).Inc()
+		m.suspectConnections.WithLabelValues(string(kind)).Add(float64(c.Closed))
+		log.Warn("connection-dead", zap.String("kind", string(kind)), zap.String("to", c.To), zap.Duration("age", c.Age),
+			zap.Duration("idle", c.Idle), zap.Bool("first", c.First), zap.String("why", c.Why),
+			zap.Int("closed", c.Closed))
 	}
 }
--- a/internal/entry/evacuations.go
+++ b/internal/entry/evacuations.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// noteOperatorRead records that this host knows all operator records up to the time when
-// a read was sent.
+// noteOperatorRead records that this host knows all operator records up to the
+// time when a read was sent.
 func (h *Host) noteOperatorRead(sent unit.Instant) {
 	h.operatorReadAt = max(h.operatorReadAt, sent)
 	if h.owner != nil {
--- a/internal/entry/front.go
+++ b/internal/entry/front.go
@@ -50,8 +50,8 @@
 	// queue are nil if no queue was found.
 	catalog *catalog.Catalog
 	queue   *catalog.Queue
-	// customer is the owner of the call's API key; empty if the queue needs no
-	// key.
+	// customer is the one whose API key the call carries; empty if it carries
+	// no known key, which only an anonymous queue allows.
 	customer id.Customer
 	// job is empty if the call concerns the queue.
 	job id.Job
--- a/internal/entry/gather.go
+++ b/internal/entry/gather.go
@@ -21,7 +21,7 @@
 // recordsBase is the URL of a host's own writer on the relay path.
 const recordsBase = "http://records"
 
-// recordCodec encodes a record for the way from a host to the owner.
+// recordCodec encodes the records that hosts forward to the owner.
 var recordCodec = codec.New[gathered]()
 
 // gathered is a record that a host forwards to the owner.
--- a/internal/entry/health.go
+++ b/internal/entry/health.go
@@ -37,8 +37,9 @@
 
 	mu sync.Mutex
 	// inFlight holds the start time of each call in flight, by its number.
+	// lastCall is the number of the newest call.
 	inFlight map[uint64]time.Time
-	next     uint64
+	lastCall uint64
 	// answered is when the last answer of any kind arrived.
 	answered time.Time
 	// refusedSince is when the first refusal of the current unbroken series
@@ -61,8 +62,8 @@
 func (h *storeHealth) begin() func(error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.next++
-	n := h.next
+	h.lastCall++
+	n := h.lastCall
 	h.inFlight[n] = time.Now()
 	return func(err error) { h.end(n, err) }
 }
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -39,7 +39,8 @@
 )
 
 const (
-	// eventCapacity is the capacity of the ring of events for the deciding goroutine.
+	// eventCapacity is the capacity of the ring of events for the deciding
+	// goroutine.
 	eventCapacity = 4096
 	// memoryShare is the part of the allowed memory that the runtime uses as
 	// its soft limit.
@@ -59,15 +60,16 @@
 // occurrence.
 type event func(now unit.Instant)
 
-// Host is one entry host: it serves clients, and schedules while it is the owner.
+// Host is one entry host: it serves clients, and schedules while it is the
+// owner.
 type Host struct {
 	settings settings.Site
 	log      *zap.Logger
 	metrics  *metrics
 	// links are the connections with peers, in both directions.
 	links *wslink.Links
-	// storePath and advicePath carry calls to the store and to the advice service,
-	// directly or through peers.
+	// storePath and advicePath carry calls to the store and to the advice
+	// service, directly or through peers.
 	storePath, advicePath *relay.Transport
 	// recordsPath carries records to the writers of peers. gatherer is the
 	// address at which the owner accepts records; nil if it is unknown or this
@@ -101,8 +103,8 @@
 	catalog atomic.Pointer[catalog.Catalog]
 	// ready is the readiness that the load balancer sees.
 	ready atomic.Bool
-	// groupCapacity is the number of hosts that fit into the group, as last seen by this
-	// host.
+	// groupCapacity is the number of hosts that fit into the group, as last seen
+	// by this host.
 	groupCapacity atomic.Int32
 	// standby is set while this host would be among the first to claim.
 	standby atomic.Bool
@@ -113,14 +115,14 @@
 	stopped      chan struct{}
 
 	clock Clock
-	// suspended is the total time for which the machine had been suspended at
-	// the last check.
+	// suspended is the total time for which the machine had been suspended as
+	// of the last suspension that was logged.
 	suspended time.Duration
 	// wake ends the pause between two reads of the jobs early.
 	wake chan struct{}
 
 	// Only the deciding goroutine may use the fields below; other goroutines
-	// reach them by ask and post. loaded is set once table holds the store's
+	// reach them by query and post. loaded is set once table holds the store's
 	// state.
 	table  *jobtable.Table
 	loaded bool
@@ -135,16 +137,19 @@
 	// progress is the position in the progress log up to which the table is
 	// complete.
 	progress progressPosition
-	// owner is nil unless this host schedules. claiming is set while an append
-	// that is to make this host the owner is in flight, and takeover from then
-	// on until the host is the owner.
+	// owner is nil unless this host schedules. claiming is set during a claim,
+	// from the read before its append to the read that may follow it, and while
+	// this host releases the ownership to a more able one; no other claim begins
+	// meanwhile. takeover is set from when this host has read its own claim
+	// until it is the owner.
 	owner    *owner
 	claiming bool
 	takeover *takeover
-	// newestClaim is the epoch of the newest claim that this host has read.
+	// newestClaim is the epoch of the newest claim or release of the ownership
+	// that this host has read.
 	newestClaim id.Epoch
-	// endedEpoch is the last epoch whose owner has ended for certain: this host gave
-	// it up, or it was an earlier incarnation's.
+	// endedEpoch is the last epoch whose owner has ended for certain: this host
+	// gave it up or could not take it over, or it was an earlier incarnation's.
 	endedEpoch id.Epoch
 	// watchers are notified when a job ends.
 	watchers watchers
@@ -153,11 +158,13 @@
 	peerAddresses map[id.Host]string
 	// counts caches the numbers of waiting jobs that callers ask for.
 	counts counts
-	// releasedEpoch is the newest epoch whose owner has released the ownership.
+	// releasedEpoch is the epoch of the newest release of the ownership that
+	// this host has read.
 	releasedEpoch id.Epoch
-	// assured is the newest time at which no other host is known to have been
+	// assured is the newest time at which it is certain that no other host was
 	// the owner: a read of the jobs that was sent then showed no other owner,
-	// or all other hosts answered that they know of none.
+	// an append of this owner that was sent then was not fenced, or all other
+	// hosts answered that they know of no other owner.
 	assured unit.Instant
 	// others are the other hosts that recent reads of the group have returned,
 	// by the names that all incarnations of a host share.
@@ -213,11 +220,11 @@
 
 // newHostName returns a unique name for this incarnation of the host.
 func newHostName(host id.Host) (id.Host, error) {
-	var draw [4]byte
-	if _, err := rand.Read(draw[:]); err != nil {
+	var suffix [4]byte
+	if _, err := rand.Read(suffix[:]); err != nil {
 		return "", fmt.Errorf("entry: %w", err)
 	}
-	return id.Host(fmt.Sprintf("%s%s%08x", host, incarnationSeparator, binary.BigEndian.Uint32(draw[:]))), nil
+	return id.Host(fmt.Sprintf("%s%s%08x", host, incarnationSeparator, binary.BigEndian.Uint32(suffix[:]))), nil
 }
 
 // incarnationSeparator separates the name of a host's machine from the random
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -40,8 +40,8 @@
 }
 
 // newServers returns the servers of the four listeners. The server for clients
-// sets no read or write timeout: front limits each call itself, because clients
-// name their own deadlines.
+// sets no read or write timeout: clientHandler limits each call itself, because
+// clients name their own deadlines.
 func (h *Host) newServers() []*http.Server {
 	out := []*http.Server{{Handler: newClientHandler(h)}}
 	for _, handler := range []http.Handler{http.HandlerFunc(h.serveReadiness), h.metrics.handler(), h.peerHandler()} {
--- a/internal/entry/lookup.go
+++ b/internal/entry/lookup.go
@@ -36,10 +36,10 @@
 	customer id.Customer
 }
 
-// ofOtherCustomer reports whether a known job belongs to another customer than the
-// call's. Such a job is neither shown to the caller nor cancelled.
-func (l jobView) ofOtherCustomer(c *call) bool {
-	return l.known && !c.queue.Anonymous && l.customer != "" && l.customer != c.customer
+// ofOtherCustomer reports whether a known job belongs to another customer than
+// the call's. Such a job is neither shown to the caller nor cancelled.
+func (v jobView) ofOtherCustomer(c *call) bool {
+	return v.known && !c.queue.Anonymous && v.customer != "" && v.customer != c.customer
 }
 
 // query runs find on the deciding goroutine and returns its result. It reports
@@ -67,9 +67,9 @@
 // its state.
 func (f *clientHandler) awaitLoaded(ctx context.Context, j id.Job) (jobView, bool) {
 	for end := time.Now().Add(boundedWait(ctx, loadWait, waitShare)); ; {
-		l, ok := f.queryJob(ctx, j)
-		if !ok || l.loaded || time.Now().After(end) {
-			return l, ok
+		v, ok := f.queryJob(ctx, j)
+		if !ok || v.loaded || time.Now().After(end) {
+			return v, ok
 		}
 		if !pause(ctx, loadPollInterval) {
 			return jobView{}, false
@@ -80,37 +80,37 @@
 // lookUp returns what the table holds of a job. It must run on the deciding
 // goroutine.
 func (h *Host) lookUp(j id.Job) jobView {
-	l := jobView{loaded: h.loaded}
+	v := jobView{loaded: h.loaded}
 	if e := h.table.Get(j); e != nil && e.Spec != nil {
-		l.known, l.state, l.customer = true, e.State(), e.Spec.Customer
+		v.known, v.state, v.customer = true, e.State(), e.Spec.Customer
 	}
-	return l
+	return v
 }
 
 // find looks a job up. If the table doesn't hold the job, find first reads to
 // the end of the log. It reports false if the newest state can't be read.
 func (f *clientHandler) find(ctx context.Context, j id.Job) (jobView, bool) {
-	l, ok := f.queryJob(ctx, j)
-	if !ok || l.known {
-		return l, ok && l.loaded
+	v, ok := f.queryJob(ctx, j)
+	if !ok || v.known {
+		return v, ok && v.loaded
 	}
 	reading, cancel := context.WithTimeout(ctx, boundedWait(ctx, queueWait, waitShare))
 	defer cancel()
-	if !l.loaded || !f.host.catchUp(reading) {
-		return l, false
+	if !v.loaded || !f.host.catchUp(reading) {
+		return v, false
 	}
 	return f.queryJob(ctx, j)
 }
 
 // awaitEnd waits up to endWait for the end of a running job. Clients often
 // query just when the last task ends, before the host has read the record of
-// that, and would otherwise have to ask again.
-func (f *clientHandler) awaitEnd(ctx context.Context, j id.Job, l jobView) jobView {
+// its end, and would otherwise have to ask again.
+func (f *clientHandler) awaitEnd(ctx context.Context, j id.Job, v jobView) jobView {
 	f.host.waitingCalls.Add(1)
 	defer f.host.waitingCalls.Add(-1)
 	ended := make(chan struct{})
 	if !f.host.post(ctx, func(unit.Instant) { f.host.watch(j, ended) }) {
-		return l
+		return v
 	}
 	f.host.wakeReader()
 	timer := time.NewTimer(endWait)
@@ -121,12 +121,12 @@
 		f.host.post(ctx, func(unit.Instant) { f.host.watchers.drop(j, ended) })
 	case <-ctx.Done():
 		f.host.post(context.WithoutCancel(ctx), func(unit.Instant) { f.host.watchers.drop(j, ended) })
-		return l
+		return v
 	}
 	if newer, ok := f.queryJob(ctx, j); ok && newer.known {
 		return newer
 	}
-	return l
+	return v
 }
 
 // catchUp immediately reads the records that the table lacks. It reports
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -19,8 +19,8 @@
 const (
 	// group is the name of the group of live hosts in the store.
 	group = "curlewsill-hosts"
-	// heartbeatInterval is the interval of a host's heartbeats to the group, a third of
-	// the shortest time after which the store may drop a member.
+	// heartbeatInterval is the interval of a host's heartbeats to the group, a
+	// third of the shortest time after which the store may drop a member.
 	heartbeatInterval = 330 * time.Millisecond
 	// membersRetryPause is the pause after a failed read of the group.
 	membersRetryPause = 500 * time.Millisecond
@@ -32,9 +32,9 @@
 	initialGroupRoom = 64
 	maxMembers       = 512
 	// tasksPerCore is how many tasks a second an owner with one whole core can
-	// start. tasksPerMegabit is how many tasks a second 1 Mbit/s carries at 4
-	// kB a task with its renewals and records. Only the ratio between hosts
-	// matters.
+	// start. tasksPerMegabit is how many tasks a second 1 Mbit/s carries, at
+	// 4 kB for a task with its renewals and records. Only the ratio between
+	// hosts matters.
 	tasksPerCore    = 700
 	tasksPerMegabit = 31
 )
@@ -134,8 +134,8 @@
 	}
 }
 
-// memberName returns the host's name in the group: its id, the address on which it
-// listens for peers, and its ability.
+// memberName returns the host's name in the group: its id, the address on which
+// it listens for peers, and its ability.
 func (h *Host) memberName() string {
 	return string(h.self) + "@" + h.peers + "@" + strconv.Itoa(ability(h.settings))
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -19,8 +19,8 @@
 	registry *prometheus.Registry
 	// owning is set while this host is the owner.
 	owning atomic.Bool
-	// placedRuns is the number of runs that occupy room on workers, as the owner
-	// knows it.
+	// placedRuns is the number of runs that occupy room on workers, as known to
+	// the owner.
 	placedRuns atomic.Int64
 	takeovers  prometheus.Counter
 	decisions  *prometheus.CounterVec
@@ -39,8 +39,8 @@
 	requests     *prometheus.HistogramVec
 	store        *prometheus.HistogramVec
 	orders       *prometheus.HistogramVec
-	// ordersDropped counts the orders that were dropped because their worker's
-	// queue was full.
+	// ordersDropped counts the orders to workers that were dropped because the
+	// queue for orders of their kind was full.
 	ordersDropped prometheus.Counter
 	// deadConnections counts connections found dead. suspects counts the idle
 	// connections to the same address that were closed with them.
@@ -66,16 +66,17 @@
 		}
 		return 0
 	})
-	inPlace := gauge("curlewsill_runs", "Runs that occupy room on workers, as known to the owner; 0 on the other hosts.",
+	placedRuns := gauge("curlewsill_runs", "Runs that occupy room on workers, as known to the owner; 0 on the other hosts.",
 		func() float64 { return float64(m.placedRuns.Load()) })
 	m.gatheredRecords = counter("curlewsill_gathered_records_total", "Records that this host was asked to append to the store for other hosts.")
 	m.deadConnections = counters("curlewsill_connections_dead_total",
 		"Connections found dead because a call got no answer, and whether it was the first call on the connection.", "to", "first")
-	m.suspectConnections = counters("curlewsill_connections_suspect_total", "Idle connections closed because another one to the same address was found dead.", "to")
+	m.suspectConnections = counters("curlewsill_connections_suspect_total",
+		"Idle connections closed because another one to the same address was found dead.", "to")
 	m.ownerAnswers = counter("curlewsill_owner_answers_total", "Answers of the owner to this host's liveness probes.")
 	m.ordersDropped = counter("curlewsill_orders_dropped_total", "Orders to workers that were dropped because the queue was full.")
-	m.registry.MustRegister(m.deadConnections, m.suspectConnections, m.gatheredRecords, m.ownerAnswers, m.ordersDropped, m.takeovers, m.faults, m.rejectedListings, m.suspensions, m.decisions,
-		m.requests, m.store, m.orders, owning, inPlace, m.evacuationsRejected, evacuated)
+	m.registry.MustRegister(m.deadConnections, m.suspectConnections, m.gatheredRecords, m.ownerAnswers, m.ordersDropped, m.takeovers, m.faults,
+		m.rejectedListings, m.suspensions, m.decisions, m.requests, m.store, m.orders, owning, placedRuns, m.evacuationsRejected, evacuated)
 	return m
 }
 
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// maxFreshOrders is how many orders of one kind may be in flight that were
-	// sent within freshOrderAge. Workers answer within a few milliseconds, so
-	// 64 are enough for several thousand orders a second. If a new owner sent
-	// all renewals at once, their goroutines would starve the deciding
-	// goroutine. Orders in flight for longer than freshOrderAge don't count.
+	// maxFreshOrders limits the orders of one kind in flight that were sent less
+	// than freshOrderAge ago; older ones don't count. Workers answer within a
+	// few milliseconds, so 64 are enough for several thousand orders a second.
+	// If a new owner sent all renewals at once, their goroutines would starve
+	// the deciding goroutine.
 	maxFreshOrders = 64
 	freshOrderAge  = 100 * time.Millisecond
 	// maxStarts and maxStops limit the number of goroutines for each kind of
-	// order. The number of starts in flight is also limited by a window.
+	// order. The dispatcher's window also limits the starts in flight.
 	maxStarts = 512
 	maxStops  = 512
 	// renewalDescriptorShare and renewalMemoryShare are the parts of the host's
@@ -41,8 +41,8 @@
 	stopsPerWorker    = 3
 	renewalsPerWorker = workerConns - startsPerWorker - stopsPerWorker
 	// maxQueuedOrders is how many orders of one kind may be queued: more than
-	// there are tasks on 3,000 workers of 8 accelerators. One takes some 200
-	// bytes.
+	// there are tasks on 3,000 workers of 8 accelerators. A queued order takes
+	// some 200 bytes.
 	maxQueuedOrders = 1 << 15
 )
 
@@ -209,8 +209,8 @@
 	o.postIfOwner(ctx, result)
 }
 
-// postIfOwner posts an event that the deciding goroutine drops if this owner is
-// no longer in office.
+// postIfOwner posts an event that the deciding goroutine drops if the host is
+// no longer this owner.
 func (o *owner) postIfOwner(ctx context.Context, e event) {
 	o.host.post(ctx, func(now unit.Instant) {
 		if o.host.owner == o {
--- a/internal/entry/orders_internal_test.go
+++ b/internal/entry/orders_internal_test.go
@@ -68,8 +68,8 @@
 	w.inFlight[req.URL.Path+" "+req.URL.Host] += n
 }
 
-// countInFlight returns how many orders of a kind, or of a kind to a worker, are in
-// flight.
+// countInFlight returns how many orders of a kind, or of a kind to a worker,
+// are in flight.
 func (w *hangingWorkers) countInFlight(what string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/entry/overload_internal_test.go
+++ b/internal/entry/overload_internal_test.go
@@ -178,8 +178,8 @@
 	t.run(ctx)
 }
 
-// TestOverload runs the scripts of testdata/overload: hosts follow
-// the log of a store that has less bandwidth than all of them need.
+// TestOverload runs the scripts of testdata/overload: hosts follow the log of a
+// store that has less bandwidth than all of them need.
 //
 //	hosts N             number of hosts that follow the log
 //	gives BYTES         bandwidth of the store in bytes a second, shared by all hosts
@@ -189,11 +189,11 @@
 //	current D           wait for D, then check that each host has read all that the
 //	                    log held before
 //
-// With 147 hosts, reads took up to 1.8 s longer than usual when work began. Each
-// reader timed out after 1 s and repeated its read, with a second copy through a
-// peer, while the store still sent the answers that nobody awaited any more.
-// Although the rate of writes fell to a tenth within five seconds, no host caught
-// up.
+// With 147 hosts, reads took up to 1.8 s longer than usual when work began.
+// Each reader timed out after 1 s and repeated its read, with a second copy
+// through a peer, while the store still sent the answers that nobody awaited
+// any more. Although the rate of writes fell to a tenth within five seconds, no
+// host caught up.
 func TestOverload(t *testing.T) {
 	scripttest.EachIn(t, "overload", func(t *testing.T, text string) {
 		synctest.Test(t, func(t *testing.T) { runOverloadScript(t, text) })
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -129,8 +129,9 @@
 var digestSeed = maphash.MakeSeed()
 
 // rejectListing handles an invalid entry of the list of workers: the worker of
-// that name gets no tasks until it writes a valid one. Its runs continue by its
-// answers and leases. An entry is logged once, however often it is read.
+// that name gets no tasks until it writes a valid one. The worker's answers and
+// leases still decide about the runs on it. An entry is logged once, however
+// often it is read.
 func (o *owner) rejectListing(now unit.Instant, r jobtable.Record, err error) {
 	name := id.WorkerName(r.Key)
 	o.unlist(now, name)
@@ -194,7 +195,7 @@
 }
 
 // appendResult is the result of one or more appends: when the oldest of the
-// successful attempts was sent, and the first error.
+// answered attempts was sent, and the first error.
 type appendResult struct {
 	sent unit.Instant
 	err  error
@@ -249,8 +250,8 @@
 	return 0, ctx.Err()
 }
 
-// appendSettled reports whether an append has succeeded, or failed so that a retry
-// can't succeed.
+// appendSettled reports whether an append has succeeded, or failed so that a
+// retry can't succeed.
 func appendSettled(err error) bool {
 	return err == nil || errors.Is(err, platform.ErrFenced) || errors.Is(err, platform.ErrSequence) || errors.Is(err, platform.ErrInvalid)
 }
--- a/internal/entry/pass_internal_test.go
+++ b/internal/entry/pass_internal_test.go
@@ -33,9 +33,10 @@
 // tasks, each pass took longer than the 5 ms after which the next one was due.
 // If the pause doesn't depend on the duration of a pass, a pass then follows
 // every event, and events and orders wait for seconds: ends were handled up to
-// 11 s late, and 1,329 runs counted as lapsed, of which 35 had lapsed. With
-// passes of 7 ms, as with 1,000 waiting tasks on that host, the ring of events
-// fills up in this test and an answer waits for 11.9 s.
+// 11 s late, and 1,329 runs were counted as lost by an expired lease, of which
+// only 35 had been. With passes of 7 ms, as with 1,000 waiting tasks on that
+// host, the ring of events fills up in this test and an answer waits for
+// 11.9 s.
 func TestAnswersAreTakenInBesideLongPasses(t *testing.T) {
 	const (
 		passCost     = 7 * time.Millisecond
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -177,6 +177,6 @@
 	case "forget":
 		s.store.DropHistory()
 	default:
-		s.ask(f)
+		s.doQuery(f)
 	}
 }
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -20,8 +20,8 @@
 // first fences earlier owners in this log and then reads it to its end, so that
 // it continues from everything that any of them wrote.
 
-// followPollInterval is the pause between two checks of a host that doesn't
-// follow the progress log whether it should.
+// followPollInterval is the interval at which a host that doesn't follow a log
+// checks whether it should.
 const followPollInterval = 200 * time.Millisecond
 
 // progressPosition is the table's position in the progress log.
@@ -49,7 +49,7 @@
 	t.run(ctx)
 }
 
-// loadProgress replaces the table's content of the progress log.
+// loadProgress replaces the table's copy of the progress log.
 func (h *Host) loadProgress(recs []jobtable.Record, end id.Offset) {
 	if h.progress.complete && end < h.progress.next {
 		return // newer records were applied while this answer was on its way
@@ -83,15 +83,15 @@
 	}
 }
 
-// forgetProgress drops the table's content of the progress log, which would
-// become stale.
+// forgetProgress drops the table's copy of the progress log, which would become
+// stale.
 func (h *Host) forgetProgress() {
 	h.progress = progressPosition{}
 	h.table.ClearProgress()
 }
 
-// takeover is the newest claim, made by this host, until it makes the host the
-// owner.
+// takeover is a claim of this host that is the newest one, from when the host
+// has read it until the host is the owner.
 type takeover struct {
 	epoch  id.Epoch
 	cancel context.CancelFunc
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// minRetryPause and retryMost bound the pause after a failed call. When the
-	// store accepts calls again, a host notices that at most retryMost later.
+	// minRetryPause and maxRetryPause bound the pause after a failed call. When
+	// the store accepts calls again, a host notices that at most maxRetryPause
+	// later.
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 400 * time.Millisecond
 )
@@ -19,9 +20,9 @@
 type backoff struct{ last time.Duration }
 
 // wait pauses after a failed call that began at the given time. After a call
-// that hung for at least retryMost, the pause is only a short jitter: a store
-// that had stopped answering answers only calls that are made after its return.
-// It reports whether ctx is still open.
+// that hung for at least maxRetryPause, the pause is only a short jitter: a
+// store that had stopped answering answers only calls that are made after its
+// return. It reports whether ctx is still open.
 func (b *backoff) wait(ctx context.Context, began time.Time) bool {
 	if time.Since(began) >= maxRetryPause {
 		return pause(ctx, rand.N(minRetryPause))
--- a/internal/entry/site_test.go
+++ b/internal/entry/site_test.go
@@ -100,9 +100,9 @@
 	s.address = strings.TrimPrefix(server.URL, "http://")
 	s.store.Put("keyed.op", "config", []byte(configuration))
 	s.machineService = standin.NewMachines(s.takeDown)
-	cloud := httptest.NewServer(s.machineService)
-	t.Cleanup(cloud.CloseClientConnections)
-	s.machines = strings.TrimPrefix(cloud.URL, "http://")
+	machineServer := httptest.NewServer(s.machineService)
+	t.Cleanup(machineServer.CloseClientConnections)
+	s.machines = strings.TrimPrefix(machineServer.URL, "http://")
 	t.Cleanup(func() {
 		for _, stop := range s.stops {
 			stop()
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -83,8 +83,8 @@
 
 // retired is the result of an attempt to give up the ownership.
 type retired struct {
-	// owner was in office until now; nil if this host wasn't the owner, or
-	// couldn't give up the ownership yet.
+	// owner is the owner that this host was until now; nil if this host wasn't
+	// the owner, or couldn't give up the ownership yet.
 	owner *owner
 	// busy is set while an append of the owner is in flight, or the host is
 	// about to become the owner.
--- a/internal/entry/suspend.go
+++ b/internal/entry/suspend.go
@@ -11,9 +11,9 @@
 // more if the process is not scheduled between them.
 const minSuspension = 100 * time.Millisecond
 
-// noteSuspension logs and counts a suspension of the machine since the last
-// call. The consequences follow from the time that has passed: leases aren't
-// extended on an assurance from before, and peers that couldn't answer
+// noteSuspension logs and counts a suspension of the machine since the last one
+// that it logged. The consequences follow from the time that has passed: leases
+// aren't extended on an assurance from before, and peers that couldn't answer
 // meanwhile are asked again.
 func (h *Host) noteSuspension() {
 	s := h.clock.Suspended()
--- a/internal/entry/suspend_internal_test.go
+++ b/internal/entry/suspend_internal_test.go
@@ -34,7 +34,7 @@
 // TestOwnerSuspended suspends the machine of an owner for 10 s.
 //
 // Go's monotonic clock stops while a machine is suspended. An owner that
-// measures the age of its assurance by that clock would go on extending leases
+// measures the age of its assurance by that clock would keep extending leases
 // and starting tasks after a suspension, although another host may have claimed
 // meanwhile: an assurance that seems 0.2 s old is 10.2 s old, and one is valid
 // for 3 s.
--- a/internal/entry/tail.go
+++ b/internal/entry/tail.go
@@ -29,11 +29,11 @@
 	// caughtUp is called after each read that came to the end of the topic,
 	// with the time at which the read was sent; nil if nothing needs that.
 	caughtUp func(sentAt unit.Instant)
-	// patience is the factor by which a read waits longer than usual for its
-	// answer; 0 counts as 1.
-	patience int
-	// onLoad is called with the newest record of each key, and more with records
-	// that were appended from an offset on.
+	// timeoutFactor is the factor by which a read waits longer than usual for
+	// its answer; 0 counts as 1.
+	timeoutFactor int
+	// onLoad is called with the newest record of each key, and onAppend with
+	// records that were appended from an offset on.
 	onLoad   func(recs []jobtable.Record, end id.Offset)
 	onAppend func(recs []jobtable.Record, from id.Offset)
 }
@@ -54,7 +54,7 @@
 		}
 		var err error
 		began, sentAt, atEnd := time.Now(), t.host.now(), false
-		readCtx := platform.WithReadTimeoutFactor(ctx, max(1, t.patience))
+		readCtx := platform.WithReadTimeoutFactor(ctx, max(1, t.timeoutFactor))
 		if loaded {
 			next, atEnd, err = t.read(readCtx, next)
 		} else {
@@ -69,7 +69,7 @@
 			return
 		}
 		dep.note(err)
-		t.adaptPatience(err)
+		t.adaptTimeout(err)
 		if err != nil {
 			b.wait(ctx, began)
 			continue
@@ -81,23 +81,23 @@
 	}
 }
 
-// adaptPatience doubles the patience after a read without an answer if the
+// adaptTimeout doubles timeoutFactor after a read without an answer if the
 // store answers short calls. Such a store is overloaded, and a reader that
-// gives up and retries falls further behind. A store that answers nothing is
-// asked as often as usual, so that its return is noticed soon.
-func (t *tail) adaptPatience(err error) {
+// gives up and retries falls further behind. The factor doesn't grow while the
+// store answers nothing, so that its return is noticed soon.
+func (t *tail) adaptTimeout(err error) {
 	switch {
 	case err == nil:
-		t.patience = 1
+		t.timeoutFactor = 1
 	case errors.Is(err, platform.ErrNoAnswer) && !t.host.health.hanging():
-		t.patience = min(maxPatience, 2*max(1, t.patience))
+		t.timeoutFactor = min(maxTimeoutFactor, 2*max(1, t.timeoutFactor))
 	}
 }
 
-// maxPatience is the upper limit of tail.patience.
-const maxPatience = 8
+// maxTimeoutFactor is the upper limit of tail.timeoutFactor.
+const maxTimeoutFactor = 8
 
-// load passes the newest record of each key to whole. It returns the offset
+// load passes the newest record of each key to onLoad. It returns the offset
 // from which to read on: the end as of the first page, because later pages may
 // contain newer records.
 func (t *tail) load(ctx context.Context) (id.Offset, error) {
@@ -125,7 +125,7 @@
 	return recs, first.End, nil
 }
 
-// read passes the records from an offset on to more. It returns the next
+// read passes the records from an offset on to onAppend. It returns the next
 // offset, and whether that is the end of the topic.
 func (t *tail) read(ctx context.Context, from id.Offset) (next id.Offset, atEnd bool, err error) {
 	wait := time.Duration(0)
--- a/internal/entry/waits_internal_test.go
+++ b/internal/entry/waits_internal_test.go
@@ -15,8 +15,8 @@
 // descriptors, the memory in MiB, and the expected number.
 //
 // A fixed limit of 1,024 was too low: on 1,100 workers the renewals of 76 had
-// to wait up to 2 s until others returned, so that ends on those workers were
-// learned late; on 3,000 workers it would have been two in three.
+// to wait up to 2 s until others returned, so that the owner learned late of
+// ends on those workers. On 3,000 workers it would have been two in three.
 func TestMaxWaitingRenewals(t *testing.T) {
 	scripttest.EachLine(t, "waits/renewals.txt", func(f []string) {
 		var n [3]int
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -40,8 +40,8 @@
 	// watcherQueryTimeout is how long the other watchers may take. One that is
 	// dead too doesn't answer.
 	watcherQueryTimeout = 100 * time.Millisecond
-	// watchCheckInterval is the pause between two checks of a host that isn't a
-	// watcher whether it has become one.
+	// watchCheckInterval is the interval at which a host that isn't a watcher
+	// checks whether it has become one.
 	watchCheckInterval = 500 * time.Millisecond
 )
 
@@ -68,7 +68,7 @@
 
 // errNotDeciding is returned by a host whose deciding goroutine has ended, or
 // hasn't started yet.
-var errNotDeciding = errors.New("entry: the host decides nothing")
+var errNotDeciding = errors.New("entry: the deciding goroutine is not running")
 
 var (
 	questions = codec.New[question]()
@@ -186,8 +186,8 @@
 type watchTransport struct{ host *Host }
 
 // RoundTrip implements http.RoundTripper. A host that is asked about itself
-// answers at once, without the deciding goroutine: an owner stays in office
-// while that goroutine is busy.
+// answers at once, without the deciding goroutine: an owner whose deciding
+// goroutine is busy remains the owner.
 func (t watchTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if !t.host.deciding.Load() {
 		return nil, errNotDeciding
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -19,8 +19,8 @@
 	maxPendingWrites = 1024
 	// batchBytes limits the size of one append. The store takes 2 MB.
 	batchBytes = 512 << 10
-	// maxRefusedTries is how often an append is tried if the store refuses it
-	// each time, before its records are reported as not written.
+	// maxRefusedTries is how often at most an append is tried if the store
+	// refuses it each time, before its records are reported as not written.
 	maxRefusedTries = 3
 	// refusedPause is the pause between these tries. All of them with their
 	// pauses fit into queueWait unless the store is slow.
