--- a/internal/entry/overload_internal_test.go
+++ b/internal/entry/overload_internal_test.go
@@ -190,10 +190,10 @@
 //	                    log held before
 //
 // With 147 hosts, reads took up to 1.8 s longer than usual when work began.
-// Each reader timed out after 1 s and repeated its read, with a second copy
-// through a peer, while the store still sent the answers that nobody awaited
-// any more. Although the rate of writes fell to a tenth within five seconds, no
-// host caught up.
+// Each reader timed out 1 s after the end of the read's wait and repeated the
+// read, with a second copy through a peer, while the store still sent the
+// answers that nobody awaited any more. Although the rate of writes fell to a
+// tenth within five seconds, no host caught up.
 func TestOverload(t *testing.T) {
 	scripttest.EachIn(t, "overload", func(t *testing.T, text string) {
 		synctest.Test(t, func(t *testing.T) { runOverloadScript(t, text) })
--- a/internal/entry/pass_internal_test.go
+++ b/internal/entry/pass_internal_test.go
@@ -33,18 +33,19 @@
 // tasks, each pass took longer than the 5 ms after which the next one was due.
 // If the pause doesn't depend on the duration of a pass, a pass then follows
 // every event, and events and orders wait for seconds: ends were handled up to
-// 11 s late, and 1,329 runs were counted as lost by an expired lease, of which
-// only 35 had been. With passes of 7 ms, as with 1,000 waiting tasks on that
-// host, the ring of events fills up in this test and an answer waits for
-// 11.9 s.
+// 11 s late. Runs whose ends were not handled yet were given up and placed
+// again: 1,329 counted as lost by an expired lease, of which only 35 had been,
+// and accepted jobs did not run although most of the capacity was free. With
+// passes of 7 ms, as with 1,000 waiting tasks on that host, the ring of events
+// fills up in this test and an answer waits for 11.9 s.
 func TestAnswersAreTakenInBesideLongPasses(t *testing.T) {
 	const (
 		passCost     = 7 * time.Millisecond
 		eventCost    = 100 * time.Microsecond
 		eventEvery   = time.Second / 350 // each worker's lease is renewed every second
 		testDuration = 20 * time.Second
-		// maxWait is far below the shortest lease, 6 s, of which a renewal uses
-		// a third.
+		// maxWait is far below the shortest lease, 6 s, of which a renewal may
+		// take a third while it waits at its worker.
 		maxWait = 100 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
