--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -25,8 +25,8 @@
 	// Priority 0 is the most urgent.
 	Priority    int
 	MaxAttempts int
-	// Stretch and Target set the time in which a job should be completed; see
-	// job.Spec.
+	// Stretch and Target set the time in which a job should be completed: they
+	// become DeadlineFactor and DeadlineExtra of its job.Spec.
 	Stretch float64
 	Target  time.Duration
 	// Anonymous is set if jobs need no key.
@@ -95,8 +95,8 @@
 	return best
 }
 
-// CustomerByKey returns the customer to whom a key belongs, and false for an unknown
-// key.
+// CustomerByKey returns the customer to whom a key belongs, and false for an
+// unknown key.
 func (c *Catalog) CustomerByKey(key string) (id.Customer, bool) {
 	name, ok := c.keys[key]
 	return name, ok
--- a/core/gang/gang.go
+++ b/core/gang/gang.go
@@ -86,8 +86,8 @@
 	Mask uint64
 	// State is the last reported state; empty until the first report.
 	State worker.TaskState
-	// lastAnswer is when the worker last answered, and clock the time on its own
-	// clock in that answer.
+	// lastAnswer is when the worker last answered, and workerClock the time on
+	// its own clock in that answer.
 	lastAnswer  unit.Instant
 	workerClock time.Duration
 	// leaseEnd is the time after which a silent worker has stopped the task for
@@ -145,8 +145,8 @@
 // Committed reports whether the log has accepted the placement.
 func (g *Gang) Committed() bool { return g.committed }
 
-// MarkCommitted notes that the log accepted the placement although the gang is already
-// stopping. The end of the placement must then be recorded in the log.
+// MarkCommitted notes that the log accepted the placement although the gang is
+// already stopping. The end of the placement must then be recorded in the log.
 func (g *Gang) MarkCommitted() { g.committed = true }
 
 // Apply makes the transition of lease.chart for the event. An event that the
@@ -172,8 +172,8 @@
 	g.Apply(now, ev)
 }
 
-// RecordState records the state that a worker reported for the gang's task on it. A
-// final state is never overwritten.
+// RecordState records the state that a worker reported for the gang's task on
+// it. A final state is never overwritten.
 func (g *Gang) RecordState(now unit.Instant, w id.Worker, clock time.Duration, st worker.TaskState) {
 	for i := range g.Members {
 		m := &g.Members[i]
@@ -187,8 +187,8 @@
 	}
 }
 
-// RecordAnswer notes that a worker answered and that the state of its task hasn't
-// changed since its last report.
+// RecordAnswer notes that a worker answered and that the state of its task
+// hasn't changed since its last report.
 func (g *Gang) RecordAnswer(now unit.Instant, w id.Worker, clock time.Duration) {
 	for i := range g.Members {
 		if m := &g.Members[i]; m.Worker == w {
@@ -305,8 +305,8 @@
 	return worker.WantedTask{}, false
 }
 
-// HasSilentMember reports whether an open gang has a member that still runs and has not
-// answered for longer than Grace.
+// HasSilentMember reports whether an open gang has a member that still runs and
+// has not answered for longer than Grace.
 func (g *Gang) HasSilentMember(now unit.Instant) bool {
 	if g.State != Open {
 		return false
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -46,18 +46,18 @@
 	// Usable has the accelerators that exist and are not drained; Live has
 	// those of them whose worker answers.
 	Usable, Live uint64
-	// Busy has the accelerators held by gangs. Of these, Leaving has those
-	// whose gang is stopping, Pinned those whose gang can't be preempted, and
-	// Urgent those whose gang is urgent.
+	// Busy has the accelerators held by gangs. Of these, Stopping has those
+	// whose gang is stopping, NonPreemptible those whose gang can't be
+	// preempted, and Urgent those whose gang is urgent.
 	Busy, Stopping, NonPreemptible, Urgent uint64
 	// Firm has the homes of the cells in use and the accelerators of gangs that
 	// must not be repeated.
 	Firm uint64
-	// UnusedCells has the accelerators at which the cells that are not in use have
-	// their places.
+	// UnusedCells has the accelerators at which the cells that are not in use
+	// have their places.
 	UnusedCells uint64
-	// reserved and reservedFirm have what Keep reserved until the next Begin:
-	// the blocks and the homes of their cells.
+	// reserved and reservedFirm have what Reserve reserved until the next
+	// BeginPass: the blocks and the homes of their cells.
 	reserved, reservedFirm uint64
 }
 
@@ -143,8 +143,8 @@
 	r.Live, inv.placesStale = live&r.Usable, true
 }
 
-// FreedCount returns a number that grows whenever something is freed that a waiting
-// job might use.
+// FreedCount returns a number that grows whenever something is freed that a
+// waiting job might use.
 func (inv *Inventory) FreedCount() uint64 { return inv.freed }
 
 // HeldBy returns how many accelerators a customer's gangs hold.
@@ -243,8 +243,8 @@
 	}
 }
 
-// Reserve reserves a block until the next Begin for a gang that waits for others
-// to stop, and the home h of its cell if it has one.
+// Reserve reserves a block until the next BeginPass for a gang that waits for
+// others to stop, and the home h of its cell if it has one.
 func (inv *Inventory) Reserve(b block.Block, cell record.Cell, h block.Block) {
 	if r := inv.Rack(b.Rack); r != nil {
 		r.reserved |= b.Mask()
@@ -284,10 +284,10 @@
 		// were back, and report that guarantees are at risk.
 		w, _ = inv.findPlaces(c, agreed, func(r *Rack) uint64 { return r.Usable })
 	}
-	inv.setSpare(w)
+	inv.setUnusedPlaces(w)
 }
 
-func (inv *Inventory) setSpare(w witness.Witness) {
+func (inv *Inventory) setUnusedPlaces(w witness.Witness) {
 	inv.unusedPlaces = w
 	for i := range inv.Racks {
 		inv.Racks[i].UnusedCells = 0
@@ -312,10 +312,10 @@
 // findPlaces returns a place for each cell that is neither in use nor reserved.
 // It changes as few places of old as possible.
 func (inv *Inventory) findPlaces(c config.Config, old witness.Witness, usable func(*Rack) uint64) (witness.Witness, error) {
-	rooms := make([]witness.RackSpace, len(inv.Racks))
+	racks := make([]witness.RackSpace, len(inv.Racks))
 	for i := range inv.Racks {
 		r := &inv.Racks[i]
-		rooms[i] = witness.RackSpace{Rack: r.ID, Free: usable(r) &^ (r.Firm | r.reservedFirm)}
+		racks[i] = witness.RackSpace{Rack: r.ID, Free: usable(r) &^ (r.Firm | r.reservedFirm)}
 	}
 	var needs []witness.Need
 	for _, k := range config.SortedKeys(c.Guarantees) {
@@ -327,12 +327,12 @@
 			}
 		}
 	}
-	return witness.Update(rooms, old, needs)
+	return witness.Update(racks, old, needs)
 }
 
-// FitsGuarantees reports whether every unused cell would still have a place on workers
-// that answer if a gang that can't be preempted took b. If so, it adopts these
-// places.
+// FitsGuarantees reports whether every unused cell would still have a place on
+// workers that answer if a gang that can't be preempted took b. If so, it
+// adopts these places.
 func (inv *Inventory) FitsGuarantees(c config.Config, b block.Block) bool {
 	r := inv.Rack(b.Rack)
 	firmBefore := r.Firm
@@ -342,13 +342,13 @@
 	if err != nil {
 		return false
 	}
-	inv.setSpare(w)
+	inv.setUnusedPlaces(w)
 	return true
 }
 
-// CouldFitGuarantees reports whether a gang of the given size that can't be preempted
-// could be placed on otherwise empty racks such that every guarantee still has
-// a place.
+// CouldFitGuarantees reports whether a gang of the given size that can't be
+// preempted could be placed on otherwise empty racks such that every guarantee
+// still has a place.
 func CouldFitGuarantees(c config.Config, size int) bool {
 	empty := New()
 	empty.Configure(c)
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -25,12 +25,12 @@
 }
 
 // Policy proposes blocks. Choose returns the block for a gang of the given
-// size, and false if no rack has enough adjacent free accelerators. Rooms must
+// size, and false if no rack has enough adjacent free accelerators. Racks must
 // always be in the same order. Demand lists the sizes of the gangs that wait or
 // are guaranteed.
 type Policy interface {
 	Name() string
-	Choose(rooms []RackSpace, size int, demand []int) (block.Block, bool)
+	Choose(racks []RackSpace, size int, demand []int) (block.Block, bool)
 }
 
 // Scorer returns the cost of taking size accelerators of a rack from start
@@ -48,10 +48,10 @@
 
 func (p scorePolicy) Name() string { return p.name }
 
-func (p scorePolicy) Choose(rooms []RackSpace, size int, demand []int) (block.Block, bool) {
+func (p scorePolicy) Choose(racks []RackSpace, size int, demand []int) (block.Block, bool) {
 	var best block.Block
 	lowest, found := 0, false
-	for _, r := range rooms {
+	for _, r := range racks {
 		for starts := block.Starts(r.Free, size); starts != 0; starts &= starts - 1 {
 			s := bits.TrailingZeros64(starts)
 			if c := p.cost(r, s, size, demand); !found || c < lowest {
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -33,8 +33,8 @@
 	Changes []config.Change `json:"changes"`
 	// Lines describe the changes like a diff: + added, ~ changed, - removed.
 	Lines []string `json:"lines"`
-	// Preempts lists the running jobs that may be preempted when the customer of
-	// a new or larger guarantee reclaims its accelerators.
+	// Preempts lists the running jobs that may be preempted when the customer
+	// of a new or larger guarantee reclaims its accelerators.
 	Preempts []id.Job `json:"preempts"`
 	// Problem says why the plan can't be accepted; empty if it can.
 	Problem string `json:"problem"`
--- a/core/route/claim.go
+++ b/core/route/claim.go
@@ -5,8 +5,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// ClaimDecided handles the log's verdict on a claim; nil means that the claim was
-// accepted.
+// ClaimDecided handles the log's verdict on a claim; nil means that the claim
+// was accepted.
 func (r *Router) ClaimDecided(now unit.Instant, reqID id.Request, verdict error) {
 	if c, ok := r.abandonedClaims[reqID]; ok {
 		delete(r.abandonedClaims, reqID)
--- a/core/route/message.go
+++ b/core/route/message.go
@@ -95,8 +95,8 @@
 // Reply is the final answer to a request.
 type Reply struct {
 	Request id.Request
-	// RelayedAttempt is the number of the attempt whose answer is forwarded to the
-	// caller; 0 for a refusal.
+	// RelayedAttempt is the number of the attempt whose answer is forwarded to
+	// the caller; 0 for a refusal.
 	RelayedAttempt int
 	// Code, Ran and RetryAfter describe a refusal.
 	Code       Code
@@ -115,14 +115,14 @@
 }
 
 // Probe asks a backend server whether it accepts requests. Its end is passed to
-// Probed with the outcome Whole, Leaving or Unreached.
+// Probed with the outcome Complete, Leaving or NotSent.
 type Probe struct {
 	Service id.Service
 	Backend id.Backend
 }
 
-// LeavingEvidence is first-hand evidence that a backend server is leaving: its own
-// answer to a request or a probe.
+// LeavingEvidence is first-hand evidence that a backend server is leaving: its
+// own answer to a request or a probe.
 type LeavingEvidence struct {
 	Service id.Service `cbor:"1,keyasint"`
 	Backend id.Backend `cbor:"2,keyasint"`
--- a/core/route/probe.go
+++ b/core/route/probe.go
@@ -7,7 +7,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// PeerReportedLeaving handles a peer's evidence that a backend server is leaving.
+// PeerReportedLeaving handles a peer's evidence that a backend server is
+// leaving.
 func (r *Router) PeerReportedLeaving(now unit.Instant, d LeavingEvidence) {
 	p := r.pools[d.Service]
 	if p == nil || d.Age >= leavingMaxAge {
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -33,7 +33,8 @@
 	// claimDeadline at the latest.
 	claimPending  bool
 	claimDeadline unit.Instant
-	// attemptInFlight is the number of the attempt in flight, 0 if there is none.
+	// attemptInFlight is the number of the attempt in flight, 0 if there is
+	// none.
 	attemptInFlight int
 	tried           []id.Backend
 }
@@ -227,8 +228,8 @@
 	})
 }
 
-// CallerGone handles a caller that went away. Its request gets no answer; an attempt
-// in flight still holds its slot until it ends.
+// CallerGone handles a caller that went away. Its request gets no answer; an
+// attempt in flight still holds its slot until it ends.
 func (r *Router) CallerGone(reqID id.Request) {
 	req := r.requests[reqID]
 	if req == nil {
--- a/core/witness/witness.go
+++ b/core/witness/witness.go
@@ -22,9 +22,9 @@
 	"curlewsill.org/curlewsill/core/record"
 )
 
-// ErrNoPlace reports that no place was found for a cell. The search is greedy, so
-// ErrNone doesn't prove that there is none: the error is on the safe side,
-// towards refusing a decision.
+// ErrNoPlace reports that no place was found for a cell. The search is greedy,
+// so ErrNoPlace doesn't prove that there is none: the error is on the safe
+// side, towards refusing a decision.
 var ErrNoPlace = errors.New("witness: no place for a guaranteed block")
 
 // RackSpace describes what one rack offers to the cells that are not in use.
@@ -52,10 +52,10 @@
 	})
 }
 
-// Find returns a witness, or ErrNone with the first cell for which it found no
-// place. It sorts needs in place and doesn't change rooms.
-func Find(rooms []RackSpace, needs []Need) (Witness, error) {
-	remaining := slices.Clone(rooms)
+// Find returns a witness, or ErrNoPlace with the first cell for which it found
+// no place. It sorts needs in place and doesn't change racks.
+func Find(racks []RackSpace, needs []Need) (Witness, error) {
+	remaining := slices.Clone(racks)
 	slices.SortFunc(needs, largestFirst)
 	w := make(Witness, len(needs))
 	for _, n := range needs {
@@ -69,12 +69,12 @@
 	return w, nil
 }
 
-// Update returns a witness for needs that keeps the places of old as far as they
-// are still free. If the remaining cells don't fit beside them, it searches new
-// places for all cells. It sorts needs in place and changes neither rooms nor
-// old.
-func Update(rooms []RackSpace, old Witness, needs []Need) (Witness, error) {
-	remaining := slices.Clone(rooms)
+// Update returns a witness for needs that keeps the places of old as far as
+// they are still free. If the remaining cells don't fit beside them, it
+// searches new places for all cells. It sorts needs in place and changes
+// neither racks nor old.
+func Update(racks []RackSpace, old Witness, needs []Need) (Witness, error) {
+	remaining := slices.Clone(racks)
 	kept := make(Witness, len(needs))
 	var rest []Need
 	slices.SortFunc(needs, largestFirst)
@@ -89,7 +89,7 @@
 	for _, n := range rest {
 		b, ok := bestFit(remaining, n.Size)
 		if !ok {
-			return Find(rooms, needs)
+			return Find(racks, needs)
 		}
 		kept[n.Cell] = b
 	}
@@ -98,12 +98,12 @@
 
 // takeBlock removes a block from the free accelerators of its rack if all of
 // them are free.
-func takeBlock(rooms []RackSpace, b block.Block) bool {
-	i := slices.IndexFunc(rooms, func(r RackSpace) bool { return r.Rack == b.Rack })
-	if i < 0 || b.Mask()&^rooms[i].Free != 0 {
+func takeBlock(racks []RackSpace, b block.Block) bool {
+	i := slices.IndexFunc(racks, func(r RackSpace) bool { return r.Rack == b.Rack })
+	if i < 0 || b.Mask()&^racks[i].Free != 0 {
 		return false
 	}
-	rooms[i].Free &^= b.Mask()
+	racks[i].Free &^= b.Mask()
 	return true
 }
 
@@ -118,9 +118,9 @@
 // bestFit takes size accelerators from the shortest run that is long enough. It
 // prefers a start that is a multiple of the size, so that the halves of a rack
 // stay unbroken for larger blocks.
-func bestFit(rooms []RackSpace, size int) (block.Block, bool) {
+func bestFit(racks []RackSpace, size int) (block.Block, bool) {
 	best, start, shortest := -1, 0, block.MaxSize+1
-	for i, r := range rooms {
+	for i, r := range racks {
 		if bits.OnesCount64(r.Free) < size {
 			continue
 		}
@@ -132,8 +132,8 @@
 	if best < 0 {
 		return block.Block{}, false
 	}
-	rooms[best].Free &^= block.Run(start, size)
-	return block.Block{Rack: rooms[best].Rack, Start: start, Size: size}, true
+	racks[best].Free &^= block.Run(start, size)
+	return block.Block{Rack: racks[best].Rack, Start: start, Size: size}, true
 }
 
 // bestStart returns the best start for size accelerators in one rack, and the
--- a/core/witness/witness_test.go
+++ b/core/witness/witness_test.go
@@ -15,7 +15,7 @@
 
 const seed = 1
 
-func rooms(free []uint64) []witness.RackSpace {
+func racks(free []uint64) []witness.RackSpace {
 	out := make([]witness.RackSpace, len(free))
 	for i, f := range free {
 		out[i] = witness.RackSpace{Rack: id.Rack(fmt.Sprint("r", i)), Free: f}
@@ -48,7 +48,7 @@
 	return len(w) == len(ns)
 }
 
-// TestWitness checks that Find returns valid witnesses, and that Keep changes
+// TestWitness checks that Find returns valid witnesses, and that Update changes
 // nothing in a witness that is still valid and repairs one whose places are no
 // longer all free.
 func TestWitness(t *testing.T) {
@@ -56,12 +56,12 @@
 	free := gen.SliceOfN(4, gen.UInt64().Map(func(x uint64) uint64 { return x | x<<1 | x<<2 }))
 	sizes := gen.SliceOf(gen.IntRange(1, 16))
 	p.Property("Find returns a valid witness", prop.ForAll(func(free []uint64, sizes []int) bool {
-		rs, ns := rooms(free), needs(sizes)
+		rs, ns := racks(free), needs(sizes)
 		w, err := witness.Find(rs, ns)
 		return err != nil || valid(w, rs, ns)
 	}, free, sizes))
-	p.Property("Keep leaves a valid witness unchanged", prop.ForAll(func(free []uint64, sizes []int) bool {
-		rs, ns := rooms(free), needs(sizes)
+	p.Property("Update leaves a valid witness unchanged", prop.ForAll(func(free []uint64, sizes []int) bool {
+		rs, ns := racks(free), needs(sizes)
 		w, err := witness.Find(rs, ns)
 		if err != nil {
 			return true
@@ -69,8 +69,8 @@
 		kept, err := witness.Update(rs, w, ns)
 		return err == nil && fmt.Sprint(kept) == fmt.Sprint(w)
 	}, free, sizes))
-	p.Property("Keep repairs a witness that lost places, or returns an error", prop.ForAll(func(free, lost []uint64, sizes []int) bool {
-		rs, ns := rooms(free), needs(sizes)
+	p.Property("Update repairs a witness that lost places, or returns an error", prop.ForAll(func(free, lost []uint64, sizes []int) bool {
+		rs, ns := racks(free), needs(sizes)
 		w, err := witness.Find(rs, ns)
 		if err != nil {
 			return true
--- a/internal/conntrack/conntrack.go
+++ b/internal/conntrack/conntrack.go
@@ -14,9 +14,9 @@
 //
 // Several incarnations of a process may use one address in turn, and an earlier
 // one may keep answering on connections that it has accepted. A transport made
-// by NewPerLife uses separate connections for calls to different incarnations.
-// Suspicion applies to the network path to an address, and so to the
-// connections of all incarnations there.
+// by NewPerIncarnation uses separate connections for calls to different
+// incarnations. Suspicion applies to the network path to an address, and so to
+// the connections of all incarnations there.
 //
 // Calls in flight on suspect connections are not canceled. A missing answer may
 // as well come from a slow service, and a call that long-polls there would only
@@ -105,10 +105,10 @@
 	return t
 }
 
-// NewPerIncarnation is New for addresses that several incarnations of a process use in
-// turn: a call that names one by WithLife uses only connections that were
-// opened for this incarnation. The limits of base on connections per host apply
-// per incarnation. Calls must use plain HTTP.
+// NewPerIncarnation is New for addresses that several incarnations of a process
+// use in turn: a call that names one by WithIncarnation uses only connections
+// that were opened for this incarnation. The limits of base on connections per
+// host apply per incarnation. Calls must use plain HTTP.
 func NewPerIncarnation(base *http.Transport, onDead func(DeadConn)) *Transport {
 	t := New(base, onDead)
 	t.perIncarnation = true
@@ -232,7 +232,7 @@
 	case errors.Is(err, context.DeadlineExceeded) && (!known || elapsed >= wait+overdueAfter):
 		return "no answer in time"
 	case errors.Is(err, context.Canceled) && known && elapsed >= wait+overdueAfter:
-		return "no answer when the call was given up"
+		return "no answer when the call was canceled"
 	}
 	return ""
 }
--- a/internal/conntrack/handshake.go
+++ b/internal/conntrack/handshake.go
@@ -31,8 +31,8 @@
 // runHandshake runs the handshake of a connection that the call has opened, if
 // it has one.
 func (c *call) runHandshake(ctx context.Context, x net.Conn) error {
-	h, some := ctx.Value(handshakeKey{}).(Handshake)
-	if c.incarnation == "" || !some {
+	h, ok := ctx.Value(handshakeKey{}).(Handshake)
+	if c.incarnation == "" || !ok {
 		return nil
 	}
 	return h(ctx, x)
--- a/internal/conntrack/life.go
+++ b/internal/conntrack/life.go
@@ -9,18 +9,18 @@
 
 // errGone reports that another incarnation answered while a connection was
 // being opened.
-var errGone = errors.New("conntrack: another life has answered")
+var errGone = errors.New("conntrack: another incarnation has answered")
 
-// incarnationKey is the context key of WithLife, callKey the one under which
-// the dialer finds the call.
+// incarnationKey is the context key of WithIncarnation, callKey the one under
+// which the dialer finds the call.
 type (
 	incarnationKey struct{}
 	callKey        struct{}
 )
 
-// WithIncarnation sets in ctx the incarnation of the process at an address that a call
-// is for. An earlier incarnation may keep answering on connections that it has
-// accepted, and its answers say nothing about this one.
+// WithIncarnation sets in ctx the incarnation of the process at an address that
+// a call is for. An earlier incarnation may keep answering on connections that
+// it has accepted, and its answers say nothing about this one.
 func WithIncarnation(ctx context.Context, incarnation string) context.Context {
 	return context.WithValue(ctx, incarnationKey{}, incarnation)
 }
@@ -66,7 +66,7 @@
 // dialingCall returns the call for which a connection is opened; host is the
 // address as the base transport knows it.
 func dialingCall(ctx context.Context, host string) *call {
-	if c, apart := ctx.Value(callKey{}).(*call); apart {
+	if c, ok := ctx.Value(callKey{}).(*call); ok {
 		return c
 	}
 	return &call{address: host}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,11 +1,12 @@
-// Package edge is the reverse proxy of an entry host: it accepts callers' requests
-// over HTTP, sends them to the backend servers that the core chose, and gives each
-// caller exactly one response.
+// Package edge is the reverse proxy of an entry host: it accepts callers'
+// requests over HTTP, sends them to the backend servers that the core chose,
+// and gives each caller exactly one response.
 //
-// Request and response bodies are buffered completely before they are forwarded, up
-// to a size limit. So an attempt can be retried, and a caller never receives part of
-// a response whose rest is lost. Each response is stored with the attempt that
-// received it. The response to an attempt that the core has abandoned is discarded.
+// Request and response bodies are buffered completely before they are
+// forwarded, up to a size limit. So an attempt can be retried, and a caller
+// never receives part of a response whose rest is lost. Each response is stored
+// with the attempt that received it. The response to an attempt that the core
+// has abandoned is discarded.
 package edge
 
 import (
@@ -37,10 +38,11 @@
 const (
 	// CustomerHeader carries the name of the customer.
 	CustomerHeader = "Curlewsill-Customer"
-	// OnceHeader with the value "true" marks a request that must run at most once.
+	// OnceHeader with the value "true" marks a request that must run at most
+	// once.
 	OnceHeader = "Curlewsill-Once"
-	// IdempotencyKeyHeader carries the caller's idempotency key for a request that must run at
-	// most once.
+	// IdempotencyKeyHeader carries the caller's idempotency key for a request
+	// that must run at most once.
 	IdempotencyKeyHeader = "Idempotency-Key"
 	// TimeoutHeader carries the caller's timeout in milliseconds.
 	TimeoutHeader = "Curlewsill-Timeout-Ms"
@@ -48,13 +50,14 @@
 	RanHeader = "Curlewsill-Ran"
 	// LoadHeader carries the number of slots in use at a backend server.
 	LoadHeader = "Curlewsill-Load"
-	// RefusalHeader says why a backend server refused a request: busy or leaving.
+	// RefusalHeader says why a backend server refused a request: busy or
+	// leaving.
 	RefusalHeader = "Curlewsill-Refusal"
-	// HealthPath is the path at which backend servers report whether they accept
-	// requests.
+	// HealthPath is the path at which backend servers report whether they
+	// accept requests.
 	HealthPath = "/healthz"
-	// RequestHeader carries the ID of an attempt to the backend server, which may
-	// echo it.
+	// RequestHeader carries the ID of an attempt to the backend server, which
+	// may echo it.
 	RequestHeader = "Curlewsill-Request"
 )
 
@@ -64,10 +67,10 @@
 // maxKeyBytes bounds the length of an idempotency key.
 const maxKeyBytes = 200
 
-// writeTimeout bounds the time in which a caller must read its response. Without it,
-// a caller that stops reading would hold its connection and its slot among the
-// requests in flight forever, because its kernel still answers TCP keep-alive probes.
-// It is half the time limit for receiving a request.
+// writeTimeout bounds the time in which a caller must read its response.
+// Without it, a caller that stops reading would hold its connection and its
+// slot among the requests in flight forever, because its kernel still answers
+// TCP keep-alive probes. It is half the time limit for receiving a request.
 const writeTimeout = 30 * time.Second
 
 // Core receives the events of requests.
@@ -79,8 +82,8 @@
 // Observer is called once for each request, when its handling ends.
 type Observer func(service id.Service, code route.Code, ran route.Ran, took time.Duration)
 
-// Clients are the HTTP clients for backend servers. Probes use separate connections,
-// so that a probe never waits for a request.
+// Clients are the HTTP clients for backend servers. Probes use separate
+// connections, so that a probe never waits for a request.
 type Clients struct {
 	Requests, Probes *http.Client
 }
@@ -292,16 +295,18 @@
 	return p.Code
 }
 
-// nonReplayableBody is a request body of which the HTTP client can't get a second
-// copy, so that it never retries the request by itself.
+// nonReplayableBody is a request body of which the HTTP client can't get a
+// second copy, so that it never retries the request by itself.
 type nonReplayableBody struct{ io.Reader }
 
 func (nonReplayableBody) Close() error { return nil }
 
-// newNonReplayableBody returns a request body that the HTTP client can't replay.
+// newNonReplayableBody returns a request body that the HTTP client can't
+// replay.
 func newNonReplayableBody(b []byte) io.ReadCloser { return nonReplayableBody{bytes.NewReader(b)} }
 
-// recordOutcome sets the span's status to error unless the response was complete.
+// recordOutcome sets the span's status to error unless the response was
+// complete.
 func recordOutcome(span oteltrace.Span, o route.Outcome) {
 	if o != route.Complete {
 		span.SetStatus(codes.Error, string(o))
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -20,8 +20,8 @@
 	"curlewsill.org/curlewsill/internal/trace"
 )
 
-// oneBackend is a core that sends every request to one backend server and relays its
-// response.
+// oneBackend is a core that sends every request to one backend server and
+// relays its response.
 type oneBackend struct {
 	edge    *edge.Edge
 	backend id.Backend
@@ -48,8 +48,8 @@
 	return true
 }
 
-// call sends one request through an edge to a backend server and returns the response,
-// its body, the outcomes of the attempts and the spans.
+// call sends one request through an edge to a backend server and returns the
+// response, its body, the outcomes of the attempts and the spans.
 func call(t *testing.T, backend http.HandlerFunc, header http.Header) (*http.Response, string, []route.Outcome, tracetest.SpanStubs) {
 	srv := httptest.NewServer(backend)
 	defer srv.Close()
@@ -77,8 +77,8 @@
 	return resp, string(body), core.ended, spans.GetSpans()
 }
 
-// TestTrace checks that a request creates a span for each hop and that its trace
-// context reaches the backend server.
+// TestTrace checks that a request creates a span for each hop and that its
+// trace context reaches the backend server.
 func TestTrace(t *testing.T) {
 	const id = "4bf92f3577b34da6a3ce929d0e0e4736"
 	got := ""
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestAnswers checks which outcome an edge reports for each kind of response of a
-// backend server.
+// TestAnswers checks which outcome an edge reports for each kind of response of
+// a backend server.
 func TestAnswers(t *testing.T) {
 	for _, x := range []struct {
 		name    string
--- a/internal/edge/probe.go
+++ b/internal/edge/probe.go
@@ -12,8 +12,8 @@
 // maxProbeBody bounds how much of a probe's response is read, in bytes.
 const maxProbeBody = 4 << 10
 
-// Probe checks in a new goroutine whether a backend server accepts requests, and
-// passes the outcome to the core.
+// Probe checks in a new goroutine whether a backend server accepts requests,
+// and passes the outcome to the core.
 func (e *Edge) Probe(ctx context.Context, p route.Probe) {
 	go func() {
 		if o, ok := e.sendProbe(ctx, p); ok {
@@ -22,8 +22,8 @@
 	}()
 }
 
-// sendProbe sends a probe. It reports false if the probe was inconclusive, because it
-// timed out.
+// sendProbe sends a probe. It reports false if the probe was inconclusive,
+// because it timed out.
 func (e *Edge) sendProbe(ctx context.Context, p route.Probe) (route.Outcome, bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -25,18 +25,20 @@
 // probeTimeout bounds a probe. A probe that takes longer is inconclusive.
 const probeTimeout = 800 * time.Millisecond
 
-// hopByHopHeaders are the headers of a single connection. They aren't forwarded.
+// hopByHopHeaders are the headers of a single connection. They aren't
+// forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// Send makes one attempt to send a request to a backend server, in a new goroutine.
+// Send makes one attempt to send a request to a backend server, in a new
+// goroutine.
 func (e *Edge) Send(a route.Attempt) {
 	c := e.find(a.Request)
 	if c == nil {
-		// The caller has disconnected and the core didn't know it yet. Nothing was
-		// sent.
+		// The caller has disconnected and the core didn't know it yet. Nothing
+		// was sent.
 		go e.core.Push(context.Background(), node.AttemptEnded{Result: route.Result{Attempt: a, Outcome: route.NotSent, Load: -1}})
 		return
 	}
@@ -44,8 +46,8 @@
 }
 
 func (e *Edge) attempt(c *call, a route.Attempt) {
-	// A request that must run at most once continues after its caller disconnects:
-	// if it were cancelled, nobody could tell whether it ran.
+	// A request that must run at most once continues after its caller
+	// disconnects: if it were cancelled, nobody could tell whether it ran.
 	parent := c.ctx
 	if c.once {
 		parent = context.WithoutCancel(parent)
@@ -116,8 +118,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The HTTP client retries some requests by itself, but never one whose body it
-	// can't replay.
+	// The HTTP client retries some requests by itself, but never one whose body
+	// it can't replay.
 	req.Body, req.ContentLength = newNonReplayableBody(c.body), int64(len(c.body))
 	req.Header = endToEndHeaders(c.request.Header)
 	req.Header.Set(RequestHeader, attemptID(e, a))
--- a/internal/edge/unread_test.go
+++ b/internal/edge/unread_test.go
@@ -20,8 +20,8 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// slowCore replies to every request after a minute, longer than the edge's timeout for
-// writing a response.
+// slowCore replies to every request after a minute, longer than the edge's
+// timeout for writing a response.
 type slowCore struct{ edge *edge.Edge }
 
 // Offer implements edge.Core.
@@ -34,12 +34,13 @@
 // Push implements edge.Core.
 func (*slowCore) Push(context.Context, node.Event) bool { return true }
 
-// TestUnreadResponse checks that the connection of a caller that doesn't read its
-// response is closed, and that a caller that waits long for its response receives it.
+// TestUnreadResponse checks that the connection of a caller that doesn't read
+// its response is closed, and that a caller that waits long for its response
+// receives it.
 //
-// It guards against writes without a deadline. Such a caller would hold its connection
-// forever and, with a long response, also its slot among the requests in flight,
-// because its kernel still answers TCP keep-alive probes.
+// It guards against writes without a deadline. Such a caller would hold its
+// connection forever and, with a long response, also its slot among the
+// requests in flight, because its kernel still answers TCP keep-alive probes.
 func TestUnreadResponse(t *testing.T) {
 	for _, reads := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -59,11 +59,11 @@
 
 // Calls sends the core's actions to callers and backend servers.
 type Calls interface {
-	// Send sends a request to a backend server and reports the result as an
-	// Ended event. It must not block.
+	// Send sends a request to a backend server and reports the result as a
+	// node.AttemptEnded event. It must not block.
 	Send(route.Attempt)
 	// Probe asks a backend server whether it accepts requests and reports the
-	// result as a Probed event. It must not block.
+	// result as a node.ProbeEnded event. It must not block.
 	Probe(context.Context, route.Probe)
 	// Reply sends the final answer to a request. It must not block.
 	Reply(route.Reply)
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// EventTime records when an event last happened, by the monotonic clock. It is safe
-// for concurrent use. The zero value is not ready for use; call New.
+// EventTime records when an event last happened, by the monotonic clock. It is
+// safe for concurrent use. The zero value is not ready for use; call New.
 type EventTime struct {
 	since time.Time
 	// last is the time of the event as nanoseconds after since.
 	last atomic.Int64
 }
 
-// New returns a meter whose event happens now.
+// New returns an EventTime whose event happens now.
 func New() *EventTime { return &EventTime{since: time.Now()} }
 
 // Touch records that the event happens now.
@@ -28,8 +28,7 @@
 // Ago returns the time since the event last happened.
 func (m *EventTime) Ago() time.Duration { return time.Since(m.Last()) }
 
-// Conn wraps a connection so that the meter is touched whenever bytes arrive on
-// it.
+// Conn wraps a connection so that Touch is called whenever bytes arrive on it.
 func (m *EventTime) Conn(c net.Conn) net.Conn { return &metered{Conn: c, received: m} }
 
 // metered is a connection that records when bytes arrive.
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -9,7 +9,7 @@
 	"curlewsill.org/curlewsill/internal/meter"
 )
 
-// TestConn checks that received bytes touch the meter, and sent bytes don't.
+// TestConn checks that received bytes count as the event, and sent bytes don't.
 func TestConn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -17,8 +17,8 @@
 	// Queued is how many orders may be queued in all.
 	Queued int
 	// Recent is how many orders may be in flight that were sent less than
-	// Settles ago. All is how many may be in flight in all, which is also the
-	// maximum number of goroutines.
+	// RecentFor ago. InFlight is how many may be in flight in all, which is
+	// also the maximum number of goroutines.
 	Recent, InFlight int
 	RecentFor        time.Duration
 	// PerReceiver is how many orders to one receiver may be in flight.
@@ -36,7 +36,7 @@
 	// sent, each once.
 	ready []*receiver
 	// waiting, recent and inFlight count orders: those queued, those sent less
-	// than Settles ago, and all those in flight.
+	// than RecentFor ago, and all those in flight.
 	waiting, recent, inFlight int
 	closed                    bool
 }
@@ -138,7 +138,7 @@
 	}
 }
 
-// send sends one order, which counts as recent until Settles has passed.
+// send sends one order, which counts as recent until RecentFor has passed.
 func (b *Box[K]) send(order *sending) {
 	timer := time.AfterFunc(b.limits.RecentFor, func() { b.ageOut(order) })
 	defer timer.Stop()
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -15,7 +15,7 @@
 
 // TestScripts runs the scripts in testdata in virtual time:
 //
-//	limits WAITING FRESH ALL SETTLES EACH
+//	limits QUEUED RECENT INFLIGHT RECENTFOR PERRECEIVER
 //	put RECEIVER ORDER... true|false    queues orders; checks whether the last was accepted
 //	hold ORDER...                       these stay in flight until released
 //	release ORDER                       ends a held order
--- a/internal/peerlink/bench_test.go
+++ b/internal/peerlink/bench_test.go
@@ -23,7 +23,7 @@
 				await(b, nil, func() bool { return w.heard.Load() > from && w.proxy.OpenCount() == 1 })
 				time.Sleep(time.Duration(i%10) * 100 * time.Millisecond)
 				w.proxy.Silence(d)
-				time.Sleep(2 * every) // frames in transit arrive
+				time.Sleep(2 * frameInterval) // frames in transit arrive
 				from = w.heard.Load()
 				began := time.Now()
 				await(b, nil, func() bool { return w.heard.Load() > from })
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -104,8 +104,8 @@
 // Dropped returns how many frames were dropped because a queue was full.
 func (l *Links) Dropped() uint64 { return l.dropped.Load() }
 
-// FoundDead returns how many connections were closed because nothing came from the
-// peer.
+// FoundDead returns how many connections were closed because nothing came from
+// the peer.
 func (l *Links) FoundDead() uint64 { return l.conns.FoundDead() }
 
 // SetAddresses replaces the addresses at which the hosts listen.
--- a/internal/peerlink/silent_test.go
+++ b/internal/peerlink/silent_test.go
@@ -20,10 +20,11 @@
 )
 
 const (
-	// every is the time between two frames.
-	every = 20 * time.Millisecond
-	// patience is how long a script waits for a condition before it fails.
-	patience = 20 * time.Second
+	// frameInterval is the time between two frames.
+	frameInterval = 20 * time.Millisecond
+	// conditionTimeout is how long a script waits for a condition before it
+	// fails.
+	conditionTimeout = 20 * time.Second
 )
 
 // TestSilent tests connections that go silent for good, without a reset, while
@@ -101,14 +102,15 @@
 func (w *pair) beat() {
 	for w.ctx.Err() == nil {
 		w.links.Send(w.ctx, "other", peer.Frame{From: "self", Digest: w.sent.Add(1)})
-		time.Sleep(every)
+		time.Sleep(frameInterval)
 	}
 }
 
-// await polls until seen reports true, and fails the test after patience.
+// await polls until seen reports true, and fails the test after
+// conditionTimeout.
 func await(t testing.TB, words []string, seen func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !seen(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); !seen(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%v: condition not met in time", words)
 		}
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -46,11 +46,11 @@
 		b.Fatal(err)
 	}
 	defer func() { _ = proxy.Close() }()
-	path := relay.New("http://store", relay.RouteStore, http.DefaultClient, links, zap.NewNop())
+	transport := relay.New("http://store", relay.RouteStore, http.DefaultClient, links, zap.NewNop())
 	var found, repaired, freed []time.Duration
 	var goroutines, files int
 	for i := range b.N {
-		callOnce(b, path, proxy.Addr())
+		callOnce(b, transport, proxy.Addr())
 		if i == 0 {
 			goroutines, files = runtime.NumGoroutine(), openFiles(b)
 		}
@@ -58,7 +58,7 @@
 		proxy.Silence(d)
 		began := time.Now()
 		if called {
-			callOnce(b, path, proxy.Addr())
+			callOnce(b, transport, proxy.Addr())
 			repaired = append(repaired, time.Since(began))
 			waitFor(func() bool { return proxy.OpenCount() == 1 })
 			freed = append(freed, time.Since(began))
@@ -69,7 +69,7 @@
 		waitFor(func() bool { return proxy.OpenCount() == 0 })
 		freed = append(freed, time.Since(began))
 	}
-	callOnce(b, path, proxy.Addr())
+	callOnce(b, transport, proxy.Addr())
 	report(b, "found", found)
 	report(b, "repaired", repaired)
 	report(b, "freed", freed)
@@ -79,11 +79,11 @@
 }
 
 // callOnce makes a call through the peer.
-func callOnce(b *testing.B, path *relay.Transport, address string) {
+func callOnce(b *testing.B, transport *relay.Transport, address string) {
 	b.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	status, _, err := path.CallPeer(ctx, address, relay.Request{Method: http.MethodPost, Path: "/", Timeout: limit})
+	status, _, err := transport.CallPeer(ctx, address, relay.Request{Method: http.MethodPost, Path: "/", Timeout: limit})
 	if err != nil || status != http.StatusOK {
 		b.Fatal(status, err)
 	}
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -221,7 +221,7 @@
 	release := l.conn.Use()
 	defer release()
 	go l.send(raw)
-	overdue := time.NewTimer(c.Limit + hedgeDelay)
+	overdue := time.NewTimer(c.Timeout + hedgeDelay)
 	defer overdue.Stop()
 	sent := time.Now()
 	select {
@@ -230,7 +230,7 @@
 	case <-overdue.C:
 		return l.handleOverdue(answer, errOverdue)
 	case <-ctx.Done():
-		if errors.Is(ctx.Err(), context.DeadlineExceeded) || time.Since(sent) >= c.Limit-hedgeDelay {
+		if errors.Is(ctx.Err(), context.DeadlineExceeded) || time.Since(sent) >= c.Timeout-hedgeDelay {
 			return l.handleOverdue(answer, fmt.Errorf("%w: %w", errOverdue, ctx.Err()))
 		}
 		return result{}, ctx.Err()
--- a/internal/relay/link_internal_test.go
+++ b/internal/relay/link_internal_test.go
@@ -36,7 +36,7 @@
 	l := linkTo(t, New(store.URL, RouteStore, store.Client(), newTestLinks(t), zap.NewNop()).Handler())
 	first := make(chan error, 1)
 	go func() {
-		_, err := l.do(context.Background(), call{Method: http.MethodPost, Path: "/", Limit: time.Minute})
+		_, err := l.do(context.Background(), call{Method: http.MethodPost, Path: "/", Timeout: time.Minute})
 		first <- err
 	}()
 	for l.inFlight() == 0 {
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 20 { // whether the library sees the end of a context first is random
-		if _, err := l.do(ctx, call{Method: http.MethodPost, Path: "/", Limit: time.Minute}); !errors.Is(err, context.Canceled) {
+		if _, err := l.do(ctx, call{Method: http.MethodPost, Path: "/", Timeout: time.Minute}); !errors.Is(err, context.Canceled) {
 			t.Errorf("the canceled call ended with %v", err)
 		}
 	}
@@ -60,7 +60,7 @@
 // entry and channel for each such call.
 func TestOverdueIsForgotten(t *testing.T) {
 	l := linkTo(t, unansweringHandler(newTestLinks(t)))
-	if _, err := l.do(context.Background(), call{Method: http.MethodPost, Path: "/", Limit: -hedgeDelay}); !errors.Is(err, errOverdue) {
+	if _, err := l.do(context.Background(), call{Method: http.MethodPost, Path: "/", Timeout: -hedgeDelay}); !errors.Is(err, errOverdue) {
 		t.Fatalf("the call ended with %v", err)
 	}
 	if n := l.inFlight(); n != 0 {
@@ -78,10 +78,10 @@
 // though new links worked.
 func TestAllLinksSilent(t *testing.T) {
 	const peers, limit = 6, 8 * time.Second
-	path := New("http://store", RouteStore, http.DefaultClient, newTestLinks(t), zap.NewNop())
+	transport := New("http://store", RouteStore, http.DefaultClient, newTestLinks(t), zap.NewNop())
 	store := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(store.Close)
-	c := call{Method: http.MethodPost, Path: "/", Limit: limit}
+	c := call{Method: http.MethodPost, Path: "/", Timeout: limit}
 	var proxies []*faultproxy.Proxy
 	var known []Peer
 	for range peers {
@@ -94,9 +94,11 @@
 		t.Cleanup(func() { _ = proxy.Close() })
 		proxies, known = append(proxies, proxy), append(known, Peer{Address: proxy.Addr()})
 	}
-	path.SetPeers(known)
+	transport.SetPeers(known)
 	for i := range known {
-		if _, err := path.callWithRetry(context.Background(), func(ctx context.Context) (*link, error) { return path.linkFor(ctx, PathIndex(i+1)) }, c); err != nil {
+		if _, err := transport.callWithRetry(context.Background(), func(ctx context.Context) (*link, error) {
+			return transport.linkFor(ctx, PathIndex(i+1))
+		}, c); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -104,7 +106,7 @@
 		p.Silence(faultproxy.Both)
 	}
 	for range 3 { // the link is chosen at random
-		if res, err := path.callWithRetry(context.Background(), path.pick, c); err != nil || res.Status != http.StatusOK {
+		if res, err := transport.callWithRetry(context.Background(), transport.pick, c); err != nil || res.Status != http.StatusOK {
 			t.Errorf("status %d, %v", res.Status, err)
 		}
 	}
--- a/internal/relay/overdue_internal_test.go
+++ b/internal/relay/overdue_internal_test.go
@@ -59,13 +59,13 @@
 		peer := New("http://store", RouteStore, &http.Client{Transport: store}, links, zap.NewNop())
 		s := &http.Server{Handler: peer.Handler(), ReadHeaderTimeout: time.Second}
 		go func() { _ = s.Serve(lis) }()
-		path := New("http://store", RouteStore, http.DefaultClient, links, zap.NewNop())
-		path.SetPeers([]Peer{{Address: "peer"}})
+		transport := New("http://store", RouteStore, http.DefaultClient, links, zap.NewNop())
+		transport.SetPeers([]Peer{{Address: "peer"}})
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			path.SetPeers(nil)
+			transport.SetPeers(nil)
 		}()
-		status, _, err := path.CallPeer(t.Context(), "peer", Request{Method: http.MethodGet, Path: "/", Timeout: time.Second})
+		status, _, err := transport.CallPeer(t.Context(), "peer", Request{Method: http.MethodGet, Path: "/", Timeout: time.Second})
 		if err != nil || status != http.StatusOK {
 			t.Errorf("status %d, %v", status, err)
 		}
@@ -89,12 +89,12 @@
 	peer := New("http://store", RouteStore, &http.Client{Transport: &statusStore{statuses: statuses}}, links, zap.NewNop())
 	s := &http.Server{Handler: peer.Handler(), ReadHeaderTimeout: time.Second}
 	go func() { _ = s.Serve(lis) }()
-	path := New("http://store", RouteStore, http.DefaultClient, links, zap.NewNop())
+	transport := New("http://store", RouteStore, http.DefaultClient, links, zap.NewNop())
 	for _, silent := range []bool{false, true} {
 		if silent {
 			cuts.silence()
 		}
-		status, _, err := path.CallPeer(t.Context(), "peer", Request{Method: http.MethodGet, Path: "/", Timeout: time.Second})
+		status, _, err := transport.CallPeer(t.Context(), "peer", Request{Method: http.MethodGet, Path: "/", Timeout: time.Second})
 		if err != nil || status != http.StatusOK {
 			t.Errorf("with a silent link %t: status %d, %v", silent, status, err)
 		}
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	res, err := p.callWithRetry(req.Context(), chooseLink, call{
-		Method: req.Method, Path: req.URL.RequestURI(), Kind: req.Header.Get("Content-Type"), Body: body, Limit: wait + 2*hedgeDelay,
+		Method: req.Method, Path: req.URL.RequestURI(), ContentType: req.Header.Get("Content-Type"), Body: body, Timeout: wait + 2*hedgeDelay,
 	})
 	if err != nil {
 		return nil, err
@@ -116,8 +116,8 @@
 
 // callOnce makes a call on one link.
 func (p *Transport) callOnce(ctx context.Context, chooseLink linkChooser, c call) (result, error) {
-	if c.patience > 0 {
-		limited, cancel := context.WithTimeout(ctx, c.patience)
+	if c.tryTimeout > 0 {
+		limited, cancel := context.WithTimeout(ctx, c.tryTimeout)
 		defer cancel()
 		ctx = limited
 	}
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -11,8 +11,8 @@
 // hedgedCall is one call in progress, on the direct path, through a peer, or
 // both in parallel.
 type hedgedCall struct {
-	path *Transport
-	req  *http.Request
+	transport *Transport
+	req       *http.Request
 	// wait is how long the call may wait at the server.
 	wait     time.Duration
 	outcomes chan outcome
@@ -34,7 +34,7 @@
 func (r *hedgedCall) start(direct bool) {
 	r.inFlight++
 	*r.startOf(direct) = time.Now()
-	go func() { r.outcomes <- r.path.try(r.req, direct, r.wait) }()
+	go func() { r.outcomes <- r.transport.try(r.req, direct, r.wait) }()
 }
 
 // startOf returns a pointer to the start time of a path.
@@ -48,9 +48,9 @@
 // finish records the outcome of one path.
 func (r *hedgedCall) finish(o outcome) {
 	r.inFlight--
-	r.path.recordOutcome(o)
+	r.transport.recordOutcome(o)
 	if !o.direct && !o.failed() {
-		r.path.recordSilence(r)
+		r.transport.recordSilence(r)
 	}
 	*r.startOf(o.direct) = time.Time{}
 }
@@ -65,18 +65,18 @@
 }
 
 // RoundTrip implements http.RoundTripper. A call that is bound to a path by
-// OnlyBy is made there. Otherwise the second path is tried when the first one
+// WithPath is made there. Otherwise the second path is tried when the first one
 // fails or is slow, and the first answer that isn't a refusal is returned. If
 // both fail, RoundTrip returns the outcome for which it is most likely that the
 // call took effect.
 func (p *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
-	if w, bound := req.Context().Value(wayKey{}).(PathIndex); bound {
+	if w, bound := req.Context().Value(pathKey{}).(PathIndex); bound {
 		return p.callBound(req, w)
 	}
 	plan := p.plan()
 	var responding atomic.Bool
 	req = req.WithContext(WithArrivalHook(req.Context(), func() { responding.Store(true) }))
-	r := &hedgedCall{path: p, req: req, wait: waitOf(req), outcomes: make(chan outcome, 2), backupPending: plan.usePeers, backupDirect: !plan.directFirst}
+	r := &hedgedCall{transport: p, req: req, wait: waitOf(req), outcomes: make(chan outcome, 2), backupPending: plan.usePeers, backupDirect: !plan.directFirst}
 	r.start(plan.directFirst)
 	if plan.probe {
 		go p.probe(req, r.wait)
--- a/internal/relay/race_internal_test.go
+++ b/internal/relay/race_internal_test.go
@@ -34,8 +34,8 @@
 // this test is unreachable, so that trying it sets peersSuspectUntil.
 func TestNoSecondCopy(t *testing.T) {
 	for _, c := range []struct {
-		begins time.Duration
-		asked  bool
+		begins   time.Duration
+		usesPeer bool
 	}{
 		{hedgeDelay / 2, false},
 		{2 * hedgeDelay, true},
@@ -54,8 +54,8 @@
 				t.Fatal(err)
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
-			if asked := !p.peersSuspectUntil.IsZero(); asked != c.asked {
-				t.Errorf("the answer begins after %v: a peer was asked: %t", c.begins, asked)
+			if usesPeer := !p.peersSuspectUntil.IsZero(); usesPeer != c.usesPeer {
+				t.Errorf("the answer begins after %v: a peer was tried: %t", c.begins, usesPeer)
 			}
 		})
 	}
--- a/internal/relay/refused_test.go
+++ b/internal/relay/refused_test.go
@@ -31,7 +31,7 @@
 		direct := &scriptedPath{mode: "busy"}
 		store := httptest.NewServer(http.HandlerFunc(direct.store))
 		t.Cleanup(store.Close)
-		path := relay.New(store.URL, relay.RouteStore, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, links, zap.NewNop())
+		transport := relay.New(store.URL, relay.RouteStore, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, links, zap.NewNop())
 		var paths []*scriptedPath
 		for i, line := range strings.Split(text, "\n") {
 			f := strings.Fields(line)
@@ -48,10 +48,10 @@
 					t.Cleanup(s.Close)
 					paths, peers = append(paths, w), append(peers, relay.Peer{Address: strings.TrimPrefix(s.URL, "http://")})
 				}
-				path.SetPeers(peers)
+				transport.SetPeers(peers)
 			case "calls":
 				for n := range number(t, f[1]) {
-					if got := call(t, path, store.URL, nil); got != f[2] {
+					if got := call(t, transport, store.URL, nil); got != f[2] {
 						t.Errorf("line %d: call %d is %s, want %s", i+1, n, got, f[2])
 					}
 				}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,16 +1,17 @@
 // Package relay is an HTTP transport that relays calls through another entry
 // host when the direct path to the server fails.
 //
-// The platform's store may refuse some hosts while it serves others. A Path
-// first sends a call directly. If that fails or is slow, it sends the same call
-// to a peer over WebSocket with CBOR, and the peer makes it on its own direct
-// path. If peers are refused too, up to maxPeersTried of them are tried in
-// turn. A direct path that delivers no bytes while calls through a peer are
-// answered gets no more calls until a probe on it is answered. Every call that
-// is relayed must be safe to repeat: appends carry a number, and all other
-// calls are reads or idempotent. A peer never forwards a call to another peer.
+// The platform's store may refuse some hosts while it serves others. A
+// Transport first sends a call directly. If that fails or is slow, it sends the
+// same call to a peer over WebSocket with CBOR, and the peer makes it on its
+// own direct path. If peers are refused too, up to maxPeersTried of them are
+// tried in turn. A direct path that delivers no bytes while calls through a
+// peer are answered gets no more calls until a probe on it is answered. Every
+// call that is relayed must be safe to repeat: appends carry a number, and all
+// other calls are reads or idempotent. A peer never forwards a call to another
+// peer.
 //
-// OnlyBy binds a call to one path, to spread calls over hosts; the call isn't
+// WithPath binds a call to one path, to spread calls over hosts; the call isn't
 // retried on another path then.
 package relay
 
@@ -60,18 +61,18 @@
 }
 
 // call is one call to be made by a peer, as sent on a link. Path includes the
-// query.
+// query, ContentType describes the body.
 type call struct {
-	ID     uint64 `cbor:"1,keyasint"`
-	Method string `cbor:"2,keyasint"`
-	Path   string `cbor:"3,keyasint"`
-	Kind   string `cbor:"4,keyasint"`
-	Body   []byte `cbor:"5,keyasint"`
-	// Limit is how long the peer may take to make the call.
-	Limit time.Duration `cbor:"6,keyasint"`
-	// patience bounds each try on this side; 0 leaves the bound to the caller's
-	// context.
-	patience time.Duration
+	ID          uint64 `cbor:"1,keyasint"`
+	Method      string `cbor:"2,keyasint"`
+	Path        string `cbor:"3,keyasint"`
+	ContentType string `cbor:"4,keyasint"`
+	Body        []byte `cbor:"5,keyasint"`
+	// Timeout is how long the peer may take to make the call.
+	Timeout time.Duration `cbor:"6,keyasint"`
+	// tryTimeout bounds each try on this side; 0 leaves the bound to the
+	// caller's context.
+	tryTimeout time.Duration
 }
 
 // result answers a call. Status is 0 if the peer got no answer from the server;
@@ -123,8 +124,8 @@
 	peersSuspectUntil time.Time
 }
 
-// New returns a path to the server at base, a URL with scheme and host. The
-// client direct makes the direct calls. Peers accept relayed calls at the
+// New returns a transport to the server at base, a URL with scheme and host.
+// The client direct makes the direct calls. Peers accept relayed calls at the
 // route, over connections of conns.
 func New(base string, route Route, direct *http.Client, conns *wslink.Links, log *zap.Logger) *Transport {
 	return &Transport{
@@ -153,7 +154,7 @@
 // plan says which paths a call takes.
 type plan struct {
 	// directFirst is set if the direct path is tried first, as it is if no peer
-	// can be tried.
+	// can be tried. usePeers is set if the call may go through a peer.
 	directFirst, usePeers bool
 	// probe is set if the direct path has to be probed in parallel to the call.
 	probe bool
@@ -219,15 +220,15 @@
 	return NewResponse(req, status, data), nil
 }
 
-// CallDirect makes a call on the direct path and reads its whole answer. Kind is the
-// content type of the body.
-func (p *Transport) CallDirect(ctx context.Context, method, path, kind string, body []byte) (int, []byte, error) {
+// CallDirect makes a call on the direct path and reads its whole answer. The
+// content type describes the body.
+func (p *Transport) CallDirect(ctx context.Context, method, path, contentType string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(withArrivalTrace(ctx), method, p.base+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	if kind != "" {
-		req.Header.Set("Content-Type", kind)
+	if contentType != "" {
+		req.Header.Set("Content-Type", contentType)
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
@@ -278,7 +279,7 @@
 	}
 }
 
-// hedgeKey is the context key of WithHedge.
+// hedgeKey is the context key of WithHedgeDelay.
 type hedgeKey struct{}
 
 // WithHedgeDelay sets the delay, beyond the time that the call may wait at the
@@ -288,7 +289,7 @@
 	return context.WithValue(ctx, hedgeKey{}, after)
 }
 
-// hedgeOf returns the delay set by WithHedge, or hedgeDelay.
+// hedgeOf returns the delay set by WithHedgeDelay, or hedgeDelay.
 func hedgeOf(ctx context.Context) time.Duration {
 	if after, ok := ctx.Value(hedgeKey{}).(time.Duration); ok {
 		return after
@@ -296,12 +297,12 @@
 	return hedgeDelay
 }
 
-// arrivalKey is the context key of WithArrival.
+// arrivalKey is the context key of WithArrivalHook.
 type arrivalKey struct{}
 
-// WithArrivalHook registers a callback in ctx: it is called when the answer to a
-// call on the direct path begins to arrive, and for each further part of it. It
-// adds to the callbacks that ctx already has.
+// WithArrivalHook registers a callback in ctx: it is called when the answer to
+// a call on the direct path begins to arrive, and for each further part of it.
+// It adds to the callbacks that ctx already has.
 func WithArrivalHook(ctx context.Context, onArrival func()) context.Context {
 	if outer, ok := ctx.Value(arrivalKey{}).(func()); ok {
 		inner := onArrival
@@ -313,7 +314,8 @@
 	return context.WithValue(ctx, arrivalKey{}, onArrival)
 }
 
-// arrivalOf returns the callback set by WithArrival, or one that does nothing.
+// arrivalOf returns the callback set by WithArrivalHook, or one that does
+// nothing.
 func arrivalOf(ctx context.Context) func() {
 	if onArrival, ok := ctx.Value(arrivalKey{}).(func()); ok {
 		return onArrival
@@ -321,8 +323,8 @@
 	return func() {}
 }
 
-// withArrivalTrace makes the callback set by WithArrival run on the first byte
-// of an answer.
+// withArrivalTrace makes the callback set by WithArrivalHook run on the first
+// byte of an answer.
 func withArrivalTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: arrivalOf(ctx)})
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,13 +23,13 @@
 // TestScripts makes calls over paths that work or fail. A script has one call
 // per line:
 //
-//	DIRECT PEER -> OUTCOME [by WAY]
+//	DIRECT PEER -> OUTCOME [by PATH]
 //
 // DIRECT and PEER say what happens to the call on that path: ok, busy (503),
 // lost (the call is read and its connection closed), down (no connection) or
 // none (no such path). OUTCOME is ok, busy, unsent (certainly no effect) or
-// unknown. A call with a WAY is bound to that path. The lines of a script share
-// one relay.Path, which remembers which path works.
+// unknown. A call with a PATH is bound to the path of that index. The lines of
+// a script share one relay.Transport, which remembers which path works.
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, run)
 }
@@ -59,24 +59,24 @@
 	other := httptest.NewServer(http.HandlerFunc(peer.peer))
 	t.Cleanup(other.Close)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: direct.dial}}
-	path := relay.New(store.URL, relay.RouteStore, client, links, zap.NewNop())
+	transport := relay.New(store.URL, relay.RouteStore, client, links, zap.NewNop())
 	for i, line := range strings.Split(text, "\n") {
 		f := strings.Fields(line)
 		if len(f) == 0 || f[0] == "#" {
 			continue
 		}
 		direct.mode, peer.mode = f[0], f[1]
-		path.SetPeers(nil)
+		transport.SetPeers(nil)
 		if peer.mode != "none" {
-			path.SetPeers([]relay.Peer{{Address: strings.TrimPrefix(other.URL, "http://")}})
+			transport.SetPeers([]relay.Peer{{Address: strings.TrimPrefix(other.URL, "http://")}})
 		}
-		if got := call(t, path, store.URL, f[4:]); got != f[3] {
+		if got := call(t, transport, store.URL, f[4:]); got != f[3] {
 			t.Errorf("line %d: %s: got %s", i+1, line, got)
 		}
 	}
 }
 
-func call(t *testing.T, path *relay.Transport, url string, bound []string) string {
+func call(t *testing.T, transport *relay.Transport, url string, bound []string) string {
 	ctx := context.Background()
 	if len(bound) == 2 {
 		n, err := strconv.Atoi(bound[1])
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := path.RoundTrip(req)
+	resp, err := transport.RoundTrip(req)
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -62,10 +62,10 @@
 	case <-ctx.Done():
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, c.Limit)
+	limited, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	res := result{ID: c.ID}
-	status, body, err := p.CallDirect(limited, c.Method, c.Path, c.Kind, c.Body)
+	status, body, err := p.CallDirect(limited, c.Method, c.Path, c.ContentType, c.Body)
 	if err == nil {
 		res.Status, res.Body = status, body
 	}
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -12,7 +12,8 @@
 // that the call may wait at the server.
 const probeGrace = 2 * hedgeDelay
 
-// directState is what a Path knows about its direct path. Path.mu guards it.
+// directState is what a Transport knows about its direct path. Transport.mu
+// guards it.
 type directState struct {
 	// suspectUntil is the time until which the direct path isn't tried first.
 	suspectUntil time.Time
--- a/internal/relay/silence_internal_test.go
+++ b/internal/relay/silence_internal_test.go
@@ -28,7 +28,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := New("http://store", RouteStore, http.DefaultClient, nil, zap.NewNop())
 			waited, peer, now := duration(t, f[0]), duration(t, f[1]), time.Now()
-			r := &hedgedCall{path: p, req: httptest.NewRequest(http.MethodGet, "/", nil), directStart: now.Add(-waited), peerStart: now.Add(-peer)}
+			r := &hedgedCall{transport: p, req: httptest.NewRequest(http.MethodGet, "/", nil), directStart: now.Add(-waited), peerStart: now.Add(-peer)}
 			if f[2] != "never" {
 				p.direct.lastArrival = now.Add(-duration(t, f[2]))
 			}
@@ -38,7 +38,7 @@
 				got = "silent"
 			}
 			if got != f[3] {
-				t.Errorf("%v: the direct path is taken for one that is %s", f, got)
+				t.Errorf("%v: the direct path is marked as %s", f, got)
 			}
 		})
 	})
@@ -89,7 +89,7 @@
 // again once it answers.
 func TestSilentWayReturns(t *testing.T) {
 	direct := &recoveringTransport{}
-	p := newPeeredPath(t, direct, func(http.ResponseWriter, *http.Request) {})
+	p := newPeeredTransport(t, direct, func(http.ResponseWriter, *http.Request) {})
 	get(t, p)
 	tried := direct.tried.Load()
 	p.mu.Lock()
@@ -120,7 +120,7 @@
 // are others, like one that was refused. Otherwise each call would be tried
 // through the one peer with an open link.
 func TestSilentPeer(t *testing.T) {
-	p := newPeeredPath(t, refusingTransport{}, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	p := newPeeredTransport(t, refusingTransport{}, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, p.base+"/x", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -141,9 +141,9 @@
 	return NewResponse(req, http.StatusServiceUnavailable, nil), nil
 }
 
-// newPeeredPath returns a path with the given direct transport and one peer,
-// whose own direct path leads to the store.
-func newPeeredPath(t *testing.T, direct http.RoundTripper, store http.HandlerFunc) *Transport {
+// newPeeredTransport returns a transport with the given direct path and one
+// peer, whose own direct path leads to the store.
+func newPeeredTransport(t *testing.T, direct http.RoundTripper, store http.HandlerFunc) *Transport {
 	s := httptest.NewServer(store)
 	t.Cleanup(s.Close)
 	dial := (&net.Dialer{}).DialContext
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -22,8 +22,9 @@
 	// limit bounds each call that a script makes. A dead link has to be found
 	// long before; no test asserts how long.
 	limit = 8 * time.Second
-	// patience is how long a script waits for a condition before it fails.
-	patience = 20 * time.Second
+	// conditionTimeout is how long a script waits for a condition before it
+	// fails.
+	conditionTimeout = 20 * time.Second
 )
 
 // TestSilent tests links that go silent for good, without a reset, while new
@@ -49,10 +50,10 @@
 
 // pair is a host and its peer, with a proxy between them.
 type pair struct {
-	proxy    *faultproxy.Proxy
-	path     *relay.Transport
-	made     atomic.Int32
-	inFlight sync.WaitGroup
+	proxy     *faultproxy.Proxy
+	transport *relay.Transport
+	made      atomic.Int32
+	inFlight  sync.WaitGroup
 
 	mu sync.Mutex
 	// gate blocks the peer's calls until it is closed.
@@ -74,7 +75,7 @@
 	}
 	t.Cleanup(func() { _ = proxy.Close() })
 	w.proxy = proxy
-	w.path = relay.New("http://store", relay.RouteStore, http.DefaultClient, newLinks(t), zap.NewNop())
+	w.transport = relay.New("http://store", relay.RouteStore, http.DefaultClient, newLinks(t), zap.NewNop())
 	return w
 }
 
@@ -130,7 +131,7 @@
 		w.inFlight.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), limit)
 			defer cancel()
-			status, _, err := w.path.CallPeer(ctx, w.proxy.Addr(), relay.Request{Method: http.MethodPost, Path: "/", Timeout: limit})
+			status, _, err := w.transport.CallPeer(ctx, w.proxy.Addr(), relay.Request{Method: http.MethodPost, Path: "/", Timeout: limit})
 			got := "unknown"
 			if err == nil && status == http.StatusOK {
 				got = "ok"
@@ -142,10 +143,11 @@
 	}
 }
 
-// await polls until seen reports true, and fails the test after patience.
+// await polls until seen reports true, and fails the test after
+// conditionTimeout.
 func await(t *testing.T, words []string, seen func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !seen(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); !seen(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%v: condition not met in time", words)
 		}
--- a/internal/relay/thin_internal_test.go
+++ b/internal/relay/thin_internal_test.go
@@ -36,8 +36,8 @@
 		peer := New("http://store", RouteStore, &http.Client{Transport: pageStore{}}, links, zap.NewNop())
 		s := &http.Server{Handler: peer.Handler(), ReadHeaderTimeout: time.Second}
 		go func() { _ = s.Serve(lis) }()
-		path := New("http://store", RouteStore, http.DefaultClient, links, zap.NewNop())
-		status, body, err := path.CallPeer(t.Context(), "peer", Request{Method: http.MethodGet, Path: "/", Timeout: 8 * time.Second})
+		transport := New("http://store", RouteStore, http.DefaultClient, links, zap.NewNop())
+		status, body, err := transport.CallPeer(t.Context(), "peer", Request{Method: http.MethodGet, Path: "/", Timeout: 8 * time.Second})
 		if err != nil || status != http.StatusOK || len(body) != pageSize {
 			t.Errorf("status %d, %d bytes, %v", status, len(body), err)
 		}
--- a/internal/wslink/conn.go
+++ b/internal/wslink/conn.go
@@ -20,7 +20,7 @@
 var (
 	// ErrSilent reports a peer from which nothing arrived in time.
 	ErrSilent = errors.New("wslink: the peer is silent")
-	// ErrIdle reports a connection that wasn't used for Policy.Idle.
+	// ErrIdle reports a connection that wasn't used for Policy.IdleTimeout.
 	ErrIdle = errors.New("wslink: not used for a while")
 	// ErrBroken reports a connection that failed or that the peer closed.
 	ErrBroken = errors.New("wslink: the connection broke")
@@ -28,9 +28,9 @@
 	ErrClosed = errors.New("wslink: closed")
 )
 
-// pingJitter is the part of Policy.Quiet that is random. With Quiet at 1 s, a
-// quarter spreads the pings of 40 connections by 6 ms each, and costs at most a
-// third more pings.
+// pingJitter is the part of Policy.PingAfter that is random. With PingAfter at
+// 1 s, a quarter spreads the pings of 40 connections by 6 ms each, and costs at
+// most a third more pings.
 const pingJitter = 0.25
 
 // minSlowWrite is the shortest write that counts as one that delays pings. A
@@ -78,7 +78,8 @@
 func (c *Conn) LastReceived() time.Time { return c.received.Last() }
 
 // Use marks the connection as in use until release is called: it isn't idle,
-// and it is pinged at once unless bytes have arrived within Policy.Waiting.
+// and it is pinged at once unless bytes have arrived within
+// Policy.InUsePingAfter.
 func (c *Conn) Use() (release func()) {
 	c.users.Add(1)
 	c.wakeWatch()
@@ -121,9 +122,9 @@
 }
 
 // Ping pings the peer. It fails with ErrSilent if no byte arrived within
-// Policy.Answer, and with ErrBroken if the connection has failed. It returns
-// nil without proof while a long message is being written or received. It
-// doesn't close the connection.
+// Policy.PongTimeout, and with ErrBroken if the connection has failed. It
+// returns nil without proof while a long message is being written or received.
+// It doesn't close the connection.
 func (c *Conn) Ping(ctx context.Context) error {
 	began, lastReceived := time.Now(), c.received.Last()
 	ctx, cancel := context.WithTimeout(ctx, c.policy.PongTimeout)
@@ -148,8 +149,8 @@
 // Close closes the connection. It may be called more than once.
 func (c *Conn) Close() { c.endWith(ErrClosed) }
 
-// CloseSilent closes the connection with ErrSilent, since nothing has arrived for
-// as long as the policy allows. It may be called more than once.
+// CloseSilent closes the connection with ErrSilent, since nothing has arrived
+// for as long as the policy allows. It may be called more than once.
 func (c *Conn) CloseSilent() { c.endWith(fmt.Errorf("%w: a call got no answer in time", ErrSilent)) }
 
 // endWith closes the connection with a cause, unless it has ended.
@@ -183,7 +184,7 @@
 }
 
 // markSuspect makes watch ping the peer unless bytes have arrived within
-// Policy.Waiting.
+// Policy.InUsePingAfter.
 func (c *Conn) markSuspect() {
 	c.suspect.Store(true)
 	c.wakeWatch()
--- a/internal/wslink/wslink.go
+++ b/internal/wslink/wslink.go
@@ -28,24 +28,24 @@
 
 // Policy says when a connection is pinged and when it is closed.
 type Policy struct {
-	// PingAfter is how long nothing may arrive from the peer before it is pinged.
-	// The actual time is random between three quarters of it and the whole:
-	// connections that died together are then not detected, and opened again,
-	// all at once.
+	// PingAfter is how long nothing may arrive from the peer before it is
+	// pinged. The actual time is random between three quarters of it and the
+	// whole: connections that died together are then not detected, and opened
+	// again, all at once.
 	PingAfter time.Duration
-	// InUsePingAfter replaces Quiet while the connection is in use or suspect. It has
-	// no jitter.
+	// InUsePingAfter replaces PingAfter while the connection is in use or
+	// suspect. It has no jitter.
 	InUsePingAfter time.Duration
-	// PongTimeout is how long a pinged peer may send nothing before the connection
-	// counts as dead.
+	// PongTimeout is how long a pinged peer may send nothing before the
+	// connection counts as dead.
 	PongTimeout time.Duration
-	// IdleTimeout is how long the connection may be unused before it is closed; 0
-	// disables this.
+	// IdleTimeout is how long the connection may be unused before it is closed;
+	// 0 disables this.
 	IdleTimeout time.Duration
 }
 
 // Policies holds the policies of the two sides of a connection. The accepting
-// side's Quiet should be longer than the dialing side's: it then pings only
+// side's PingAfter should be longer than the dialing side's: it then pings only
 // peers whose own pings don't arrive.
 type Policies struct {
 	Dialed, Accepted Policy
@@ -146,8 +146,8 @@
 	delete(l.open, c)
 }
 
-// MarkAllSuspect marks all open connections suspect: those that have received nothing
-// for Policy.Waiting are pinged at once.
+// MarkAllSuspect marks all open connections suspect: those that have received
+// nothing for Policy.InUsePingAfter are pinged at once.
 func (l *Links) MarkAllSuspect() {
 	for _, c := range l.all() {
 		c.markSuspect()
