--- a/core/route/pool.go
+++ b/core/route/pool.go
@@ -36,8 +36,9 @@
 type pool struct {
 	slots int
 	// maxPerBackend is how many requests this host may have in flight at one
-	// backend server: its slots or, if fewer, this host's part of the
-	// connections that it accepts, less one connection that is left for probes.
+	// backend server: the server's slots or, if fewer, this host's part of the
+	// connections that the server accepts, less one that is left for probes. It
+	// is at least 1.
 	maxPerBackend int
 	timeout       time.Duration
 	backends      []*backend
--- a/internal/edge/unread_test.go
+++ b/internal/edge/unread_test.go
@@ -25,9 +25,9 @@
 type slowCore struct{ edge *edge.Edge }
 
 // Offer implements edge.Core.
-func (l *slowCore) Offer(ev node.Event) bool {
+func (s *slowCore) Offer(ev node.Event) bool {
 	q := ev.(node.RequestArrived).Request
-	time.AfterFunc(time.Minute, func() { l.edge.Reply(route.Reply{Request: q.ID, Code: route.CodeInterrupted, Ran: route.RanUnknown}) })
+	time.AfterFunc(time.Minute, func() { s.edge.Reply(route.Reply{Request: q.ID, Code: route.CodeInterrupted, Ran: route.RanUnknown}) })
 	return true
 }
 
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -39,24 +39,24 @@
 		h.Run(t.Context(), r)
 		close(ended)
 	}()
-	taken := 0
+	accepted := 0
 	for stopping := false; ; {
 		if h.Offer(node.RequestArrived{Request: route.Request{ID: 1, Service: "s", Customer: "c"}}) {
-			taken++
+			accepted++
 		} else if stopping {
 			break
 		}
-		if taken > 100 && !stopping {
+		if accepted > 100 && !stopping {
 			stopping = true
 			h.Push(t.Context(), node.Stop{})
 		}
 		for len(r.got) > 0 {
 			<-r.got
-			taken--
+			accepted--
 		}
 	}
 	<-ended
-	if left := taken - len(r.got); left != 0 {
+	if left := accepted - len(r.got); left != 0 {
 		t.Errorf("%d requests were accepted and not answered", left)
 	}
 }
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -136,17 +136,17 @@
 // the variable in which the goroutine keeps its current order, it counts the
 // wrong order, or dereferences nil.
 func TestEndsAsItSettles(t *testing.T) {
-	const settles, orders = 100 * time.Millisecond, 500
+	const recentFor, orders = 100 * time.Millisecond, 500
 	synctest.Test(t, func(t *testing.T) {
-		box := outbox.New[int](outbox.Limits{Queued: orders, Recent: 8, InFlight: 16, RecentFor: settles, PerReceiver: 2})
+		box := outbox.New[int](outbox.Limits{Queued: orders, Recent: 8, InFlight: 16, RecentFor: recentFor, PerReceiver: 2})
 		sent := make(chan int, orders)
 		for i := range orders {
 			box.Put(i%40, func() {
-				time.Sleep(settles)
+				time.Sleep(recentFor)
 				sent <- i
 			})
 		}
-		time.Sleep(orders * settles)
+		time.Sleep(orders * recentFor)
 		synctest.Wait()
 		if len(sent) != orders {
 			t.Errorf("%d of %d orders were sent", len(sent), orders)
--- a/internal/relay/overdue_internal_test.go
+++ b/internal/relay/overdue_internal_test.go
@@ -32,11 +32,11 @@
 // TestRefusedRepeat checks that a call whose link has died is tried once more
 // when its retry is refused.
 //
-// A call's link dies, the call is retried, and the owner refuses it, since its
-// host was paused while the record waited behind an append. The effect of the
-// first try is unknown, so the refusal can't be returned; without a further
-// try, the call ends with an unknown outcome (504) though the owner accepts
-// records a moment later.
+// A call's link dies, the call is retried, and the owner refuses it (503),
+// since its host was paused while the record waited behind an append. The
+// effect of the first try is unknown, so the refusal can't be returned; without
+// a further try, the call ends with an unknown outcome (504) though the owner
+// accepts records a moment later.
 func TestRefusedRepeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		callAfterSilence(t, Policies(), http.StatusOK, http.StatusServiceUnavailable, http.StatusOK)
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -223,14 +223,14 @@
 	close(o.done)
 }
 
-// linkFor returns a link to the peer with the given number.
-func (p *Transport) linkFor(ctx context.Context, w PathIndex) (*link, error) {
+// linkFor returns a link to the peer of a path other than the direct one.
+func (p *Transport) linkFor(ctx context.Context, index PathIndex) (*link, error) {
 	p.mu.Lock()
-	if int(w) > len(p.peers) {
+	if int(index) > len(p.peers) {
 		p.mu.Unlock()
 		return nil, ErrNoPeer
 	}
-	a := p.peers[w-1].Address
+	a := p.peers[index-1].Address
 	p.mu.Unlock()
 	return p.open(ctx, a)
 }
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -70,8 +70,8 @@
 // both fail, RoundTrip returns the outcome for which it is most likely that the
 // call took effect.
 func (p *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
-	if w, bound := req.Context().Value(pathKey{}).(PathIndex); bound {
-		return p.callBound(req, w)
+	if index, bound := req.Context().Value(pathKey{}).(PathIndex); bound {
+		return p.callBound(req, index)
 	}
 	plan := p.plan()
 	var responding atomic.Bool
--- a/internal/relay/way.go
+++ b/internal/relay/way.go
@@ -15,8 +15,8 @@
 
 // WithPath binds a call to one path: no other is tried when it fails or is
 // slow.
-func WithPath(ctx context.Context, w PathIndex) context.Context {
-	return context.WithValue(ctx, pathKey{}, w)
+func WithPath(ctx context.Context, index PathIndex) context.Context {
+	return context.WithValue(ctx, pathKey{}, index)
 }
 
 // PathCount returns the current number of paths.
@@ -27,11 +27,11 @@
 }
 
 // callBound makes a call on one path.
-func (p *Transport) callBound(req *http.Request, w PathIndex) (*http.Response, error) {
-	if w == 0 {
+func (p *Transport) callBound(req *http.Request, index PathIndex) (*http.Response, error) {
+	if index == 0 {
 		return p.tryDirect(req)
 	}
-	return p.callThrough(req, waitOf(req), func(ctx context.Context) (*link, error) { return p.linkFor(ctx, w) })
+	return p.callThrough(req, waitOf(req), func(ctx context.Context) (*link, error) { return p.linkFor(ctx, index) })
 }
 
 // Request is a call that CallPeer relays through one peer. Path includes the
--- a/internal/wslink/conn.go
+++ b/internal/wslink/conn.go
@@ -21,7 +21,7 @@
 	// ErrSilent reports a peer from which nothing arrived in time.
 	ErrSilent = errors.New("wslink: the peer is silent")
 	// ErrIdle reports a connection that wasn't used for Policy.IdleTimeout.
-	ErrIdle = errors.New("wslink: not used for a while")
+	ErrIdle = errors.New("wslink: the connection was idle")
 	// ErrBroken reports a connection that failed or that the peer closed.
 	ErrBroken = errors.New("wslink: the connection broke")
 	// ErrClosed reports a connection that this side closed.
@@ -174,7 +174,7 @@
 	}
 	switch {
 	case errors.Is(cause, ErrSilent):
-		c.links.silentCount.Add(1)
+		c.links.deadCount.Add(1)
 		c.links.log.Info("link-found-dead", fields...)
 	case errors.Is(cause, ErrBroken) && !errors.Is(cause, io.EOF):
 		c.links.log.Info("link-lost", fields...)
@@ -237,7 +237,9 @@
 	return due - c.received.Ago()
 }
 
-// untilIdle returns the time until the connection counts as idle.
+// untilIdle returns the time until the connection has to be closed as idle. If
+// it is in use, or is never closed as idle, it returns PingAfter instead, after
+// which watch checks again.
 func (c *Conn) untilIdle() time.Duration {
 	if c.policy.IdleTimeout == 0 || c.users.Load() > 0 {
 		return c.policy.PingAfter
--- a/internal/wslink/network_test.go
+++ b/internal/wslink/network_test.go
@@ -91,7 +91,7 @@
 		n.mu.Unlock()
 		time.Sleep(chunkDelay)
 		if w.carries(d) {
-			_, _ = to.Write(buf[:k]) // a closed end is seen by the other pump
+			_, _ = to.Write(buf[:k]) // the other pump notices that the end is closed
 		}
 	}
 	_ = from.Close()
--- a/internal/wslink/wslink.go
+++ b/internal/wslink/wslink.go
@@ -64,7 +64,7 @@
 	// closed is set once the set accepts no more connections.
 	closed bool
 
-	silentCount atomic.Uint64
+	deadCount atomic.Uint64
 }
 
 // New returns an empty set. The client opens its connections, and maxMessage
@@ -82,7 +82,7 @@
 
 // FoundDead returns how many connections were closed because nothing came from
 // their peers.
-func (l *Links) FoundDead() uint64 { return l.silentCount.Load() }
+func (l *Links) FoundDead() uint64 { return l.deadCount.Load() }
 
 // Dial opens a connection. The URL's scheme is ws or wss. The caller must keep
 // calling Read on it, so that pings are answered.
