--- a/core/block/block.go
+++ b/core/block/block.go
@@ -57,7 +57,8 @@
 // Starts returns the positions at which a run of size free accelerators begins,
 // as a mask. A bit set in free stands for a free accelerator.
 func Starts(free uint64, size int) uint64 {
-	// Here, bit i is set if length consecutive bits from i upwards are free.
+	// Before each iteration, bit i of free is set if length consecutive
+	// accelerators from i upwards are free.
 	length := 1
 	for length < size {
 		step := min(length, size-length)
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -30,8 +30,8 @@
 	// home of that cell.
 	Cell record.Cell
 	Home block.Block
-	// Once and Urgent are copied from the job: it must run at most once; it is
-	// urgent.
+	// Once and Urgent are copied from the job: whether it must run at most
+	// once, and whether it is urgent.
 	Once, Urgent bool
 }
 
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -242,7 +242,8 @@
 	}
 }
 
-// Tick answers the requests that have passed a deadline.
+// Tick answers the requests that have passed a deadline, and dispatches waiting
+// ones, since the ejection of a backend server may have ended.
 func (r *Router) Tick(now unit.Instant) {
 	for _, k := range config.SortedKeys(r.pools) {
 		p := r.pools[k]
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -24,7 +24,7 @@
 	Detail string `json:"detail,omitempty"`
 	// Ran says whether the request ran.
 	Ran route.Ran `json:"ran"`
-	// RetryAfter is when to retry; 0 if a retry is useless.
+	// RetryAfter is how long to wait before a retry; 0 if a retry is useless.
 	RetryAfter time.Duration `json:"-"`
 }
 
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -249,11 +249,11 @@
 	return res, nil
 }
 
-// handleOverdue handles a call whose time limit has passed. If this process was
-// paused, the limit of the call and the limit of the link's ping may pass at
-// the same time, or the call's first. If the link has been silent for longer
-// than a ping allows, the call fails with errLinkDead, so that it is retried on
-// another link. Otherwise the peer is alive and only this answer is overdue.
+// handleOverdue handles a call whose time limit has passed. After a pause of
+// this process, that may happen before the link's ping fails, or at the same
+// time. If the link has been silent for longer than a ping allows, the call
+// fails with errLinkDead, so that it is retried on another link. Otherwise the
+// peer is alive and only this answer is overdue.
 func (l *link) handleOverdue(answer <-chan result, err error) (result, error) {
 	if time.Since(l.conn.LastReceived()) >= inUsePingAfter+pongTimeout {
 		l.conn.CloseSilent()
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -31,8 +31,8 @@
 }
 
 // New returns a tracer that exports spans to the OTLP receiver at url. Requests
-// whose caller sampled them are always traced; of the others, sharePercent are.
-// If url is empty, the tracer only propagates trace contexts.
+// whose caller sampled them are always traced, and of the others sharePercent
+// percent. If url is empty, the tracer only propagates trace contexts.
 func New(ctx context.Context, host id.Host, url string, sharePercent int) (*Tracer, error) {
 	if url == "" {
 		t := noop.NewTracerProvider().Tracer("")
