--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -83,8 +83,8 @@
 }
 
 // Start starts the system for a site and puts the site's configuration in
-// force. It writes messages for people to progress. The caller must Close the
-// Demo.
+// force. It writes a line for each of its steps to progress. The caller must
+// Close the Demo.
 func Start(ctx context.Context, site string, progress io.Writer) (*Demo, error) {
 	d := &Demo{site: site, progress: progress}
 	if err := d.start(ctx); err != nil {
--- a/internal/faultproxy/shut.go
+++ b/internal/faultproxy/shut.go
@@ -16,8 +16,8 @@
 	// maxFillers bounds the connects that fill the accept queue; the kernel
 	// queues one connection more than the backlog says.
 	maxFillers = 8
-	// relistenTimeout is how long Admit tries to listen on its port again if
-	// another socket of this machine has taken it.
+	// relistenTimeout is how long AcceptConnects tries to listen on the port
+	// again if another socket of this machine has taken it.
 	relistenTimeout = 2 * time.Second
 	// relistenInterval is the pause between two of these tries.
 	relistenInterval = 20 * time.Millisecond
@@ -28,7 +28,8 @@
 // errNotFull reports an accept queue that can't be filled.
 var errNotFull = errors.New("faultproxy: connects are still answered")
 
-// mutePeriod is the time from a Mute to its end.
+// mutePeriod is a period in which connects go unanswered: it begins with
+// IgnoreConnects, and ends with AcceptConnects or RefuseConnects.
 type mutePeriod struct {
 	// acceptIdle is closed, once, when nothing is being accepted any more;
 	// ended is closed when connects are answered again.
@@ -36,8 +37,9 @@
 	idleOnce          sync.Once
 }
 
-// RefuseConnects resets all connections and closes the port until Admit. Connects are
-// then refused, as by a machine that runs but has no listener there.
+// RefuseConnects resets all connections and closes the port until
+// AcceptConnects. Connects are then refused, as by a machine that runs but has
+// no listener there.
 func (p *Proxy) RefuseConnects() error {
 	p.mu.Lock()
 	if p.refusing || p.closed {
@@ -55,10 +57,10 @@
 	return err
 }
 
-// IgnoreConnects lets connects go unanswered until Admit, as for a machine that is off or
-// behind a network partition: nothing is accepted, and the kernel drops
-// connects that the full accept queue has no room for. Open connections aren't
-// affected.
+// IgnoreConnects lets connects go unanswered until AcceptConnects, as for a
+// machine that is off or behind a network partition: nothing is accepted, and
+// the kernel drops connects that the full accept queue has no room for. Open
+// connections aren't affected.
 func (p *Proxy) IgnoreConnects() error {
 	p.mu.Lock()
 	if p.refusing || p.closed || p.muted != nil {
@@ -128,7 +130,8 @@
 	return current
 }
 
-// AcceptConnects ends Refuse and Mute. The proxy listens on the same address as before.
+// AcceptConnects ends RefuseConnects and IgnoreConnects. The proxy listens on
+// the same address as before.
 func (p *Proxy) AcceptConnects() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// unmute ends Mute. The proxy is locked.
+// unmute ends the mute period. The proxy is locked.
 func (p *Proxy) unmute() error {
 	for _, c := range p.fillers {
 		_ = c.Close() // no data was sent on it
--- a/internal/platform/wire/wire.go
+++ b/internal/platform/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire defines the HTTP interface of the platform: the log, the host list
-// and the workers. Clients and stand-ins use it; docs/PLATFORM.md describes it.
+// Package wire defines the HTTP interface of the platform: the log, the host
+// list and the workers. Clients and stand-ins use it; docs/PLATFORM.md describes
+// it.
 package wire
 
 import (
--- a/internal/sitedemo/sitedemo.go
+++ b/internal/sitedemo/sitedemo.go
@@ -1,8 +1,8 @@
 // Package sitedemo runs the system against the users' platform in one process:
 // entry hosts with their listeners, and stand-ins of the store and the workers.
-// During the run one host is stopped and the store refuses all calls for a while.
-// Nevertheless every job must be completed, and every task must be started
-// exactly once.
+// During the run one host is stopped, and the store refuses all calls for a
+// while. Nevertheless every job must be completed, and every task must be
+// started exactly once.
 package sitedemo
 
 import (
--- a/internal/standin/backendsvc/backendsvc.go
+++ b/internal/standin/backendsvc/backendsvc.go
@@ -41,8 +41,9 @@
 	Cut Mode = "cut"
 	// Hang runs the request and never answers.
 	Hang Mode = "hang"
-	// Leave refuses requests as a server does that is about to stop, Refuse as
-	// one that has no free slot.
+	// Leave refuses requests as a server that is about to stop, with the reason
+	// "leaving". Refuse refuses them as a server without a free slot, with the
+	// reason "busy".
 	Leave  Mode = "leave"
 	Refuse Mode = "refuse"
 )
--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -26,8 +26,8 @@
 const FaultsPath = "/v1/faults"
 
 const (
-	// appendRate and appendBurst limit the appends per second as the platform's
-	// log does.
+	// appendRate limits the appends per second, and appendBurst those at the same
+	// time, as the platform's log does.
 	appendRate  = 100
 	appendBurst = 20
 	maxWait     = 30 * time.Second
@@ -56,7 +56,7 @@
 	Mode Mode `json:"mode"`
 	// Delay is added to every call.
 	Delay time.Duration `json:"delay"`
-	// Keep, if above 0, drops all but that many of the newest records at once.
+	// Keep, if above 0, drops all but that many of the newest records immediately.
 	Keep int `json:"keep"`
 }
 
