--- a/internal/sitedemo/sitedemo_test.go
+++ b/internal/sitedemo/sitedemo_test.go
@@ -15,6 +15,6 @@
 		t.Fatal(err)
 	}
 	if rep.Completed != rep.Jobs || rep.Starts != rep.Tasks {
-		t.Errorf("%+v", rep)
+		t.Errorf("not all jobs were completed, or tasks were not started exactly once: %+v", rep)
 	}
 }
