--- a/cmd/curlewsill/cmd/commands.go
+++ b/cmd/curlewsill/cmd/commands.go
@@ -32,7 +32,7 @@
 		{"hosts", "Show the entry hosts", "Shows the entry hosts that one host considers alive.", hostsCmd(e)},
 		{
 			"drain", "Keep new tasks off workers",
-			"Plans that workers get no new tasks, shows the plan, asks and confirms it. Running tasks continue.",
+			"Makes a plan under which the workers get no new tasks, shows it, asks for confirmation, and puts it in force. Running tasks continue.",
 			&drainCmd{env: e},
 		},
 		{
--- a/cmd/curlewsill/cmd/status.go
+++ b/cmd/curlewsill/cmd/status.go
@@ -29,7 +29,7 @@
 	fmt.Fprintf(w, "configuration\toffset %d\n", v.ConfigAt)
 	fmt.Fprintf(w, "owner\t%s\tepoch %d\n", v.Owner.Host, v.Owner.Epoch)
 	fmt.Fprintf(w, "peers\t%d\n", len(v.Peers))
-	fmt.Fprintf(w, "requests under way\t%d\n", v.InFlight)
+	fmt.Fprintf(w, "requests in flight\t%d\n", v.InFlight)
 	if v.Owner.Host == v.Host {
 		fmt.Fprintf(w, "jobs\t%d running\t%d waiting\n", v.Sched.Running, v.Sched.Pending)
 		fmt.Fprintf(w, "fragmentation\t%.3f\n", v.Sched.Fragmentation)
--- a/cmd/curlewsilld/cmd/process_test.go
+++ b/cmd/curlewsilld/cmd/process_test.go
@@ -97,7 +97,7 @@
 	go func() {
 		for in.Scan() {
 			if bytes.Contains(in.Bytes(), []byte("invariant")) {
-				t.Errorf("%s: %s", name, in.Bytes())
+				t.Errorf("host %s logged a violated invariant: %s", name, in.Bytes())
 			}
 		}
 	}()
@@ -150,7 +150,7 @@
 	}
 	ctx := t.Context()
 	for _, x := range all {
-		waitFor(t, "ready", func() bool {
+		waitFor(t, "readiness of a host with all peers and an owner", func() bool {
 			v := x.view(ctx)
 			return v.State == node.Ready && len(v.Peers) == len(all) && v.Owner.Epoch > 0
 		})
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	for _, x := range all {
-		waitFor(t, "configuration", func() bool { return x.view(ctx).ConfigAt >= off })
+		waitFor(t, "the new configuration on a host", func() bool { return x.view(ctx).ConfigAt >= off })
 	}
 	runWithFailures(t, p, all)
 }
@@ -200,7 +200,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the gang", func() bool { return observer.job(ctx, "once").State == state.Running })
+	waitFor(t, "the start of the gang", func() bool { return observer.job(ctx, "once").State == state.Running })
 	done := make(chan load.Report, 1)
 	go func() {
 		rep, err := load.Do(ctx, run, func(context.Context) (backendsvc.Ledger, error) { return p.backends.Ledger(), nil })
@@ -217,7 +217,7 @@
 	time.Sleep(2 * time.Second)
 	leaving.signal(t, syscall.SIGTERM)
 	if err := leaving.cmd.Wait(); err != nil {
-		t.Errorf("planned stop: %v", err)
+		t.Errorf("the planned stop did not exit with 0: %v", err)
 	}
 	rep := <-done
 	t.Logf("%+v", rep)
@@ -230,7 +230,7 @@
 	}
 	for _, x := range []*process{frozen, observer} {
 		if n := x.view(ctx).Counts.Faults; n > 0 {
-			t.Errorf("%d invariants violated", n)
+			t.Errorf("a host counts %d violated invariants, want 0", n)
 		}
 	}
 }
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -13,7 +13,7 @@
 
 // ErrNotFound reports a site that isn't shipped, or a file that a site doesn't
 // have.
-var ErrNotFound = errors.New("examples: no such site")
+var ErrNotFound = errors.New("examples: no such site or file")
 
 // Sites returns the names of the shipped sites.
 func Sites() []string { return []string{"delta-north", "be-oost"} }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// retryAfter returns the delay before a retry for a response with the status, or 0 if
-// a retry is no use.
+// retryAfter returns the delay before a retry for a response with the status, or 0
+// for a status below 500, with which the response suggests no retry.
 func retryAfter(status int) time.Duration {
 	if status >= http.StatusInternalServerError {
 		return 2 * time.Second
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -97,7 +97,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if got, err := io.ReadAll(resp.Body); err != nil || !bytes.Equal(got, body) {
-		tb.Fatalf("%s: %s %q %v", url, resp.Status, got, err)
+		tb.Fatalf("%s: status %s, body %q, error %v", url, resp.Status, got, err)
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,8 +30,9 @@
 )
 
 const (
-	// headerTimeout, readTimeout and idleTimeout close the connections of slow and
-	// idle callers.
+	// headerTimeout bounds the time in which a caller must send a request's headers,
+	// readTimeout that for the whole request. idleTimeout is how long an idle
+	// connection is kept open.
 	headerTimeout = 5 * time.Second
 	readTimeout   = time.Minute
 	idleTimeout   = 2 * time.Minute
--- a/internal/dayreport/dayreport.go
+++ b/internal/dayreport/dayreport.go
@@ -157,8 +157,9 @@
 	h.addLoss(l, causeOf(l.Why))
 }
 
-// addLoss processes the end of a run without success. The cause of the longest
-// such run counts, but memberEnded doesn't replace another cause.
+// addLoss processes the end of a run without success, or a stop order for a run.
+// The cause of the longest such run counts, but memberEnded doesn't replace
+// another cause.
 func (h *jobHistory) addLoss(l line, c cause) {
 	began, known := h.starts[l.Task]
 	if lasted := l.When.Sub(began); known && lasted > h.longestLost {
--- a/internal/experiment/arrive/arrive.go
+++ b/internal/experiment/arrive/arrive.go
@@ -130,8 +130,8 @@
 // chance reports true with a probability of share.
 func (g *generator) chance(share float64) bool { return g.random.Float64() < share }
 
-// draw returns a random number with a log-normal distribution, capped at its
-// Most.
+// draw returns a random number from the log-normal distribution x, capped at
+// x.Max.
 func (g *generator) draw(x setup.LogNormal) float64 {
 	sigma := math.Sqrt(math.Log(1 + x.Spread*x.Spread))
 	v := x.Mean * math.Exp(sigma*g.random.NormFloat64()-sigma*sigma/2)
@@ -142,10 +142,10 @@
 func (g *generator) job(n int) world.Job {
 	k := g.kind
 	j := world.Job{
-		Name: id.Job(fmt.Sprintf("%s-%06d", k.Name, n)), Kind: k.Name, FailProbability: k.Fails,
+		Name: id.Job(fmt.Sprintf("%s-%06d", k.Name, n)), Kind: k.Name, FailProbability: k.FailProbability,
 		Spec: job.Spec{
 			Customer: k.Customers[g.random.IntN(len(k.Customers))], Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority,
-			MaxAttempts: k.MaxAttempts, DeadlineFactor: k.Stretch, DeadlineExtra: k.Target,
+			MaxAttempts: k.MaxAttempts, DeadlineFactor: k.DeadlineFactor, DeadlineExtra: k.DeadlineExtra,
 		},
 	}
 	if g.chance(k.AlwaysFails) {
@@ -166,7 +166,7 @@
 		g.addStep(&j, step)
 	}
 	if g.chance(k.Cancelled) {
-		j.CancelAfter = time.Duration(g.random.Float64() * float64(j.RunTimes[0]+k.Target))
+		j.CancelAfter = time.Duration(g.random.Float64() * float64(j.RunTimes[0]+k.DeadlineExtra))
 	}
 	return j
 }
--- a/internal/experiment/arrive/arrive_test.go
+++ b/internal/experiment/arrive/arrive_test.go
@@ -20,10 +20,10 @@
 	return s
 }
 
-// TestDraw checks the generated events against the experiment in testdata: 2
+// TestGenerate checks the generated events against the experiment in testdata: 2
 // jobs a second for 1,000 s, three times as many during a burst of 100 s, with
 // the means, bounds and shares of their kind.
-func TestDraw(t *testing.T) {
+func TestGenerate(t *testing.T) {
 	s := load(t)
 	events := arrive.Generate(s, 5)
 	var jobs, burst, gangs, tasks, faults float64
@@ -48,7 +48,7 @@
 		tasks += float64(step.Count)
 		run += e.Job.RunTimes[0]
 		if step.Count > 12 || step.Count < 1 || e.Job.RunTimes[0] > 8*time.Second || len(e.Job.RunTimes) != step.Count {
-			t.Errorf("%+v", e.Job)
+			t.Errorf("job with tasks or run times out of bounds: %+v", e.Job)
 		}
 	}
 	for _, x := range []struct {
@@ -74,10 +74,10 @@
 	s := load(t)
 	a, b, c := arrive.Generate(s, 5), arrive.Generate(s, 5), arrive.Generate(s, 6)
 	if !reflect.DeepEqual(a, b) {
-		t.Error("two draws with one seed differ")
+		t.Error("the events of one seed differ")
 	}
 	if reflect.DeepEqual(a, c) {
-		t.Error("draws with two seeds are equal")
+		t.Error("the events of two seeds are equal")
 	}
 }
 
@@ -95,12 +95,12 @@
 	})
 	a, b := events[0].Job, events[1].Job
 	if one := a.Spec.Steps[0]; one.Count != 1 || one.Gang || one.Need.Accelerators != 3 || one.Estimate != time.Second || a.Kind != "k" {
-		t.Errorf("%+v", a)
+		t.Errorf("job that fits on one worker: %+v", a)
 	}
 	if gang := b.Spec.Steps[0]; gang.Count != 3 || !gang.Gang || gang.Need.Accelerators != 8 || b.FailProbability != 1 || b.Kind != "urgent" {
-		t.Errorf("%+v", b)
+		t.Errorf("job that needs three workers: %+v", b)
 	}
 	if events[2].Cancel != "a" || events[3].Down != "r-w0" || events[4].Up != "r-w0" {
-		t.Errorf("%+v", events[2:])
+		t.Errorf("cancel, worker down and worker up: %+v", events[2:])
 	}
 }
--- a/internal/experiment/arrive/trace.go
+++ b/internal/experiment/arrive/trace.go
@@ -49,10 +49,10 @@
 		Need: job.Resources{CPU: k.Cores, Memory: k.Memory, Accelerators: min(e.Accelerators, perTask)},
 	}
 	j := &world.Job{
-		Name: e.Job, Kind: k.Name, FailProbability: k.Fails,
+		Name: e.Job, Kind: k.Name, FailProbability: k.FailProbability,
 		Spec: job.Spec{
 			Customer: e.Customer, Queue: id.Queue(k.Name), Service: setup.Service, Priority: k.Priority, MaxAttempts: k.MaxAttempts,
-			DeadlineFactor: k.Stretch, DeadlineExtra: k.Target, Steps: []job.Step{step},
+			DeadlineFactor: k.DeadlineFactor, DeadlineExtra: k.DeadlineExtra, Steps: []job.Step{step},
 		},
 	}
 	if e.CrashesEverywhere {
--- a/internal/experiment/batch/batch_test.go
+++ b/internal/experiment/batch/batch_test.go
@@ -58,7 +58,7 @@
 func TestResult(t *testing.T) {
 	r := run(t.Context(), t, 2, io.Discard)
 	if len(r.Runs) != 6 || r.Partial {
-		t.Fatalf("%d runs, partial %t", len(r.Runs), r.Partial)
+		t.Fatalf("%d runs, partial %t; want 6 runs, not partial", len(r.Runs), r.Partial)
 	}
 	for _, x := range r.Runs {
 		giants, first := x.Kinds[2], r.Runs[0]
@@ -94,9 +94,9 @@
 	defer cancel()
 	r := run(ctx, t, 1, cancelWriter{cancel: cancel})
 	if len(r.Runs) != 1 || !r.Partial {
-		t.Errorf("%d runs, partial %t", len(r.Runs), r.Partial)
+		t.Errorf("%d runs, partial %t; want 1 run, partial", len(r.Runs), r.Partial)
 	}
 	if m := result.FindMean(r.Means, "all", "worth"); m.Seeds != 1 {
-		t.Errorf("the mean is over %d seeds", m.Seeds)
+		t.Errorf("the mean is over %d seeds, want 1", m.Seeds)
 	}
 }
--- a/internal/experiment/chart/chart.go
+++ b/internal/experiment/chart/chart.go
@@ -66,7 +66,7 @@
 func drawCompletion(file string, r *result.Report, kind int) error {
 	p := plot.New()
 	p.Title.Text = "completion of " + r.Runs[0].Kinds[kind].Kind
-	p.X.Label.Text, p.Y.Label.Text = "seconds from handing in", "share of the jobs that are owed"
+	p.X.Label.Text, p.Y.Label.Text = "seconds since submission", "share of the jobs, without refused and cancelled ones"
 	var lines []any
 	for _, name := range r.Policies {
 		var took []float64
--- a/internal/experiment/chart/chart_test.go
+++ b/internal/experiment/chart/chart_test.go
@@ -47,7 +47,7 @@
 		}
 		b, err := os.ReadFile(filepath.Join(dirs[1], name))
 		if err != nil || !bytes.Equal(a, b) || !bytes.Contains(a, []byte(magic)) {
-			t.Errorf("%s: %d and %d bytes, %v", name, len(a), len(b), err)
+			t.Errorf("%s: the drawings of %d and %d bytes differ or have the wrong format, %v", name, len(a), len(b), err)
 		}
 	}
 }
--- a/internal/experiment/play/earn.go
+++ b/internal/experiment/play/earn.go
@@ -108,7 +108,7 @@
 // worth also counts the job as in time or late.
 func (k *kindScore) worth(o world.Outcome) float64 {
 	done := o.State == world.Completed || o.State == world.Failed && o.FailProbability >= 1
-	allowed := time.Duration(k.kind.Stretch*float64(o.Chain)) + k.kind.Target
+	allowed := time.Duration(k.kind.DeadlineFactor*float64(o.Chain)) + k.kind.DeadlineExtra
 	switch {
 	case !done || o.CompletionTime > lateFactor*allowed:
 		return 0
@@ -127,6 +127,7 @@
 	}
 	slices.Sort(k.out.CompletionTimes)
 	slices.Sort(k.startDelays)
-	k.out.P50, k.out.P90, k.out.P99 = result.Quantile(k.out.CompletionTimes, 0.5), result.Quantile(k.out.CompletionTimes, 0.9), result.Quantile(k.out.CompletionTimes, 0.99)
+	k.out.P50, k.out.P90, k.out.P99 = result.Quantile(k.out.CompletionTimes, 0.5),
+		result.Quantile(k.out.CompletionTimes, 0.9), result.Quantile(k.out.CompletionTimes, 0.99)
 	k.out.StartP90 = result.Quantile(k.startDelays, 0.9)
 }
--- a/internal/experiment/play/play.go
+++ b/internal/experiment/play/play.go
@@ -52,9 +52,9 @@
 // worldSetup returns the setup of the simulated site, with the policy's changes
 // to cores and lease bound.
 func worldSetup(s *setup.Setup, p *setup.Policy, seed uint64) world.Setup {
-	bounds := s.DispatchConfig
+	dispatchConfig := s.DispatchConfig
 	if p.MaxLease > 0 {
-		bounds.MaxLease = p.MaxLease
+		dispatchConfig.MaxLease = p.MaxLease
 	}
 	out := s.World
 	out.Seed = seed
@@ -65,7 +65,7 @@
 		}
 	}
 	out.NewDispatcher = func(e id.Epoch, t *jobtable.Table) *dispatch.Dispatcher {
-		return dispatch.New(bounds, p.Switches, e, t)
+		return dispatch.New(dispatchConfig, p.Switches, e, t)
 	}
 	return out
 }
--- a/internal/experiment/result/result.go
+++ b/internal/experiment/result/result.go
@@ -78,8 +78,8 @@
 	P99      float64 `json:"p99_s"`
 	StartP90 float64 `json:"start_p90_s"`
 
-	// CompletionTimes has the sorted times from submission to completion in seconds, for
-	// charts.
+	// CompletionTimes has the sorted times from submission to completion, in
+	// seconds, for charts.
 	CompletionTimes []float64 `json:"-"`
 }
 
--- a/internal/experiment/setup/kind.go
+++ b/internal/experiment/setup/kind.go
@@ -24,11 +24,11 @@
 		Memory: s.Size("memory", unit.GiB, unit.KiB, maxCores*unit.GiB),
 		Steps:  s.Number("steps", 1, 1, maxFactor),
 		Gang:   readShare(s, "gang"), SameRack: readShare(s, "same_rack"), Checkpointing: readShare(s, "saves"), RackLocal: readShare(s, "near"),
-		Cancelled: readShare(s, "cancelled"), AlwaysFails: readShare(s, "hopeless"), Fails: readShare(s, "fails"),
+		Cancelled: readShare(s, "cancelled"), AlwaysFails: readShare(s, "hopeless"), FailProbability: readShare(s, "fails"),
 		Crashes: readShare(s, "crashes"), CrashAfter: s.Duration("crash_after", crashDelay, time.Millisecond, maxTime),
-		MaxAttempts: s.Int("attempts", 3, 1, maxSize), Stretch: s.Number("stretch", 3, 0, maxFactor),
-		Target: s.Duration("target", time.Second, 0, maxTime),
-		Worth:  s.Number("worth", 1, 0, maxFactor), LateWorth: s.Number("late_worth", 0, 0, maxFactor),
+		MaxAttempts: s.Int("attempts", 3, 1, maxSize), DeadlineFactor: s.Number("stretch", 3, 0, maxFactor),
+		DeadlineExtra: s.Duration("target", time.Second, 0, maxTime),
+		Worth:         s.Number("worth", 1, 0, maxFactor), LateWorth: s.Number("late_worth", 0, 0, maxFactor),
 	}
 	for _, name := range s.List("customers") {
 		if _, ok := c.Customers[id.Customer(name)]; !ok {
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -62,7 +62,7 @@
 	Switches policy.Policy
 	// Cores replaces the cores of each host, unless it is 0.
 	Cores float64
-	// MaxLease replaces MaxLease of Bounds, unless it is 0.
+	// MaxLease replaces MaxLease of DispatchConfig, unless it is 0.
 	MaxLease time.Duration
 }
 
@@ -74,8 +74,8 @@
 	// PerSecond is the mean number of jobs per second, without bursts.
 	PerSecond float64
 	// Tasks is the number of tasks of a step. Run is the run time of a task in
-	// seconds on a worker of speed 1. Uneven is the largest deviation of a
-	// task's run time from that of its step, as a fraction.
+	// seconds on a worker of speed 1. RunDeviation is the largest deviation of
+	// a task's run time from that of its step, as a fraction.
 	Tasks, Run   LogNormal
 	RunDeviation float64
 	// EstimateSpread is the relative spread of the customers' run time
@@ -91,37 +91,37 @@
 	// before it.
 	Steps float64
 	// Gang is the share of jobs that are gangs, SameRack the share of gangs
-	// that ask for one rack. Saves is the share of jobs that write checkpoints,
-	// Near of those with data in one rack, Cancelled of those that are
-	// cancelled, and Hopeless of those whose runs always fail.
+	// that ask for one rack. Checkpointing is the share of jobs that write
+	// checkpoints, RackLocal of those with data in one rack, Cancelled of those
+	// that are cancelled, and AlwaysFails of those whose runs always fail.
 	Gang, SameRack, Checkpointing, RackLocal, Cancelled, AlwaysFails float64
 	// Crashes is the share of jobs whose first task crashes each worker that
 	// starts it, CrashAfter the time from the start to the crash.
 	Crashes    float64
 	CrashAfter time.Duration
-	// Fails is the probability that a run fails.
-	Fails float64
+	// FailProbability is the probability that a run fails.
+	FailProbability float64
 	// MaxAttempts is how often a task may be attempted.
 	MaxAttempts int
-	// Stretch times a job's longest chain of work, plus Target, is the time
-	// that a job may take.
-	Stretch float64
-	Target  time.Duration
+	// DeadlineFactor times a job's longest chain of work, plus DeadlineExtra, is
+	// the time that a job may take.
+	DeadlineFactor float64
+	DeadlineExtra  time.Duration
 	// Worth is what a job earns that completes in that time, LateWorth what one
 	// earns that takes up to three times as long. Both are multiplied by a
 	// weight that grows with the job's work relative to the mean of its kind.
 	Worth, LateWorth float64
 }
 
-// LogNormal is a log-normal distribution whose values are capped at Most.
+// LogNormal is a log-normal distribution whose values are capped at Max.
 type LogNormal struct {
 	// Mean is the mean before values are capped, Spread the standard deviation
 	// divided by Mean.
 	Mean, Spread, Max float64
 }
 
-// Burst multiplies the arrival rate of a kind by Factor from At on, for as long
-// as Lasts.
+// Burst multiplies the arrival rate of a kind by Factor from At on, for
+// Duration.
 type Burst struct {
 	Kind         string
 	At, Duration time.Duration
@@ -190,7 +190,7 @@
 	for i := range e.Int("seeds", 1, 1, maxSeeds) {
 		s.Seeds = append(s.Seeds, uint64(first+i))
 	}
-	s.DispatchConfig = readBounds(f.Section("bounds"))
+	s.DispatchConfig = readDispatchConfig(f.Section("bounds"))
 	p := f.Section("prices")
 	s.Prices = Prices{Waste: p.Number("waste", 0, 0, maxFactor), Start: p.Number("start", 0, 0, maxFactor)}
 	s.World = readWorld(f, c)
@@ -253,8 +253,8 @@
 	return nil
 }
 
-// readBounds reads the configuration of the dispatchers.
-func readBounds(b *inifile.Section) dispatch.Config {
+// readDispatchConfig reads the configuration of the dispatchers.
+func readDispatchConfig(b *inifile.Section) dispatch.Config {
 	return dispatch.Config{
 		MaxLease:           b.Duration("max_lease", 10*time.Second, time.Second, maxTime),
 		StopTime:           b.Duration("stop", time.Second, time.Millisecond, time.Minute),
@@ -263,7 +263,7 @@
 		HandoverDelay:      b.Duration("handover", 3*time.Second, time.Millisecond, time.Minute),
 		MaintenanceTime:    b.Duration("away", 2*time.Second, time.Millisecond, time.Hour),
 
-		EvacuationLimit: b.Duration("evacuation", evacuationDelay, evacuationDelay/5, time.Minute),
+		EvacuationLimit: b.Duration("evacuation", evacuationLimit, evacuationLimit/5, time.Minute),
 	}
 }
 
--- a/internal/experiment/setup/setup_test.go
+++ b/internal/experiment/setup/setup_test.go
@@ -50,6 +50,7 @@
 		t.Fatal(err)
 	}
 	if len(s.World.Workers) != 50 || len(s.Kinds) != 3 || len(s.Policies) != 3 || len(s.World.Guarantees) == 0 {
-		t.Errorf("%d workers, %d kinds, %d policies, %d guarantees", len(s.World.Workers), len(s.Kinds), len(s.Policies), len(s.World.Guarantees))
+		t.Errorf("%d workers, %d kinds, %d policies, %d guarantees; want 50, 3, 3 and at least 1",
+			len(s.World.Workers), len(s.Kinds), len(s.Policies), len(s.World.Guarantees))
 	}
 }
--- a/internal/experiment/setup/world.go
+++ b/internal/experiment/setup/world.go
@@ -26,26 +26,26 @@
 // Defaults of times and of factors on times, which world.Times and world.Setup
 // describe. They are those of the product and of the users' sites.
 const (
-	roundTrip      = 4 * time.Millisecond
-	appendTime     = 8 * time.Millisecond
-	appendGap      = 2 * time.Millisecond
-	readDelay      = 10 * time.Millisecond
-	pollInterval   = 700 * time.Millisecond
-	callTimeout    = 800 * time.Millisecond
-	listingDelay   = 800 * time.Millisecond
-	gangWait       = 3 * time.Second
-	passEvery      = 5 * time.Millisecond
-	idleEvery      = 200 * time.Millisecond
-	passShare      = 3
-	lookInterval   = 500 * time.Millisecond
-	memberTTL      = time.Second
-	restoreTime    = 250 * time.Millisecond
-	clockDrift     = 0.02
-	restartTime    = 3 * time.Second
-	remoteSlowdown = 3
-	// evacuationDelay is how long a task may still start in a failure domain
+	roundTrip         = 4 * time.Millisecond
+	appendTime        = 8 * time.Millisecond
+	appendGap         = 2 * time.Millisecond
+	readDelay         = 10 * time.Millisecond
+	operatorPoll      = 700 * time.Millisecond
+	callTimeout       = 800 * time.Millisecond
+	listingDelay      = 800 * time.Millisecond
+	gangTimeout       = 3 * time.Second
+	minPassInterval   = 5 * time.Millisecond
+	maxPassInterval   = 200 * time.Millisecond
+	eventTimeFactor   = 3
+	groupPoll         = 500 * time.Millisecond
+	memberTTL         = time.Second
+	restoreTime       = 250 * time.Millisecond
+	maxDrift          = 0.02
+	restartDelay      = 3 * time.Second
+	crossRackSlowdown = 3
+	// evacuationLimit is how long a task may still start in a failure domain
 	// after an operator has evacuated it.
-	evacuationDelay = 5 * time.Second
+	evacuationLimit = 5 * time.Second
 	// crashDelay is the time from the start of a task to the crash of its
 	// worker.
 	crashDelay = 10 * time.Millisecond
@@ -65,25 +65,25 @@
 			Order:  owner.Duration("order", orderCost, 0, time.Second),
 		},
 		Times: world.Times{
-			MinPassInterval: owner.Duration("pass_every", passEvery, time.Millisecond, time.Minute),
-			MaxPassInterval: owner.Duration("idle_every", idleEvery, time.Millisecond, time.Minute),
-			EventTimeFactor: owner.Number("pass_share", passShare, 0, maxFactor),
+			MinPassInterval: owner.Duration("pass_every", minPassInterval, time.Millisecond, time.Minute),
+			MaxPassInterval: owner.Duration("idle_every", maxPassInterval, time.Millisecond, time.Minute),
+			EventTimeFactor: owner.Number("pass_share", eventTimeFactor, 0, maxFactor),
 			LinkTime:        owner.Duration("gap", 0, 0, time.Minute),
 			Append:          store.Duration("append", appendTime, 0, time.Minute),
 			AppendGap:       store.Duration("append_gap", appendGap, 0, time.Minute),
 			ReadDelay:       store.Duration("read", readDelay, 0, time.Minute),
-			OperatorPoll:    store.Duration("poll", pollInterval, time.Millisecond, time.Minute),
+			OperatorPoll:    store.Duration("poll", operatorPoll, time.Millisecond, time.Minute),
 			MemberTTL:       store.Duration("member_ttl", memberTTL, 0, time.Hour),
 			RoundTrip:       network.Duration("trip", roundTrip, 0, time.Minute),
 			Timeout:         network.Duration("timeout", callTimeout, time.Millisecond, time.Minute),
 			ListingDelay:    network.Duration("listing", listingDelay, 0, time.Hour),
-			GroupPoll:       hosts.Duration("look", lookInterval, time.Millisecond, time.Hour),
-			GangTimeout:     workers.Duration("gang_wait", gangWait, time.Millisecond, time.Hour),
+			GroupPoll:       hosts.Duration("look", groupPoll, time.Millisecond, time.Hour),
+			GangTimeout:     workers.Duration("gang_wait", gangTimeout, time.Millisecond, time.Hour),
 			RestoreTime:     workers.Duration("restore", restoreTime, 0, time.Minute),
-			RestartDelay:    workers.Duration("restart", restartTime, time.Millisecond, time.Hour),
-			MaxDrift:        workers.Number("drift", clockDrift, 0, clockDrift),
+			RestartDelay:    workers.Duration("restart", restartDelay, time.Millisecond, time.Hour),
+			MaxDrift:        workers.Number("drift", maxDrift, 0, maxDrift),
 		},
-		CrossRackSlowdown: workers.Number("far", remoteSlowdown, 1, maxFactor),
+		CrossRackSlowdown: workers.Number("far", crossRackSlowdown, 1, maxFactor),
 	}
 	readHosts(hosts, &s)
 	addSite(c, &s, readNumbers(workers, "speeds", []float64{1}))
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -69,8 +69,8 @@
 	// RefusedNotRun counts refusals of which the response says that nothing ran.
 	RefusedNotRun int `json:"refused_not_run"`
 	Unknown       int `json:"unknown"`
-	// Incomplete counts incomplete responses. Wrong counts responses to another request or
-	// with an unexpected body.
+	// Incomplete counts incomplete responses. Wrong counts responses to another
+	// request or with an unexpected body.
 	Incomplete int `json:"cut"`
 	Wrong      int `json:"wrong"`
 	// RanTwice counts requests that ran more than once although they must run at most
@@ -96,7 +96,7 @@
 	whole result = iota
 	notRun
 	unknown
-	cut
+	incomplete
 	wrong
 )
 
@@ -230,7 +230,7 @@
 	}
 	switch {
 	case err != nil:
-		return cut
+		return incomplete
 	case ran == route.RanNo:
 		return notRun
 	case ran != route.RanYes:
@@ -253,7 +253,7 @@
 		P999: float64(x.latency.ValueAtQuantile(99.9)) / perMs,
 	}
 	counts := map[result]*int{
-		whole: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, cut: &out.Incomplete, wrong: &out.Wrong,
+		whole: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, incomplete: &out.Incomplete, wrong: &out.Wrong,
 	}
 	for _, s := range x.sent {
 		*counts[s.result]++
--- a/internal/logging/stream_test.go
+++ b/internal/logging/stream_test.go
@@ -92,7 +92,7 @@
 		for _, m := range reportLine.FindAllStringSubmatch(out.read(), -1) {
 			n, err := strconv.Atoi(m[2])
 			if err != nil || m[1] != "many" {
-				t.Fatalf("%s, %v", m[0], err)
+				t.Fatalf("unexpected report of dropped lines %s, %v", m[0], err)
 			}
 			omitted += n
 		}
--- a/internal/replay/generate.go
+++ b/internal/replay/generate.go
@@ -100,8 +100,8 @@
 		return nil, fmt.Errorf("%w: %s", ErrUnknownProfile, profile)
 	}
 	g := &generator{rng: rand.New(rand.NewPCG(seed, 2)), length: length}
-	for _, m := range workloads {
-		g.addJobs(m)
+	for _, w := range workloads {
+		g.addJobs(w)
 	}
 	g.addCancels()
 	g.addFailures(workers)
@@ -121,31 +121,31 @@
 	return time.Duration(g.rng.ExpFloat64() * float64(mean)).Truncate(time.Second)
 }
 
-func (g *generator) addJobs(m workload) {
+func (g *generator) addJobs(w workload) {
 	n := 0
-	for at := g.randomInterval(m.meanInterval); at < g.length; at += g.randomInterval(m.meanInterval) + time.Second {
-		if hour := int(at.Hours()) % 24; m.nightOnly && hour >= 4 && hour < 22 {
+	for at := g.randomInterval(w.meanInterval); at < g.length; at += g.randomInterval(w.meanInterval) + time.Second {
+		if hour := int(at.Hours()) % 24; w.nightOnly && hour >= 4 && hour < 22 {
 			continue
 		}
-		for range 1 + g.rng.IntN(m.maxBurst) {
+		for range 1 + g.rng.IntN(w.maxBurst) {
 			n++
-			g.events = append(g.events, g.newJob(m, at, n))
+			g.events = append(g.events, g.newJob(w, at, n))
 		}
 	}
 }
 
-func (g *generator) newJob(m workload, at time.Duration, n int) Event {
-	run := time.Duration(float64(m.medianRun) * math.Exp(m.sigma*g.rng.NormFloat64())).Truncate(time.Second)
+func (g *generator) newJob(w workload, at time.Duration, n int) Event {
+	run := time.Duration(float64(w.medianRun) * math.Exp(w.sigma*g.rng.NormFloat64())).Truncate(time.Second)
 	e := Event{
-		At: at, Kind: Submit, Job: id.Job(fmt.Sprintf("%s-%04d", m.prefix, n)), Customer: m.customer,
-		Accelerators: m.sizes[g.rng.IntN(len(m.sizes))], Run: max(run, 10*time.Second), Once: m.once, Urgent: m.urgent,
+		At: at, Kind: Submit, Job: id.Job(fmt.Sprintf("%s-%04d", w.prefix, n)), Customer: w.customer,
+		Accelerators: w.sizes[g.rng.IntN(len(w.sizes))], Run: max(run, 10*time.Second), Once: w.once, Urgent: w.urgent,
 		CrashesEverywhere: g.rng.Float64() < crashShare,
 	}
 	e.Declared = e.Run
 	if g.rng.Float64() < misdeclaredShare {
 		e.Declared = []time.Duration{e.Run / 10, e.Run * 10}[g.rng.IntN(2)].Truncate(time.Second)
 	}
-	if m.guaranteed {
+	if w.guaranteed {
 		e.Kind = SubmitGuaranteed
 	}
 	return e
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -26,8 +26,8 @@
 const (
 	// Submit submits a job.
 	Submit Kind = "submit"
-	// SubmitGuaranteed submits a job that its customer's guarantee must serve. The time
-	// until it starts is the time to reclaim the guarantee from borrowers.
+	// SubmitGuaranteed submits a job that its customer's guarantee must serve. The
+	// time until it starts is the time to reclaim the guarantee from borrowers.
 	SubmitGuaranteed Kind = "guarantee_used"
 	// Cancel cancels a job.
 	Cancel Kind = "cancel"
@@ -48,9 +48,10 @@
 	// run time, and Declared the run time that the customer declares.
 	Accelerators  int
 	Run, Declared time.Duration
-	// Once, Urgent and Bad are flags of a job: it must not be repeated, it is
-	// urgent, or it crashes on every worker. Read accepts the flag preemptible and
-	// ignores it, because every job that may be repeated can be preempted.
+	// Once, Urgent and CrashesEverywhere are flags of a job: it must not be
+	// repeated, it is urgent, or it crashes on every worker. In a file the last one
+	// is the flag bad. Read accepts the flag preemptible and ignores it, because
+	// every job that may be repeated can be preempted.
 	Once, Urgent, CrashesEverywhere bool
 }
 
