--- a/cmd/curlewsill/cmd/root.go
+++ b/cmd/curlewsill/cmd/root.go
@@ -83,7 +83,8 @@
 	return e.exit(err)
 }
 
-// exit prints err, unless it is nil, and returns its exit code.
+// exit prints err, unless it is nil, and returns its exit code. A request for help is
+// no failure: its text is printed to standard output.
 func (e *env) exit(err error) int {
 	var f *flags.Error
 	if errors.As(err, &f) && f.Type == flags.ErrHelp {
--- a/internal/dayreport/cause.go
+++ b/internal/dayreport/cause.go
@@ -23,9 +23,9 @@
 	// memberEnded: the run ended because another member of its gang had ended.
 	// The real reason is in that member's lines.
 	memberEnded cause = "gang member ended"
-	// slow: no run of the job was stopped or lost. Its workers were slow, it
-	// has several steps, or its tasks were placed far from their data or from
-	// each other.
+	// slow: no run of the job was stopped or lost, or failed. Its workers were
+	// slow, it has several steps, or its tasks were placed far from their data
+	// or from each other.
 	slow cause = "slow runs, later steps"
 	// other: the reason is none of those above.
 	other cause = "another reason"
--- a/internal/experiment/batch/batch.go
+++ b/internal/experiment/batch/batch.go
@@ -55,8 +55,8 @@
 
 // Run plays the experiment with at most the given number of runs in parallel.
 // It plays all policies of one seed before the next seed, so that policies can
-// be compared early. Once ctx is done, it returns a report of the completed
-// runs.
+// be compared early. Once ctx is cancelled, it returns a report of the
+// completed runs.
 func (b *Batch) Run(ctx context.Context, processors int) (*result.Report, error) {
 	var g errgroup.Group
 	g.SetLimit(max(1, processors))
--- a/internal/experiment/result/result.go
+++ b/internal/experiment/result/result.go
@@ -27,7 +27,7 @@
 	Wasted float64 `json:"wasted"`
 	// Starts counts the runs that workers started. Stopped, Broken and Lapsed
 	// count those that ended by a stop order, by the loss of another member of
-	// their gang, and because their lease had lapsed.
+	// their gang, and because their lease had expired.
 	Starts  int `json:"starts"`
 	Stopped int `json:"stopped"`
 	Broken  int `json:"broken"`
@@ -38,8 +38,8 @@
 	// busy. OwnerWait is the longest time for which anything waited for it.
 	OwnerBusy float64 `json:"owner_busy"`
 	OwnerWait float64 `json:"owner_wait_s"`
-	// Passes counts the owners' scheduling passes, Claims the claims of
-	// ownership.
+	// Passes counts the owners' scheduling passes, Claims the claims by which a
+	// host became the owner.
 	Passes int `json:"passes"`
 	Claims int `json:"claims"`
 	// Violations lists the first invariants that didn't hold. It is expected to
--- a/internal/experiment/setup/world.go
+++ b/internal/experiment/setup/world.go
@@ -12,9 +12,10 @@
 	"curlewsill.org/curlewsill/internal/inifile"
 )
 
-// Defaults of the processor time that the owner's work takes. A task costs two
-// orders, two answers and its share of the passes. The cost of a pass of
-// core/dispatch depends on the numbers of workers and waiting tasks.
+// Defaults of the processor time that the owner's work takes, for the fields of
+// world.Costs. A task costs two orders, two answers and its share of the passes.
+// The cost of a pass of core/dispatch depends on the numbers of workers and
+// waiting tasks.
 const (
 	orderCost  = 500 * time.Microsecond
 	eventCost  = 100 * time.Microsecond
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -139,6 +139,8 @@
 	f.faults = append(f.faults, f.faultError(section, key, found, want))
 }
 
+// faultError returns the error for a fault. The key is empty if the fault is in the
+// section itself.
 func (f *File) faultError(section, key, found, want string) error {
 	where := fmt.Sprintf("%s: [%s]", f.name, section)
 	if key != "" {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -93,7 +93,7 @@
 type result int
 
 const (
-	whole result = iota
+	complete result = iota
 	notRun
 	unknown
 	incomplete
@@ -171,6 +171,7 @@
 	}
 }
 
+// sleepUntil waits until t. It reports false if ctx is done first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
@@ -197,6 +198,8 @@
 	_ = x.latency.RecordValue(min(max(took, 1), maxLatency.Microseconds()))
 }
 
+// exchange sends request i and classifies its response. A request without a response
+// is unknown.
 func (x *runner) exchange(ctx context.Context, i int, tag string, once, key bool) result {
 	target := x.Targets[i%len(x.Targets)] + edge.ServicePathPrefix + string(x.Service) + "/work"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(x.body))
@@ -240,7 +243,7 @@
 		resp.StatusCode == http.StatusOK && !bytes.Equal(body, x.body):
 		return wrong
 	}
-	return whole
+	return complete
 }
 
 // report sums up the results and compares them with the ledger.
@@ -253,7 +256,7 @@
 		P999: float64(x.latency.ValueAtQuantile(99.9)) / perMs,
 	}
 	counts := map[result]*int{
-		whole: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, incomplete: &out.Incomplete, wrong: &out.Wrong,
+		complete: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, incomplete: &out.Incomplete, wrong: &out.Wrong,
 	}
 	for _, s := range x.sent {
 		*counts[s.result]++
--- a/internal/replay/generate.go
+++ b/internal/replay/generate.go
@@ -36,6 +36,8 @@
 	guaranteed bool
 }
 
+// profiles has the workloads of each profile, by the name of the site that the
+// profile resembles.
 var profiles = map[string][]workload{
 	"delta-north": {
 		{
@@ -79,7 +81,11 @@
 	},
 }
 
-// Rates of faults and cancels in a generated trace.
+// Rates of faults and cancels in a generated trace. misdeclaredShare, crashShare and
+// cancelShare are the shares of the jobs whose declared run time is wrong, that crash
+// on every worker, and that are cancelled one by one. cancelWaveInterval and
+// downInterval are the mean times between waves of cancels and between failures of
+// workers. cancelWaveSize bounds the cancels of a wave.
 const (
 	misdeclaredShare   = 0.15
 	crashShare         = 0.01
@@ -121,6 +127,7 @@
 	return time.Duration(g.rng.ExpFloat64() * float64(mean)).Truncate(time.Second)
 }
 
+// addJobs adds the submissions of a workload, in bursts at random times.
 func (g *generator) addJobs(w workload) {
 	n := 0
 	for at := g.randomInterval(w.meanInterval); at < g.length; at += g.randomInterval(w.meanInterval) + time.Second {
@@ -134,6 +141,7 @@
 	}
 }
 
+// newJob returns the submission of the nth job of a workload.
 func (g *generator) newJob(w workload, at time.Duration, n int) Event {
 	run := time.Duration(float64(w.medianRun) * math.Exp(w.sigma*g.rng.NormFloat64())).Truncate(time.Second)
 	e := Event{
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -167,6 +167,7 @@
 	return out.Error()
 }
 
+// fields returns the event as a line of a trace, in the order of Header.
 func (e Event) fields() []string {
 	f := []string{formatSeconds(e.At), string(e.Kind), string(e.Job), string(e.Customer), "", "", "", ""}
 	if e.Kind != Submit && e.Kind != SubmitGuaranteed {
