--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -69,8 +69,8 @@
 	// RefusedNotRun counts refusals of which the response says that nothing ran.
 	RefusedNotRun int `json:"refused_not_run"`
 	Unknown       int `json:"unknown"`
-	// Incomplete counts incomplete responses. Wrong counts responses to another request or
-	// with an unexpected body.
+	// Incomplete counts incomplete responses. Wrong counts responses to another
+	// request or with an unexpected body.
 	Incomplete int `json:"cut"`
 	Wrong      int `json:"wrong"`
 	// RanTwice counts requests that ran more than once although they must run at most
@@ -93,10 +93,10 @@
 type result int
 
 const (
-	whole result = iota
+	complete result = iota
 	notRun
 	unknown
-	cut
+	incomplete
 	wrong
 )
 
@@ -171,6 +171,7 @@
 	}
 }
 
+// sleepUntil waits until t. It reports false if ctx is done first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
@@ -197,6 +198,8 @@
 	_ = x.latency.RecordValue(min(max(took, 1), maxLatency.Microseconds()))
 }
 
+// exchange sends request i and classifies its response. A request without a response
+// is unknown.
 func (x *runner) exchange(ctx context.Context, i int, tag string, once, key bool) result {
 	target := x.Targets[i%len(x.Targets)] + edge.ServicePathPrefix + string(x.Service) + "/work"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(x.body))
@@ -230,7 +233,7 @@
 	}
 	switch {
 	case err != nil:
-		return cut
+		return incomplete
 	case ran == route.RanNo:
 		return notRun
 	case ran != route.RanYes:
@@ -240,7 +243,7 @@
 		resp.StatusCode == http.StatusOK && !bytes.Equal(body, x.body):
 		return wrong
 	}
-	return whole
+	return complete
 }
 
 // report sums up the results and compares them with the ledger.
@@ -253,7 +256,7 @@
 		P999: float64(x.latency.ValueAtQuantile(99.9)) / perMs,
 	}
 	counts := map[result]*int{
-		whole: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, cut: &out.Incomplete, wrong: &out.Wrong,
+		complete: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, incomplete: &out.Incomplete, wrong: &out.Wrong,
 	}
 	for _, s := range x.sent {
 		*counts[s.result]++
