--- a/soak/bounds_test.go
+++ b/soak/bounds_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// The bounds that the platform guarantees with the settings of the soak. The
-// judge allows toleranceFactor times as long, so that no verdict depends on the
-// load of the machine.
+// The bounds that hold with the settings of the soak. The judge allows
+// toleranceFactor times as long, so that no verdict depends on the load of the
+// machine.
 const (
 	toleranceFactor    = 3
 	recoveryTime       = 3 * time.Second        // a host counts as connected after this time without a fault
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -64,7 +64,7 @@
 	net.Conn
 	incarnation string
 	// believedReady is set if the host was ready according to the load
-	// balancer's last probes.
+	// balancer's last probes, and at least half of all hosts were.
 	believedReady bool
 }
 
@@ -86,7 +86,7 @@
 }
 
 // dial connects to a random ready host, as the platform's load balancer does.
-// If fewer than half of the hosts are ready it chooses among all of them.
+// If fewer than half of the hosts are ready, it chooses among all of them.
 func (a *callerPool) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	var ready, all []*process
 	for _, h := range a.site.hosts {
--- a/soak/entries_test.go
+++ b/soak/entries_test.go
@@ -122,8 +122,8 @@
 	time.AfterFunc(wait, func() { l.writeLate(e) })
 }
 
-// restart makes the entry of a worker that has restarted under its ID that of
-// the new incarnation; the next update writes it. If late is set, a last
+// restart changes the entry of a worker that has restarted under its ID to that
+// of the new incarnation; the next update writes it. If late is set, a last
 // heartbeat of the previous incarnation overwrites it after a delay.
 func (l *entryList) restart(incarnation *standin.Worker, late bool) {
 	l.mu.Lock()
--- a/soak/evacuate_test.go
+++ b/soak/evacuate_test.go
@@ -59,10 +59,10 @@
 	s.store.EndEvacuation(name)
 }
 
-// recordSeen records what a worker observes, and for the start of a task the
+// recordEvent records what a worker observes, and for the start of a task the
 // failure domain of the worker. The start of a task with crashingText crashes
 // the worker shortly after.
-func (w *worker) recordSeen(x standin.WorkerEvent) {
+func (w *worker) recordEvent(x standin.WorkerEvent) {
 	s := w.site
 	if x.Kind == standin.EventStart && x.Payload == crashingText {
 		s.crashing.Go(func() { s.crashIncarnation(x.Worker) })
@@ -87,8 +87,8 @@
 }
 
 // checkDomain checks that a start is not in an evacuated failure domain. It
-// checks nothing while the workers' connections are disturbed, since orders may
-// then arrive late.
+// checks nothing while the workers or their connections have a fault, or had
+// one within recoveryTime, since orders may then arrive late.
 func (j *judge) checkDomain(e event) {
 	since, evacuated := j.evacuatedAt[e.What]
 	if evacuated && e.At > since+toleranceFactor*evacuationBound && j.undisturbed(e.At, "workers") {
--- a/soak/host_test.go
+++ b/soak/host_test.go
@@ -23,9 +23,9 @@
 const startTimeout = 30 * time.Second
 
 // maxProbeAge is the age from which the load balancer's last probe of a host no
-// longer counts. A host that stops accepts connections for 2.5 s more, and the
-// load balancer must know after two probes that it stops, also when this
-// machine is busy.
+// longer counts. A stopping host still accepts connections for 2.5 s. Within
+// that time two probes must show the load balancer that the host is stopping,
+// also when this machine is busy.
 const maxProbeAge = 1200 * time.Millisecond
 
 // host is a machine that runs one process after the other.
@@ -181,8 +181,8 @@
 	return h.process
 }
 
-// latest returns the process that was started last, even if it has ended: the
-// load balancer learns of its end only by probes.
+// latest returns the process whose start completed last, even if it has ended:
+// the load balancer learns of its end only by probes.
 func (h *host) latest() *process {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/soak/inject_test.go
+++ b/soak/inject_test.go
@@ -101,7 +101,7 @@
 	p.mu.Unlock()
 	if ending {
 		if f.kind == "kill" {
-			s.record(event{Kind: eventFaultBegan, What: p.incarnation}) // a kill during a planned stop disturbs it
+			s.record(event{Kind: eventFaultBegan, What: p.incarnation}) // a planned stop that SIGKILL cuts short counts as disturbed
 		}
 		_ = p.signal(map[string]syscall.Signal{"term": syscall.SIGTERM, "kill": syscall.SIGKILL}[f.kind])
 		return // the fault that ended the process first starts the next one
@@ -161,11 +161,11 @@
 	case "wire":
 		s.injectProxyFault("workers", proxy, f)
 	case "crash":
-		listed := time.Duration(0)
+		listedFor := time.Duration(0)
 		if f.variant == "later" {
-			listed = f.duration
+			listedFor = f.duration
 		}
-		s.during("workers", func() { w.restartOnce(incarnation, listed) }, 0, func() {})
+		s.during("workers", func() { w.restartOnce(incarnation, listedFor) }, 0, func() {})
 	case "drain":
 		w.announceDraining(incarnation)
 		time.Sleep(toleranceFactor*drainTime + f.duration)
@@ -185,15 +185,15 @@
 	s.record(event{Kind: eventDraining, Worker: incarnation.IncarnationID()})
 }
 
-// restartOnce ends an incarnation of a worker and starts the next one, unless
-// the incarnation has already ended.
-func (w *worker) restartOnce(incarnation *standin.Worker, listed time.Duration) {
+// restartOnce ends an incarnation of a worker and starts the next one, as
+// restart does, unless the incarnation has already ended.
+func (w *worker) restartOnce(incarnation *standin.Worker, listedFor time.Duration) {
 	w.mu.Lock()
 	current := !w.ended && w.incarnation == incarnation
 	w.ended = w.ended || current
 	w.mu.Unlock()
 	if current {
-		w.restart(listed)
+		w.restart(listedFor)
 	}
 }
 
--- a/soak/judge_call_test.go
+++ b/soak/judge_call_test.go
@@ -170,11 +170,12 @@
 		}
 	}
 	if newest == 0 && h.minVersion > 0 && sentAt > h.minVersionAt {
-		j.fail("config", "%s has applied version %d, but answers %d to key %s as no version from there on does", e.Host, h.minVersion, e.Status, e.Key)
+		j.fail("config", "%s has applied version %d, but its answer %d to key %s fits neither this version nor a later one", e.Host, h.minVersion, e.Status, e.Key)
 		return
 	}
 	if required := j.inForce(sentAt); lastMatch < required && j.undisturbed(sentAt, e.Host, "store") {
-		j.fail("config", "%s answers %d to key %s as no version after %d does, but version %d is in force", e.Host, e.Status, e.Key, lastMatch, required)
+		j.fail("config", "%s answers %d to key %s, which fits no version after %d, but version %d is in force",
+			e.Host, e.Status, e.Key, lastMatch, required)
 	}
 	if oldest > h.minVersion {
 		h.minVersion, h.minVersionAt = oldest, e.At
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -28,8 +28,8 @@
 	// when the last one ended.
 	activeFaults map[string]int
 	faultEndedAt map[string]time.Duration
-	// refusals counts, for each worker and fence, the orders that the worker
-	// refused because of that fence.
+	// refusals counts, for each worker and fencing token, the orders that the
+	// worker refused because their token was too low.
 	refusals   map[string]*fenceRefusals
 	violations []violation
 }
@@ -98,8 +98,9 @@
 	minVersionAt time.Duration
 }
 
-// fenceRefusals is the time of the first order of a fence that a worker refused,
-// and the number of orders refused too long after it.
+// fenceRefusals is what a worker refused of the orders with one fencing token:
+// the time of the first order, and the number of orders that were sent more
+// than toleranceFactor*handover after it.
 type fenceRefusals struct {
 	first      time.Duration
 	lateOrders int
@@ -179,7 +180,7 @@
 		j.fail("assertion", "%s: %s", e.Host, e.Text)
 	case eventUsage:
 		if e.Count > maxDescriptors || e.Bytes > maxMemory {
-			j.fail("bounded", "%s holds %d descriptors and %d bytes", e.Host, e.Count, e.Bytes)
+			j.fail("bounded", "%s exceeds its bounds with %d open descriptors or %d bytes of memory", e.Host, e.Count, e.Bytes)
 		}
 	}
 }
@@ -199,7 +200,8 @@
 	for name, t := range j.tasks {
 		for _, r := range t.runs {
 			if r.overlapping != nil {
-				j.fail("twice", "%s run %d on %s started, but run %d on %s never ended", name, r.number, r.worker, r.overlapping.number, r.overlapping.worker)
+				j.fail("twice", "task %s run %d on %s started, but run %d on %s never ended",
+					name, r.number, r.worker, r.overlapping.number, r.overlapping.worker)
 			}
 			if r.end == 0 {
 				j.fail("rest", "task %s run %d is still on %s at the end", name, r.number, r.worker)
--- a/soak/judge_worker_test.go
+++ b/soak/judge_worker_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	if e.Epoch < w.epoch {
-		j.fail("fence", "task %s was started on %s with fence %d after fence %d", e.Task, e.Worker, e.Epoch, w.epoch)
+		j.fail("fence", "task %s was started on %s with fencing token %d after token %d", e.Task, e.Worker, e.Epoch, w.epoch)
 	}
 	if w.running >= workerCapacity {
 		j.fail("room", "task %s was started on %s, where %d other tasks run", e.Task, e.Worker, w.running)
@@ -99,12 +99,12 @@
 	return n == s.Count || s.Gang && n > 0
 }
 
-// failures counts the failed runs of a task; with known set, only those whose
-// end the owner has noted.
-func (j *judge) failures(t *taskRecord, known bool) int {
+// failures counts the failed runs of a task; with notedOnly set, only those
+// whose end the owner has noted.
+func (j *judge) failures(t *taskRecord, notedOnly bool) int {
 	n := 0
 	for _, r := range t.runs {
-		if r.how == "failed" && (r.noted || !known) {
+		if r.how == "failed" && (r.noted || !notedOnly) {
 			n++
 		}
 	}
@@ -153,7 +153,8 @@
 		}
 		r.overlapping = nil
 		if r.start < ended.end {
-			j.fail("twice", "%s run %d started on %s %v before run %d ended on %s", name, r.number, r.worker, ended.end-r.start, ended.number, ended.worker)
+			j.fail("twice", "task %s run %d started on %s %v before run %d ended on %s",
+				name, r.number, r.worker, ended.end-r.start, ended.number, ended.worker)
 		}
 	}
 }
@@ -202,6 +203,6 @@
 		f.lateOrders++
 	}
 	if f.lateOrders == maxRefusedOrders+1 {
-		j.fail("fence", "worker and fence %s: the fenced owner still sends orders %v after the first refusal", key, e.At-f.first)
+		j.fail("fence", "worker and fencing token %s: the fenced owner still sends orders %v after the first refusal", key, e.At-f.first)
 	}
 }
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -67,8 +67,8 @@
 	// meanPause is the mean pause between the beginnings of two faults on three
 	// hosts. With more hosts it is shorter, down to minPause.
 	meanPause, minPause = 900 * time.Millisecond, 150 * time.Millisecond
-	// sameTargetShare is the share of host faults that hit the same host as the
-	// fault before.
+	// sameTargetShare is the probability that a host fault that follows another
+	// host fault is given the same host.
 	sameTargetShare = 0.3
 	// plannedOneIn is the number of seeds of which one has only changes that
 	// operators plan. Beside other faults most calls count as disturbed, so
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -33,15 +33,15 @@
 	address string
 	gangs   *standin.Gangs
 	// namesMachines is set if the entries of workers name their machine.
-	// entries is nil in plans that aren't wide, in which an entry is written
-	// once.
 	namesMachines bool
 	// reportStart is set in plans in which workers restart under their IDs;
 	// workers then report the start time of their incarnation.
 	reportStart bool
-	entries     *entryList
-	queues      []standin.Queue
-	services    []string
+	// entries is nil in plans that aren't wide, in which an entry is written
+	// once.
+	entries  *entryList
+	queues   []standin.Queue
+	services []string
 
 	mu          sync.Mutex
 	judge       *judge
@@ -281,7 +281,7 @@
 	s := w.site
 	rate := 1 - float64(s.intN(3))/100 // a worker's clock may be up to 2 percent slow
 	incarnation := standin.NewStrictWorker(s.newWorkerName(w.number), workloads, standin.Strict{
-		MaxLease: maxLease, StopTime: stopTime / 3, Gangs: s.gangs, Rate: rate, Observe: w.recordSeen,
+		MaxLease: maxLease, StopTime: stopTime / 3, Gangs: s.gangs, Rate: rate, Observe: w.recordEvent,
 	})
 	incarnation.ReportStart(s.drawStartTime())
 	address, stop, err := standin.Listen(incarnation)
@@ -308,9 +308,10 @@
 	s.store.PutWorker(incarnation.ID(), w.address)
 }
 
-// restart ends the current incarnation and starts the next one after the time
-// listed. The old entry stays listed meanwhile, unless listed is 0.
-func (w *worker) restart(listed time.Duration) {
+// restart ends the current incarnation, and starts the next one after listedFor.
+// If listedFor is 0, the store's list drops the old entry at once. Otherwise it
+// keeps the entry for that time, or in wide plans until the entry expires.
+func (w *worker) restart(listedFor time.Duration) {
 	w.mu.Lock()
 	w.ended = true
 	id := w.incarnation.ID()
@@ -320,12 +321,12 @@
 	incarnation := w.incarnation
 	w.proxy = nil
 	w.mu.Unlock()
-	if l := w.site.entries; l != nil && listed > 0 {
+	if l := w.site.entries; l != nil && listedFor > 0 {
 		l.endHeartbeats(incarnation, false)
 	} else if l != nil {
 		l.withdraw(incarnation)
 	}
-	time.Sleep(listed)
+	time.Sleep(listedFor)
 	if w.site.entries == nil {
 		w.site.store.DropWorker(id)
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -23,7 +23,7 @@
 	firstFlag    = flag.Uint64("first", 1000, "first seed of TestLong")
 	durationFlag = flag.Duration("duration", 30*time.Second, "time during which faults begin in a seed of TestLong")
 	hostsFlag    = flag.String("hosts", "3..7", "range of the number of hosts in TestLong, FROM..TO; the seed determines the number")
-	workersFlag  = flag.Int("workers", 0, "number of workers in TestLong; 0 means the hosts, a third more and two")
+	workersFlag  = flag.Int("workers", 0, "number of workers in TestLong; 0 means a third more than hosts, plus two")
 	keepFlag     = flag.String("keep", "", "folder for the logs of all seeds; if empty, those of failed seeds stay in the system's temporary folder")
 	onlyFlag     = flag.String("only", "", "comma-separated list of KIND or KIND/VARIANT; TestLong leaves all other faults out of its plans")
 	wideFlag     = flag.Bool("wide", false, "TestLong runs wide plans")
@@ -36,8 +36,9 @@
 
 const callersPerSite = 6
 
-// completionTimeout bounds how long accepted jobs may take after the last
-// fault, far above the few seconds that they need.
+// completionTimeout bounds the wait for the end of all jobs after the last
+// fault, and then the wait until no worker runs anything. It is far above the
+// few seconds that accepted jobs need.
 const completionTimeout = 90 * time.Second
 
 // usageDelay is the idle time before the resource usage of processes is
@@ -55,8 +56,8 @@
 
 // readSources reads the files from which curlewsilld is built. The go command
 // reuses a cached test result as long as the files that the tests have read are
-// unchanged; without these reads a changed program wasn't tested again. Reads
-// before the tests run, as in TestMain, don't count.
+// unchanged; without these reads it wouldn't test a changed program again.
+// Reads before the tests run, as in TestMain, don't count.
 func readSources() error {
 	for _, dir := range sourceDirs {
 		err := filepath.WalkDir(dir, func(path string, e fs.DirEntry, err error) error {
--- a/soak/wide_test.go
+++ b/soak/wide_test.go
@@ -58,8 +58,9 @@
 }
 
 var incarnationKinds = []wideKind{
-	// A worker crashes and returns as another incarnation at the same address,
-	// which doesn't accept connections in between.
+	// A worker crashes and returns as another incarnation at the same address.
+	// In between, connects are refused, or get no answer ("mute"). With "late",
+	// one more heartbeat of the previous incarnation arrives after a delay.
 	{"reborn", []string{"plain", "late", "mute"}, 4, 50 * time.Millisecond, 2500 * time.Millisecond},
 	// The store drops its history, so that a host that has fallen behind must
 	// read the whole topic again.
@@ -67,7 +68,8 @@
 	// All hosts end one after the other.
 	{"turns", []string{"kill", "term"}, 1, 0, 2 * time.Second},
 	// A worker that keeps running can't reach the store and can't be reached by
-	// hosts, for longer than its entry stays listed and shorter than a lease.
+	// hosts. This lasts longer than its entry stays listed, and not as long as
+	// a lease.
 	{"apart", []string{"refuse", "mute", "both"}, 3, 5 * time.Second, 9 * time.Second},
 	// The store is away, and all entries have expired when it returns.
 	{"lapse", []string{"busy", "hang"}, 1, 1500 * time.Millisecond, 4 * time.Second},
@@ -118,8 +120,8 @@
 
 var stormKinds = []wideKind{
 	// A tenth to a third of the workers crash at once while they are
-	// unreachable. They return as other incarnations, or under their IDs if
-	// workers report their start times.
+	// unreachable. They return as other incarnations, or under their IDs
+	// ("again", in plans in which workers report their start times).
 	{"storm", []string{"reborn", "again"}, 1, 50 * time.Millisecond, 2500 * time.Millisecond},
 }
 
@@ -313,11 +315,11 @@
 
 // crashIncarnation crashes an incarnation crashTime after it has started a task
 // that crashes workers.
-func (s *site) crashIncarnation(name string) {
+func (s *site) crashIncarnation(id string) {
 	time.Sleep(crashTime)
 	away := minAway + time.Duration(s.intN(int(maxAway-minAway)))
 	for _, w := range s.workers {
-		if incarnation, _ := w.current(); incarnation != nil && incarnation.IncarnationID() == name {
+		if incarnation, _ := w.current(); incarnation != nil && incarnation.IncarnationID() == id {
 			s.injectIncarnationFault(w, incarnation, fault{kind: "reborn", duration: away})
 		}
 	}
