--- a/soak/judge_call_test.go
+++ b/soak/judge_call_test.go
@@ -170,7 +170,8 @@
 		}
 	}
 	if newest == 0 && h.minVersion > 0 && sentAt > h.minVersionAt {
-		j.fail("config", "%s has applied version %d, but its answer %d to key %s fits neither this version nor a later one", e.Host, h.minVersion, e.Status, e.Key)
+		j.fail("config", "%s has applied version %d, but its answer %d to key %s fits neither this version nor a later one",
+			e.Host, h.minVersion, e.Status, e.Key)
 		return
 	}
 	if required := j.inForce(sentAt); lastMatch < required && j.undisturbed(sentAt, e.Host, "store") {
