--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -98,9 +98,9 @@
 	minVersionAt time.Duration
 }
 
-// fenceRefusals is what a worker refused of the orders with one fencing token:
-// the time of the first order, and the number of orders that were sent more
-// than toleranceFactor*handover after it.
+// fenceRefusals describes the refusals of one fencing token by a worker: the
+// time of the first, and the number of those more than toleranceFactor*handover
+// after it.
 type fenceRefusals struct {
 	first      time.Duration
 	lateOrders int
