--- a/cmd/curlewsill/cmd/load.go
+++ b/cmd/curlewsill/cmd/load.go
@@ -65,7 +65,7 @@
 
 func showLoad(w io.Writer, r load.Report) {
 	fmt.Fprintf(w, "sent %d: %d whole, %d refused as not run, %d unknown, %d cut, %d wrong\n",
-		r.Sent, r.Whole, r.RefusedNotRun, r.Unknown, r.Incomplete, r.Wrong)
+		r.Sent, r.Complete, r.RefusedNotRun, r.Unknown, r.Incomplete, r.Wrong)
 	fmt.Fprintf(w, "ran twice although marked once %d, refused as not run but ran %d, repeated %d, overbooked %d\n",
 		r.RanTwice, r.NotRunButRan, r.Repeated, r.Overbooked)
 	fmt.Fprintf(w, "latency p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", r.P50, r.P99, r.P999)
--- a/cmd/curlewsilld/cmd/process_test.go
+++ b/cmd/curlewsilld/cmd/process_test.go
@@ -221,7 +221,7 @@
 	}
 	rep := <-done
 	t.Logf("%+v", rep)
-	if rep.RanTwice+rep.NotRunButRan+rep.Wrong+rep.Incomplete > 0 || rep.Whole == 0 {
+	if rep.RanTwice+rep.NotRunButRan+rep.Wrong+rep.Incomplete > 0 || rep.Complete == 0 {
 		t.Errorf("guarantees violated: %+v", rep)
 	}
 	waitFor(t, "the end of the gang", func() bool { return observer.job(ctx, "once").State == "finished" })
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -25,10 +25,10 @@
 	// Priority 0 is the most urgent.
 	Priority    int
 	MaxAttempts int
-	// Stretch and Target set the time in which a job should be completed: they
-	// become DeadlineFactor and DeadlineExtra of its job.Spec.
-	Stretch float64
-	Target  time.Duration
+	// DeadlineFactor and DeadlineExtra set the time in which a job should be
+	// completed: they become the fields of the same names of its job.Spec.
+	DeadlineFactor float64
+	DeadlineExtra  time.Duration
 	// Anonymous is set if jobs need no key.
 	Anonymous bool
 	// Advice tells whether placements need a permit of the advice service.
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -26,9 +26,9 @@
 	// iterates in the same order; ended holds the other jobs until their
 	// retention is over.
 	open, ended []*jobState
-	// expired is when ended was last searched for jobs whose retention is over.
-	expired unit.Instant
-	workers map[id.Worker]*worker
+	// lastExpiryAt is when ended was last searched for jobs whose retention is over.
+	lastExpiryAt unit.Instant
+	workers      map[id.Worker]*worker
 	// waitingRenewals counts the renewals in flight that wait at a worker until
 	// it has something to report.
 	waitingRenewals int
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -184,7 +184,7 @@
 	r.worker.changeSent = true
 	s := r.step
 	d.orders.Starts = append(d.orders.Starts, Start{
-		Target: d.target(r.worker), Domain: r.worker.Domain, Task: r.task, Run: r.number, Text: s.job.spec.Payload,
+		Target: d.target(r.worker), Domain: r.worker.Domain, Task: r.task, Run: r.number, Payload: s.job.spec.Payload,
 		Checkpoint: s.job.progress.Tasks[s.base+r.task.Index].Checkpoint, Ticket: s.permits[r.worker.ID].ticket,
 		Until: d.lease(now, r.worker), MayHaveStarted: r.startUnanswered || r.fromEarlierOwner,
 	})
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -152,7 +152,7 @@
 	shares := make([]workerShare, len(workers))
 	extensions := make([]extension, len(workers))
 	for i, w := range workers {
-		shares[i].worker, shares[i].penalty = w, d.emptyWorkerPenalty(w)+w.failureCost()+s.interferencePenalty(w)
+		shares[i].worker, shares[i].penalty = w, d.emptyWorkerPenalty(w)+w.failureStreakPenalty()+s.interferencePenalty(w)
 		extensions[i] = d.withOneMore(now, c, shares[i], need, roomOf)
 	}
 	var out assignment
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -151,7 +151,7 @@
 
 // suspend keeps new tasks away from a worker for a while.
 func (w *worker) suspend(now unit.Instant, length time.Duration) {
-	w.pausedAt, w.pausedUntil = now, now.Add(length)
+	w.suspendedAt, w.suspendedUntil = now, now.Add(length)
 }
 
 // maySuspend reports whether a worker may be suspended without exceeding the
@@ -227,8 +227,8 @@
 	}
 }
 
-// failureCost returns what is added to the leftover of a placement on a worker
+// failureStreakPenalty returns what is added to the leftover of a placement on a worker
 // whose latest runs failed.
-func (w *worker) failureCost() float64 {
+func (w *worker) failureStreakPenalty() float64 {
 	return failurePenalty * float64(min(w.failureStreak, suspendAfterFailures))
 }
--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -177,10 +177,10 @@
 
 // expire drops jobs that ended longer ago than Config.EndedRetention.
 func (d *Dispatcher) expire(now unit.Instant) {
-	if now.Sub(d.expired) < expireEvery {
+	if now.Sub(d.lastExpiryAt) < expireEvery {
 		return
 	}
-	d.expired = now
+	d.lastExpiryAt = now
 	kept := d.ended[:0]
 	for _, js := range d.ended {
 		if !js.forgettable() || len(d.forget) >= forgetBatch || now.Sub(js.progress.Ended) <= d.config.EndedRetention {
--- a/core/dispatch/message.go
+++ b/core/dispatch/message.go
@@ -24,7 +24,7 @@
 	Domain     id.Domain
 	Task       job.TaskID
 	Run        job.RunNumber
-	Text       string
+	Payload    string
 	Checkpoint string
 	// Ticket is the permit of the advice service; empty if none is needed.
 	Ticket string
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -276,7 +276,7 @@
 // needsPromptAnswer reports whether a renewal to the worker must be answered
 // at once.
 func (w *worker) needsPromptAnswer() bool {
-	if w.syncedAsOf < w.pausedAt || !w.confirmed() {
+	if w.syncedAsOf < w.suspendedAt || !w.confirmed() {
 		return true
 	}
 	for _, r := range w.runs {
@@ -293,7 +293,7 @@
 
 // usable reports whether new tasks may be placed on a worker.
 func (w *worker) usable(now unit.Instant) bool {
-	return w.listed && !w.Draining && !w.awaitingUpkeep && !w.evacuated && w.confirmed() && now >= w.pausedUntil && w.healthy(now)
+	return w.listed && !w.Draining && !w.awaitingUpkeep && !w.evacuated && w.confirmed() && now >= w.suspendedUntil && w.healthy(now)
 }
 
 // healthy reports whether a worker is idle or responsive.
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -185,7 +185,7 @@
 		if !need.Fits(free) || !mayUseEmpty && w.empty() || s.full(w, 0) || w.onProbation() && len(w.runs) > 0 {
 			continue
 		}
-		left := leftover(free.Sub(need), w.Capacity) + d.emptyWorkerPenalty(w) + w.failureCost() + s.interferencePenalty(w)
+		left := leftover(free.Sub(need), w.Capacity) + d.emptyWorkerPenalty(w) + w.failureStreakPenalty() + s.interferencePenalty(w)
 		if s.nearData(w) {
 			if best == nil || left < bestLeft {
 				best, bestLeft = w, left
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -274,9 +274,9 @@
 	// has expired there for certain that an unanswered order may grant.
 	lateStarts                 []lateStart
 	lateAckAt, lateLeaseExpiry unit.Instant
-	// pausedUntil is until when the worker gets no new tasks, pausedAt when
+	// suspendedUntil is until when the worker gets no new tasks, suspendedAt when
 	// that was decided.
-	pausedAt, pausedUntil unit.Instant
+	suspendedAt, suspendedUntil unit.Instant
 	// rivalSeenAt is when a rival incarnation, at the worker's address or of its
 	// machine, was last listed; 0 if there is none. replaced is set once a
 	// rival has answered in the worker's place, until the worker is listed
--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -171,7 +171,7 @@
 func (n *Node) frame(now unit.Instant, b owner.Heartbeat) peer.Frame {
 	return peer.Frame{
 		From: n.self, Applied: n.state.Applied, Heartbeat: b, DigestAt: n.digestAt, Digest: n.digest,
-		Leaving: n.router.Departures(now), Stopping: n.hostState == Draining,
+		Leaving: n.router.LeavingBackends(now), Stopping: n.hostState == Draining,
 	}
 }
 
--- a/core/route/probe.go
+++ b/core/route/probe.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// Departures returns the backend servers for which this host has recent
+// LeavingBackends returns the backend servers for which this host has recent
 // first-hand evidence that they are leaving.
-func (r *Router) Departures(now unit.Instant) []LeavingEvidence {
+func (r *Router) LeavingBackends(now unit.Instant) []LeavingEvidence {
 	var out []LeavingEvidence
 	for _, k := range config.SortedKeys(r.pools) {
 		for _, b := range r.pools[k].backends {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -19,7 +19,7 @@
 			if err != nil {
 				t.Fatalf("%v: %v", err, rep.Violations)
 			}
-			if rep.Requests.Whole == 0 || rep.Started == 0 || rep.Changes == 0 {
+			if rep.Requests.Complete == 0 || rep.Started == 0 || rep.Changes == 0 {
 				t.Errorf("nothing was done: %+v", rep)
 			}
 		})
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -113,7 +113,7 @@
 func applyQueueDefaults(s *job.Spec, q *catalog.Queue, customer id.Customer) {
 	s.Customer, s.Queue, s.Service = customer, q.Name, q.Service
 	s.Priority, s.MaxAttempts = q.Priority, q.MaxAttempts
-	s.DeadlineFactor, s.DeadlineExtra, s.Advice = q.Stretch, q.Target, q.Advice
+	s.DeadlineFactor, s.DeadlineExtra, s.Advice = q.DeadlineFactor, q.DeadlineExtra, q.Advice
 }
 
 // store writes a record and returns the reply for the outcome. It reports a
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -64,8 +64,8 @@
 
 // Report is the result of a run.
 type Report struct {
-	Sent  int `json:"sent"`
-	Whole int `json:"whole"`
+	Sent     int `json:"sent"`
+	Complete int `json:"whole"`
 	// RefusedNotRun counts refusals of which the response says that nothing ran.
 	RefusedNotRun int `json:"refused_not_run"`
 	Unknown       int `json:"unknown"`
@@ -256,7 +256,7 @@
 		P999: float64(x.latency.ValueAtQuantile(99.9)) / perMs,
 	}
 	counts := map[result]*int{
-		complete: &out.Whole, notRun: &out.RefusedNotRun, unknown: &out.Unknown, incomplete: &out.Incomplete, wrong: &out.Wrong,
+		complete: &out.Complete, notRun: &out.RefusedNotRun, unknown: &out.Unknown, incomplete: &out.Incomplete, wrong: &out.Wrong,
 	}
 	for _, s := range x.sent {
 		*counts[s.result]++
