--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -18,76 +18,89 @@
 	"curlewsill.org/curlewsill/platform/standin"
 )
 
-// site is a whole site: the stand-ins in this process, hosts as processes of their own, and a proxy
-// before everything that a host or caller connects to.
+// site is a complete site: the stand-ins for the platform in this process, the
+// hosts as separate processes, and a proxy before each address that a host or
+// caller connects to.
 type site struct {
 	t *testing.T
-	// dir holds the settings, the hosts' logs, the plan and the events.
-	dir   string
-	began time.Time
-	store *standin.Store
-	// address is where the store listens, behind the handler that puts proxies between hosts.
+	// dir is the folder of the settings, the hosts' logs, the plan and the
+	// events.
+	dir       string
+	startedAt time.Time
+	store     *standin.Store
+	// address is where the store listens. Its handler replaces the addresses of
+	// hosts by those of proxies.
 	address string
 	gangs   *standin.Gangs
-	// machines is set if entries of workers name their machine; entries is nil in plans that aren't wide,
-	// where an entry is written once.
-	machines bool
-	// tellStart is set in plans in which workers begin again under their ids.
-	tellStart bool
-	entries   *entries
-	queues    []standin.Queue
-	services  []string
+	// namesMachines is set if the entries of workers name their machine.
+	// entries is nil in plans that aren't wide, in which an entry is written
+	// once.
+	namesMachines bool
+	// reportStart is set in plans in which workers restart under their IDs;
+	// workers then report the start time of their incarnation.
+	reportStart bool
+	entries     *entryList
+	queues      []standin.Queue
+	services    []string
 
-	mu      sync.Mutex
-	judge   *judge
-	events  *json.Encoder
-	links   map[string]*faultproxy.Proxy
-	hosts   []*host
-	workers []*worker
-	// version is the newest configuration's, open its queues; calm is set once the faults are over.
-	version int
-	open    []standin.Queue
-	calm    bool
-	lives   int
-	random  *rand.Rand
-	// poisons is how many jobs that crash workers callers are to hand in, crashing their workers that are away.
-	poisons  int
-	crashing sync.WaitGroup
+	mu          sync.Mutex
+	judge       *judge
+	events      *json.Encoder
+	peerProxies map[string]*faultproxy.Proxy
+	hosts       []*host
+	workers     []*worker
+	// version is the newest version of the configuration, openQueues are its
+	// queues. faultsOver is set after the last fault.
+	version      int
+	openQueues   []standin.Queue
+	faultsOver   bool
+	incarnations int
+	random       *rand.Rand
+	// pendingPoisons is the number of jobs that crash workers and that callers
+	// are still to submit. crashing waits for the workers that such jobs crash,
+	// until they have returned.
+	pendingPoisons int
+	crashing       sync.WaitGroup
 }
 
-// work is what the jobs' texts do.
-var work = map[string]standin.Work{
+// workloads maps the payload text of a job to how its tasks run.
+var workloads = map[string]standin.Work{
 	"short": {Time: 40 * time.Millisecond}, "middle": {Time: 400 * time.Millisecond}, "long": {Time: 2 * time.Second},
-	"flaky": {Time: failTime, FailsFirst: true}, "fails": {Time: atOnceTime, Fails: true},
+	"flaky": {Time: firstFailTime, FailsFirst: true}, "fails": {Time: quickFailTime, Fails: true},
 	"gang": {Time: 400 * time.Millisecond, Members: gangMembers},
-	// The rest is in wide plans only, the last where they change queues.
-	"longest": {Time: 6 * time.Second}, "fails late": {Time: 1500 * time.Millisecond, Fails: true}, crashes: {Time: 2 * time.Second},
+	// The others are used in wide plans only, "fails late" in those that change
+	// queues, and crashingText in those with poison faults.
+	"longest": {Time: 6 * time.Second}, "fails late": {Time: 1500 * time.Millisecond, Fails: true}, crashingText: {Time: 2 * time.Second},
 }
 
 const (
-	// crashes is what a job's text says of which each start ends its worker's life after crashTime.
-	crashes   = "crashes"
-	crashTime = 10 * time.Millisecond
-	// leastAway and mostAway bound how long such a worker is away. The platform's are back after some seconds.
-	leastAway, mostAway = 300 * time.Millisecond, 2500 * time.Millisecond
+	// crashingText is the payload text of a job of which each start crashes its
+	// worker after crashTime.
+	crashingText = "crashes"
+	crashTime    = 10 * time.Millisecond
+	// minAway and maxAway bound how long such a worker is away. Those of the
+	// platform return after some seconds.
+	minAway, maxAway = 300 * time.Millisecond, 2500 * time.Millisecond
 )
 
-// failTime is how long a task of which the first run fails works before that: longer than what the
-// owner takes for a worker's fault. atOnceTime is the same for one that always fails, within what it
-// takes for that: such jobs once suspended all workers of a small site for good.
+// firstFailTime is how long the first run of a task with text "flaky" takes to
+// fail: longer than the runs whose failure the owner attributes to the worker.
+// quickFailTime is the same for a task that always fails, and short enough to
+// be attributed to the worker: such jobs once suspended all workers of a small
+// site permanently.
 const (
-	failTime   = 450 * time.Millisecond
-	atOnceTime = 20 * time.Millisecond
+	firstFailTime = 450 * time.Millisecond
+	quickFailTime = 20 * time.Millisecond
 )
 
-// gangMembers is the size of the gangs.
+// gangMembers is the number of tasks of a gang.
 const gangMembers = 3
 
 // newSite starts the stand-ins, the workers and the hosts of a plan.
 func newSite(t *testing.T, p plan, dir string) *site {
 	s := &site{
-		t: t, dir: dir, began: time.Now(), store: standin.NewStore(), gangs: standin.NewGangs(), judge: newJudge(),
-		links: map[string]*faultproxy.Proxy{}, random: rand.New(rand.NewPCG(p.seed, 2)), queues: p.queues, services: p.services,
+		t: t, dir: dir, startedAt: time.Now(), store: standin.NewStore(), gangs: standin.NewGangs(), judge: newJudge(),
+		peerProxies: map[string]*faultproxy.Proxy{}, random: rand.New(rand.NewPCG(p.seed, 2)), queues: p.queues, services: p.services,
 	}
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		t.Fatal(err)
@@ -108,7 +121,7 @@
 	t.Cleanup(stop)
 	s.address = address
 	if p.wide {
-		s.widen(p)
+		s.prepareWide(p)
 	}
 	s.configure()
 	for i := range p.workers {
@@ -122,95 +135,99 @@
 	return s
 }
 
-// tell hands an event to the judge and to the file of events.
-func (s *site) tell(e event) {
+// record writes an event to events.jsonl and passes it to the judge.
+func (s *site) record(e event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.At == 0 {
-		e.At = time.Since(s.began)
+		e.At = time.Since(s.startedAt)
 	}
 	if err := s.events.Encode(e); err != nil {
 		s.t.Error(err)
 	}
-	before := len(s.judge.broken)
-	s.judge.see(e)
-	for _, v := range s.judge.broken[before:] {
-		s.t.Logf("while it runs: %s", v)
+	before := len(s.judge.violations)
+	s.judge.handle(e)
+	for _, v := range s.judge.violations[before:] {
+		s.t.Logf("violation during the run: %s", v)
 	}
 }
 
-// broken returns what was found so far.
-func (s *site) broken() []violation {
+// violations returns the violations found so far.
+func (s *site) violations() []violation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.judge.broken
+	return s.judge.violations
 }
 
-// life returns a name for a life of a host or worker that no other has.
-func (s *site) life(name string) string {
+// uniqueName returns a unique name for an incarnation of a host or worker, or
+// for a replacement machine.
+func (s *site) uniqueName(name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lives++
-	return fmt.Sprintf("%s.%d", name, s.lives)
+	s.incarnations++
+	return fmt.Sprintf("%s.%d", name, s.incarnations)
 }
 
-// chance returns a number below n.
-func (s *site) chance(n int) int {
+// intN returns a random number below n.
+func (s *site) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-// configure writes the next version of the configuration. Each holds the key of the version before and
-// a new one.
+// configure writes the next version of the configuration. It contains the key
+// of the previous version and a new one.
 func (s *site) configure() {
 	s.mu.Lock()
 	s.version++
 	v := s.version
-	s.open = s.drawQueues()
-	open := s.open
+	s.openQueues = s.drawQueues()
+	openQueues := s.openQueues
 	s.mu.Unlock()
-	keys := []string{keyOf(v - 1), keyOf(v)}
-	s.tell(event{Kind: config, Version: v, Keys: keys})
-	s.store.PutQueues(v, maxAttempts, keys, open, s.services)
+	keys := []string{configKey(v - 1), configKey(v)}
+	s.record(event{Kind: eventConfig, Version: v, Keys: keys})
+	s.store.PutQueues(v, maxAttempts, keys, openQueues, s.services)
 }
 
-// drawQueues returns the queues of the next configuration: the first one, some of the others, and all of
-// them once the faults are over. The site is locked.
+// drawQueues returns the queues of the next version of the configuration: the
+// first queue, and a random part of the others until faultsOver is set, all of
+// them after. The caller holds s.mu.
 func (s *site) drawQueues() []standin.Queue {
-	var open []standin.Queue
+	var drawn []standin.Queue
 	for i, q := range s.queues {
-		if i == 0 || s.calm || s.random.IntN(4) > 0 {
-			open = append(open, q)
+		if i == 0 || s.faultsOver || s.random.IntN(4) > 0 {
+			drawn = append(drawn, q)
 		}
 	}
-	return open
+	return drawn
 }
 
-// queue returns one of the queues of the newest configuration.
-func (s *site) queue() standin.Queue {
+// pickQueue returns a random queue of the newest version of the configuration.
+func (s *site) pickQueue() standin.Queue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.open) == 1 {
-		return s.open[0]
+	if len(s.openQueues) == 1 {
+		return s.openQueues[0]
 	}
-	return pick(s.random, s.open)
+	return pick(s.random, s.openQueues)
 }
 
-// keyOf returns the key that a version brings.
-func keyOf(version int) string { return "key-" + strconv.Itoa(version) }
+// configKey returns the API key that a version of the configuration adds.
+func configKey(version int) string { return "key-" + strconv.Itoa(version) }
 
-// newest returns the newest version.
-func (s *site) newest() int {
+// newestVersion returns the newest version of the configuration.
+func (s *site) newestVersion() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// listening finds where a host listens in its name as a member of the group of hosts.
-var listening = regexp.MustCompile(`@127\.0\.0\.1:\d+@`)
+// peerAddress matches the address on which a host listens for its peers, in its
+// name as a member of the group of hosts.
+var peerAddress = regexp.MustCompile(`@127\.0\.0\.1:\d+@`)
 
-// serveStore answers for the store, with proxies in place of where hosts listen for each other.
+// serveStore serves the store. In the list of hosts it replaces the addresses
+// on which hosts listen for their peers by those of proxies.
 func (s *site) serveStore(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/log-owners" {
 		s.store.ServeHTTP(w, r)
@@ -218,25 +235,26 @@
 	}
 	rec := httptest.NewRecorder()
 	s.store.ServeHTTP(rec, r)
-	body := listening.ReplaceAllFunc(rec.Body.Bytes(), func(at []byte) []byte {
-		return []byte("@" + s.link(string(at[1:len(at)-1])).Addr() + "@")
+	body := peerAddress.ReplaceAllFunc(rec.Body.Bytes(), func(at []byte) []byte {
+		return []byte("@" + s.peerProxy(string(at[1:len(at)-1])).Addr() + "@")
 	})
 	w.WriteHeader(rec.Code)
-	_, _ = w.Write(body) // a host that has gone
+	_, _ = w.Write(body) // an error means that the host has ended
 }
 
-// link returns the proxy before where a host listens for its peers.
-func (s *site) link(address string) *faultproxy.Proxy {
+// peerProxy returns the proxy before the address on which a host listens for
+// its peers.
+func (s *site) peerProxy(address string) *faultproxy.Proxy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.links[address] == nil {
-		s.links[address] = s.proxy(address)
+	if s.peerProxies[address] == nil {
+		s.peerProxies[address] = s.newProxy(address)
 	}
-	return s.links[address]
+	return s.peerProxies[address]
 }
 
-// proxy returns a proxy before an address.
-func (s *site) proxy(address string) *faultproxy.Proxy {
+// newProxy returns a proxy before an address.
+func (s *site) newProxy(address string) *faultproxy.Proxy {
 	p, err := faultproxy.New(address)
 	if err != nil {
 		s.t.Fatal(err)
@@ -245,66 +263,67 @@
 	return p
 }
 
-// worker is a machine that has one life as a worker after the other.
+// worker is a machine that runs one incarnation of a worker after the other.
 type worker struct {
 	site   *site
 	number int
 
-	mu      sync.Mutex
-	life    *standin.Worker
-	address string
-	front   *faultproxy.Proxy
-	stop    func()
-	gone    bool
+	mu            sync.Mutex
+	incarnation   *standin.Worker
+	address       string
+	proxy         *faultproxy.Proxy
+	closeListener func()
+	ended         bool
 }
 
-// start begins a life.
+// start begins an incarnation.
 func (w *worker) start() {
 	s := w.site
-	rate := 1 - float64(s.chance(3))/100 // a worker's clock may be 2 percent slow
-	life := standin.NewStrictWorker(s.workerLife(w.number), work, standin.Strict{
-		MaxLease: maxLease, StopTime: stopTime / 3, Gangs: s.gangs, Rate: rate, Observe: w.seen,
+	rate := 1 - float64(s.intN(3))/100 // a worker's clock may be up to 2 percent slow
+	incarnation := standin.NewStrictWorker(s.newWorkerName(w.number), workloads, standin.Strict{
+		MaxLease: maxLease, StopTime: stopTime / 3, Gangs: s.gangs, Rate: rate, Observe: w.recordSeen,
 	})
-	life.TellStart(s.lifeStart())
-	address, stop, err := standin.Listen(life)
+	incarnation.TellStart(s.drawStartTime())
+	address, stop, err := standin.Listen(incarnation)
 	if err != nil {
 		s.t.Error(err)
 		return
 	}
 	w.mu.Lock()
-	w.life, w.stop, w.gone = life, stop, false
-	if w.front == nil {
-		w.front = s.proxy(address)
+	w.incarnation, w.closeListener, w.ended = incarnation, stop, false
+	if w.proxy == nil {
+		w.proxy = s.newProxy(address)
 	}
-	w.front.SetTarget(address)
-	w.front.Heal()
-	w.check(w.front.Admit())
-	w.address = w.front.Addr()
+	w.proxy.SetTarget(address)
+	w.proxy.Heal()
+	w.check(w.proxy.Admit())
+	w.address = w.proxy.Addr()
 	w.mu.Unlock()
 	if s.entries != nil {
-		s.entries.begin(life, standin.Entry{
-			Service: s.services[w.number%len(s.services)], Address: w.address, Domain: w.domain(), Machine: w.machine(), Start: life.Start(),
+		s.entries.add(incarnation, standin.Entry{
+			Service: s.services[w.number%len(s.services)], Address: w.address, Domain: w.domain(), Machine: w.machine(), Start: incarnation.Start(),
 		})
 		return
 	}
-	s.store.PutWorker(life.ID(), w.address)
+	s.store.PutWorker(incarnation.ID(), w.address)
 }
 
-// leave ends the present life, which stays listed for a while unless it is dropped at once.
-func (w *worker) leave(listed time.Duration) {
+// restart ends the current incarnation and starts the next one after the time
+// listed. The old entry stays listed meanwhile, unless listed is 0.
+func (w *worker) restart(listed time.Duration) {
 	w.mu.Lock()
-	w.gone = true
-	id := w.life.ID()
-	w.life.Crash()
-	w.stop()
-	_ = w.front.Close() // its connections are reset
-	life := w.life
-	w.front = nil
+	w.ended = true
+	id := w.incarnation.ID()
+	w.incarnation.Crash()
+	w.closeListener()
+	_ = w.proxy.Close() // resets the connections
+	incarnation := w.incarnation
+	w.proxy = nil
 	w.mu.Unlock()
 	if l := w.site.entries; l != nil && listed > 0 {
-		l.end(life, false)
+		l.endHeartbeats(incarnation, false)
 	} else if l != nil {
-		l.leave(life)
+		l.withdraw(incarnation)
 	}
 	time.Sleep(listed)
 	if w.site.entries == nil {
@@ -313,12 +332,13 @@
 	w.start()
 }
 
-// present returns the present life and the proxy before it, or nil while there is none.
-func (w *worker) present() (*standin.Worker, *faultproxy.Proxy) {
+// current returns the current incarnation and the proxy before it, or nil if it
+// has ended.
+func (w *worker) current() (*standin.Worker, *faultproxy.Proxy) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gone {
+	if w.ended {
 		return nil, nil
 	}
-	return w.life, w.front
+	return w.incarnation, w.proxy
 }
