--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -26,8 +26,9 @@
 	minYield     = 0.1
 	yieldWeight  = 0.2
 	// askPause is how long a host is not used after its question got no answer.
-	// It doubles with each failure in a row up to maxAskPause, since a host
-	// that is cut off costs a step the time of a question.
+	// It doubles with each failure in a row up to maxAskPause, since each
+	// question to a host that is cut off delays a step until the question has
+	// timed out.
 	askPause    = 200 * time.Millisecond
 	maxAskPause = 3200 * time.Millisecond
 	// maxDoublings keeps the doubling from overflowing.
--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -76,7 +76,8 @@
 	if w == nil {
 		return nil
 	}
-	// Any other answer doesn't show which incarnation under the name sent it.
+	// If there may be several incarnations of the name, no other verdict shows
+	// which of them sent it.
 	if v == fleet.Replaced || v == fleet.Fenced || !fleet.HasStart(w.ID) {
 		d.applyVerdict(now, w, t, v, c)
 	}
@@ -105,7 +106,8 @@
 		r.startUnanswered = true
 		r.lateStartLeaseExpiry = d.noteUnansweredLease(r.worker, r.startSentAt)
 	case fleet.Unreachable, fleet.Replaced, fleet.Fenced, fleet.LeaseExpired:
-		// The order is repeated by resend, or the worker was given up above.
+		// Either resend repeats the order, or runAnswer has already given up
+		// the worker.
 	case fleet.Stale:
 		d.handleStaleStart(now, r)
 	case fleet.NoTicket:
--- a/core/dispatch/candidate.go
+++ b/core/dispatch/candidate.go
@@ -9,8 +9,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// lateFactor is the multiple of its allowed time, counted from its due time,
-// after which a job can't earn anything any more.
+// lateFactor times a job's allowed time, counted from its due time, is the time
+// after which its completion earns nothing.
 const lateFactor = 3
 
 // candidate is a step that has tasks which may start now.
@@ -23,7 +23,8 @@
 	eligible []*worker
 	// withinGuarantee is set for urgent work within its customer's guarantee.
 	withinGuarantee bool
-	// late is set when the job can't earn anything any more.
+	// late is set when it is too late for the job to earn anything (see
+	// lateFactor).
 	late bool
 	// deadline is when the job should be completed.
 	deadline unit.Instant
--- a/core/dispatch/claim.go
+++ b/core/dispatch/claim.go
@@ -20,7 +20,8 @@
 	until unit.Instant
 }
 
-// claimRoom reserves room for the waiting tasks of a step, for a time.
+// claimRoom reserves room on the workers for the waiting tasks of a step. The
+// reservation expires after the duration.
 func (d *Dispatcher) claimRoom(now unit.Instant, c candidate, workers []*worker, duration time.Duration, why string) {
 	c.step.hold(&claim{workers: workers, until: now.Add(duration)})
 	d.noteJob(EventRoomClaimed, now, c.step.job, why, duration)
--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -48,9 +48,9 @@
 	explained, repeatedCrash bool
 }
 
-// excuseCommonCause takes back the counts of a service's newest crashes if so
-// many of them are unexplained, or so many happened at all, that they must have
-// a common cause.
+// excuseCommonCause takes back the counts of a service's newest crashes if they
+// must have a common cause: there are too many without an explanation, or too
+// many altogether, to be independent.
 func (d *Dispatcher) excuseCommonCause(service id.Service) {
 	all, unexplained := 0, 0
 	for _, e := range d.incarnationEnds {
--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -223,9 +223,11 @@
 }
 
 // lastCrashEarly reports whether the latest crash under a task came soon after
-// its start. needsOwnWorker reports whether there were so many in total that
-// its worker takes no other tasks while it runs.
+// its start.
 func lastCrashEarly(c job.CrashCount) bool { return c.Early > 0 }
+
+// needsOwnWorker reports whether so many workers have crashed under a task that
+// its worker takes no other tasks while it runs.
 func needsOwnWorker(c job.CrashCount) bool { return c.Total >= isolateAfterCrashes }
 
 // beyondCrashLimit reports whether a task has reached its limit of crashes.
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -172,27 +172,27 @@
 }
 
 // Unlist records that the platform's list no longer contains a worker. The
-// worker may still run, cut off from the platform's store.
-func (d *Dispatcher) Unlist(_ unit.Instant, name id.Worker) {
-	w := d.workers[name]
+// worker may still be up, but partitioned from the platform's store.
+func (d *Dispatcher) Unlist(_ unit.Instant, workerID id.Worker) {
+	w := d.workers[workerID]
 	if w == nil || !w.listed {
 		return
 	}
 	w.listed = false
-	d.note(Note{Event: EventWorkerUnlisted, Worker: name})
+	d.note(Note{Event: EventWorkerUnlisted, Worker: workerID})
 }
 
-// worker returns a worker by name, adding it if it isn't known yet. A new one
+// worker returns a worker by its id, adding it if it isn't known yet. A new one
 // is assumed to hold leases that an earlier owner granted up to now.
-func (d *Dispatcher) worker(now unit.Instant, name id.Worker) *worker {
-	w := d.workers[name]
+func (d *Dispatcher) worker(now unit.Instant, workerID id.Worker) *worker {
+	w := d.workers[workerID]
 	if w != nil {
 		return w
 	}
-	w = &worker{Listing: fleet.Listing{ID: name}, name: fleet.NameOf(name), clockAt: now, knownSince: now}
+	w = &worker{Listing: fleet.Listing{ID: workerID}, name: fleet.NameOf(workerID), clockAt: now, knownSince: now}
 	w.grantedLeaseExpiry = d.maxLeaseExpiry(now)
 	d.raiseFence(w)
-	d.workers[name] = w
+	d.workers[workerID] = w
 	at, _ := slices.BinarySearchFunc(d.workersByID, w, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
 	d.workersByID = slices.Insert(d.workersByID, at, w)
 	return w
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -61,7 +61,8 @@
 	verdict fleet.Verdict
 }
 
-// run advances the time. Batches are in the store at once.
+// run makes scheduling passes for a duration. Each batch is committed, and each
+// order answered, as soon as the pass has ended.
 func (f *failingFleet) run(duration time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := f.now.Add(duration); f.now < end; f.now = f.now.Add(step) {
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -45,8 +45,8 @@
 
 // record adds the records of a job that has changed. The summary for callers is
 // written when the job begins and when it ends. The progress is dropped only
-// once the outcome is in the store: with neither there, the next owner would
-// treat the job as a new one.
+// once the outcome is in the store: if the store had neither, the next owner
+// would treat the job as a new one.
 func (d *Dispatcher) record(b *Batch, js *jobState) error {
 	ended := js.progress.Outcome != job.Open
 	if ended && js.summary < summaryEnding || js.summary == summaryNone && js.progress.Started() {
@@ -140,8 +140,9 @@
 	}
 }
 
-// whyNoRoom is why a run doesn't start on a worker whose capacity has shrunk:
-// a worker that doesn't check its capacity would start the run beyond it.
+// whyNoRoom is the reason logged when a run isn't started because the capacity
+// of its worker has shrunk. A worker that doesn't check its capacity would
+// start the run and exceed it.
 const whyNoRoom = "its worker has less room now"
 
 // workerDraining reports whether the worker of a run, or of a member of its
--- a/core/dispatch/forgotten_test.go
+++ b/core/dispatch/forgotten_test.go
@@ -10,9 +10,9 @@
 // TestAnswerToForgotten lists a worker again that was removed while a renewal
 // to it was in flight.
 //
-// It guards against matching the answer to that renewal with the one sent
-// since. Two renewals were in flight from then on, and the result of one
-// decided about the lease that the other was to grant.
+// It guards against taking the answer to that renewal for an answer to the
+// renewal sent after the worker was listed again. From then on two renewals
+// were in flight, and the verdict on one was applied to the lease of the other.
 func TestAnswerToForgotten(t *testing.T) {
 	s := newScript(t)
 	s.run("worker w1\npass\n> renew w1 told 0\nrenew w1 unreachable\npass 11s\n> renew w1 told 0")
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -36,9 +36,10 @@
 	// that can be bad: the platform lets a seventh of the workers fail
 	// everything they start.
 	maxSuspendedShare = 1.0 / 3
-	// failurePenalty is added to the leftover of a placement for each failure
-	// in a row on its worker. It outweighs all other parts of the leftover, so
-	// that other workers are preferred.
+	// failurePenalty is added to the score of a placement (see the function
+	// leftover; the lowest score wins) for each failure in a row on its worker.
+	// It outweighs all other parts of the score, so that other workers are
+	// preferred.
 	failurePenalty = 10
 	// avoidAfterFailure is how long a task isn't placed again where it has just
 	// failed, if there are other workers. It is less than the 3 s after which a
@@ -227,8 +228,8 @@
 	}
 }
 
-// failureStreakPenalty returns what is added to the leftover of a placement on a worker
-// whose latest runs failed.
+// failureStreakPenalty returns the penalty, in addition to the leftover, for a
+// placement on a worker whose latest runs failed.
 func (w *worker) failureStreakPenalty() float64 {
 	return failurePenalty * float64(min(w.failureStreak, suspendAfterFailures))
 }
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -43,9 +43,10 @@
 func (w *worker) unreplacedNamesake(o *worker) bool { return w != o && w.name == o.name && !w.replaced }
 
 // successor returns the incarnation that answered in place of another one of
-// its name. Its own list entry may not have been read yet. If a third one has
-// already replaced it, the successor is asked once more, and then passes on the
-// runs that it inherits.
+// its name. Its own list entry may not have been read yet. If a third
+// incarnation has already replaced the successor, the successor gets another
+// renewal, and the runs that it inherits are passed on to the third one after
+// that.
 func (d *Dispatcher) successor(now unit.Instant, w *worker, successorID id.Worker) *worker {
 	next := d.worker(now, successorID)
 	if next.Address == "" {
@@ -55,11 +56,11 @@
 	return next
 }
 
-// noteUnansweredLease records that an order which grants a lease was sent at a
-// time and got no answer. It returns the time at which that lease has expired
-// for certain on the next incarnation under the worker's name; the lease starts
-// there, on its clock, when the order is carried out. It returns 0 if there
-// can't be such an incarnation.
+// noteUnansweredLease records that an order that grants a lease was sent at the
+// given time and got no answer. The next incarnation under the worker's name
+// may still carry it out; the lease then starts at that time, on the clock of
+// that incarnation. noteUnansweredLease returns when the lease has expired for
+// certain, or 0 if there can't be such an incarnation.
 func (d *Dispatcher) noteUnansweredLease(w *worker, sent unit.Instant) unit.Instant {
 	if !fleet.HasStart(w.ID) {
 		return 0
--- a/core/dispatch/lease.go
+++ b/core/dispatch/lease.go
@@ -33,8 +33,8 @@
 	d.noteWithheld(&d.leasesWithheld, !d.mayGrantLeases(now), EventLeasesWithheld, EventLeasesGranted, age(now, d.soleOwnerAt))
 }
 
-// noteWithheld logs a change of whether something is withheld, with the age of
-// the information that decides it.
+// noteWithheld logs when leases or starts begin to be withheld and when that
+// ends, with the age of the information that this depends on.
 func (d *Dispatcher) noteWithheld(was *bool, is bool, begins, ends Event, age time.Duration) {
 	if *was == is {
 		return
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -50,7 +50,8 @@
 // incarnationOn returns the worker that is the present incarnation of a
 // machine, or nil. Of the listed ones it is the one that answered last, since
 // the list may still have the entry of an earlier incarnation. One that has
-// answered but no longer does is the present one too, if it has no rival.
+// answered once but no longer does is the present one as well, if it has no
+// rival.
 func (d *Dispatcher) incarnationOn(m id.Machine) *worker {
 	var present *worker
 	for _, w := range d.workersByID {
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -22,9 +22,10 @@
 	// lowLatencyRatio is the fraction below which best-effort runs may speed up
 	// again. Between the two ratios the speed stays as it is.
 	lowLatencyRatio = 0.6
-	// speedStep is by how many percent best-effort runs are sped up at a time.
-	// They are slowed down by half of their speed, so that a violation ends in
-	// two steps and returns only after many.
+	// speedStep is the number of percentage points by which best-effort runs
+	// are sped up at a time. A step down halves their speed, so that two steps
+	// end a violation of the target latency, and it takes many steps up until
+	// the next one.
 	speedStep = 10
 	// minSpeed is the speed in percent below which best-effort runs are paused.
 	minSpeed = 10
@@ -56,9 +57,9 @@
 	return bestEffort && serving
 }
 
-// interferencePenalty is added to the leftover of a placement on a worker for
-// each run there that a task of the step would interfere with, or that would
-// interfere with it.
+// interferencePenalty returns the penalty, in addition to the leftover, for a
+// placement on a worker: interferenceWeight for each run there that a task of
+// the step would interfere with, or that would interfere with it.
 func (s *stepState) interferencePenalty(w *worker) float64 {
 	if !s.step.UsesIdleCPU && s.step.TargetLatency == 0 {
 		return 0
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -227,8 +227,8 @@
 		}
 	}
 	if d.config.MaxWaitingRenewals > 0 && d.waitingRenewals >= d.config.MaxWaitingRenewals {
-		// Renewals to other workers use all the connections that may wait for
-		// a report, so this worker is polled instead.
+		// Renewals that wait at other workers take up all the connections that
+		// they may use, so this worker is polled instead.
 		o.Wait = 0
 	}
 	if o.Wait > 0 {
@@ -265,10 +265,10 @@
 }
 
 // hasForgettableEnds reports whether this renewal or the next one must
-// acknowledge ends, which the worker may then forget. Such a renewal doesn't
-// wait at the worker: until it is answered, the worker's next incarnation may
-// receive it instead, and then gets no tasks for as long as orders may arrive
-// late.
+// acknowledge ends, so that the worker may forget them. Such a renewal must not
+// wait at the worker: while it is unanswered, the worker's next incarnation may
+// receive it instead. That incarnation would then get no tasks until
+// maxOrderDelay after the renewal was sent.
 func (w *worker) hasForgettableEnds() bool {
 	return fleet.HasStart(w.ID) && w.lastEndStored > w.lastEndAcked
 }
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -9,8 +9,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// pool holds what a pass knows of the workers of one service. It is rebuilt in
-// each pass, so that not every waiting task has to walk over all workers.
+// pool holds what a pass knows of the workers of one service. It is built once
+// per pass, so that the workers aren't searched again for each waiting task.
 type pool struct {
 	// workers are those that new tasks may be placed on, by id. labelled holds
 	// those with a label, and is filled on demand.
@@ -130,7 +130,7 @@
 	return found
 }
 
-// updateCounts makes a change after which a worker may be empty or no longer
+// updateCounts calls change, which may make the worker empty or no longer
 // empty, and updates the counts of the pass.
 func (w *worker) updateCounts(change func()) {
 	before := w.empty()
--- a/core/dispatch/preempt.go
+++ b/core/dispatch/preempt.go
@@ -23,10 +23,10 @@
 	minHorizon       = time.Second
 	maxHorizon       = 8 * time.Second
 	maxWaitingClaims = 2
-	// fewerDivisor is the divisor of the number of waiting tasks that yields how
-	// many of them are left out at a time, until there can be room for the rest.
-	// fewerInterval is the least time between two such searches, which take
-	// longer than a pass.
+	// fewerDivisor determines how the search for room for a part of the waiting
+	// tasks proceeds: while there can't be room, one task in fewerDivisor is
+	// left out, and the search is repeated for the others. fewerInterval is the
+	// least time between two such searches, which take longer than a pass.
 	fewerDivisor  = 4
 	fewerInterval = 200 * time.Millisecond
 )
@@ -69,8 +69,8 @@
 	return chosen, chosen.workers != nil && mayStopAll(chosen.victims...)
 }
 
-// chooseFewer is choosePreempted for as many of the tasks as there can be room
-// for.
+// chooseFewer is choosePreempted for a part of the waiting tasks. It leaves out
+// more and more of them until there can be room for the rest.
 func (d *Dispatcher) chooseFewer(now unit.Instant, c candidate, fits []*worker) (assignment, bool) {
 	for n := len(c.waiting); n > 1; {
 		n -= max(1, n/fewerDivisor)
@@ -83,8 +83,8 @@
 }
 
 // claimSoonestRoom reserves room for all waiting tasks of a step, such as a
-// gang, where enough of it will be free soonest, so that smaller work doesn't
-// take it bit by bit.
+// gang, where enough of it will be free soonest, so that smaller tasks don't
+// take that room one after the other.
 func (d *Dispatcher) claimSoonestRoom(now unit.Instant, c candidate, fits []*worker) {
 	if !d.policy.KeepGangRoom || d.longRunningWaits[c.step.job.spec.Service] {
 		return
--- a/core/dispatch/rack.go
+++ b/core/dispatch/rack.go
@@ -6,8 +6,8 @@
 const rackWeight = 4
 
 // emptyWorkerPenalty returns the penalty, in addition to the leftover, for
-// placing something on a worker: none if the worker is in use, and the more the
-// emptier its rack is.
+// placing something on a worker: 0 if the worker is in use, otherwise
+// proportional to the share of empty workers in its rack.
 func (d *Dispatcher) emptyWorkerPenalty(w *worker) float64 {
 	if !d.policy.UsedRacksFirst || w.rackUse == nil || !w.empty() {
 		return 0
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// reserveHorizon is how much expected urgent work is provided for, as the
-	// time in which it arrives: room for it can be freed in about half of that.
+	// reserveHorizon is the period for which urgent work is expected: the
+	// reserve has room for what arrives within it. Room for urgent work can be
+	// freed in about half of that time.
 	reserveHorizon = 3000 * time.Millisecond
 	// rateTimeConstant is the time constant of the arrival rate's exponential
 	// average.
@@ -29,7 +30,7 @@
 	at   unit.Instant
 }
 
-// add adds the accelerators of a job that has arrived.
+// add raises the rate by the accelerators that an arrived job asks for.
 func (a *arrivals) add(now unit.Instant, accelerators int) {
 	a.rate = a.rateAt(now) + float64(accelerators)/rateTimeConstant.Seconds()
 	a.at = now
@@ -83,9 +84,9 @@
 }
 
 // mustStartOne reports whether a job that is held back has to start one task
-// nevertheless: nothing of it has run for a while, although less than half of
-// the service's capacity is in use and there is room for two. The platform
-// counts a job as lost that waits 3 s then.
+// nevertheless: it has no runs and has waited for relaxWait, although less than
+// half of the service's capacity is in use and two of its tasks would fit. The
+// platform counts a job as lost if it waits 3 s under these conditions.
 func (d *Dispatcher) mustStartOne(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
 	s := c.step
 	return !s.job.hasRuns() && s.waitedFor(now, relaxWait) && p.usage < maxRelaxUsage && s.roomFor(fits, 2)
--- a/core/dispatch/room.go
+++ b/core/dispatch/room.go
@@ -100,7 +100,7 @@
 		acceleratorWeight*fraction(float64(free.Accelerators), float64(capacity.Accelerators))
 }
 
-// fraction returns amount / whole, or 0 for a resource that there is none of.
+// fraction returns amount / whole, or 0 if whole is 0.
 func fraction(amount, whole float64) float64 {
 	if whole == 0 {
 		return 0
--- a/core/dispatch/script_test.go
+++ b/core/dispatch/script_test.go
@@ -89,8 +89,8 @@
 	workers map[string]fleet.Listing
 	waves   []upkeep.Wave
 	// evacuated holds the failure domains that the operator has evacuated.
-	// informed is as of when the owner knows them; 0 if it has not been
-	// informed.
+	// informed is the time as of which the owner knows them; 0 if it doesn't
+	// know any.
 	evacuated []id.Domain
 	informed  unit.Instant
 
--- a/core/dispatch/stall.go
+++ b/core/dispatch/stall.go
@@ -23,8 +23,8 @@
 	// must be ahead. The speeds of members' workers differ by a factor of up to
 	// 1.5. In a run of 2.5 s, the lead corresponds to more than half a second.
 	minLeadPercent = 20
-	// almostDone is the progress from which a run may be waiting for the other
-	// members of its gang.
+	// almostDone is the progress, in percent, from which a run never counts as
+	// stalled: it may be waiting for the other members of its gang.
 	almostDone = 98
 	// maxEstimateFactor times the customer's estimate is how long a task may
 	// take, since estimates may be far too short. Within each hundredth of that
--- a/core/dispatch/starved_test.go
+++ b/core/dispatch/starved_test.go
@@ -8,8 +8,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// TestGangBesideUrgentStarts guards against a gang that the window of pending
-// starts never lets start.
+// TestGangBesideUrgentStarts guards against a gang that never starts because
+// the window of pending starts never has room for it.
 //
 // Answers to starts take 300 ms, so that the window falls to its minimum of 24,
 // and urgent tasks keep a few starts pending all the time. The gang of 40 is
@@ -17,8 +17,8 @@
 // pending, it never starts, because more urgent work keeps starting, and
 // neither does anything behind it.
 //
-// With the fault, none of the 40 members and of the 10 tasks behind them have
-// begun after 60 s, while 20 urgent ones a second have. With answers within
+// With the fault, neither the 40 members nor the 10 tasks behind them have
+// begun after 60 s, while 20 urgent tasks a second have. With answers within
 // 200 ms, all have ended within 20 s.
 func TestGangBesideUrgentStarts(t *testing.T) {
 	const (
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -270,8 +270,9 @@
 	// lateStarts holds the start orders of runs that are over, of which a copy
 	// recently got no answer. lateAckAt is when the last unanswered renewal was
 	// sent that let the worker forget ends; 0 for never. The next incarnation
-	// under the name may carry out either. lateLeaseExpiry is when every lease
-	// has expired there for certain that an unanswered order may grant.
+	// under the name may carry out any of these orders and that renewal.
+	// lateLeaseExpiry is when every lease that an unanswered order may grant
+	// there has expired for certain.
 	lateStarts                 []lateStart
 	lateAckAt, lateLeaseExpiry unit.Instant
 	// suspendedUntil is until when the worker gets no new tasks, suspendedAt when
--- a/core/dispatch/stop.go
+++ b/core/dispatch/stop.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// stop stops a run: at once if its start order hasn't been sent, else by a stop
-// order.
+// stop stops a run. It releases the run at once if its start order hasn't been
+// sent, and sends a stop order otherwise.
 func (d *Dispatcher) stop(now unit.Instant, r *run, why string) {
 	if r.state == runStopping || r.state == runGone {
 		return
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -18,9 +18,9 @@
 // it carried out.
 const upkeepRetry = time.Second
 
-// unansweredFor is how long an unanswered order may be the reason that its
-// machine is down: orders may be carried out 12 s late, and a machine stays
-// down for 2 s.
+// unansweredFor is the time after an unanswered order within which that order
+// may be why its machine is down: an order may be carried out up to 12 s late,
+// and the machine is then down for 2 s.
 const unansweredFor = 15 * time.Second
 
 // wave is one wave of maintenance and its state in the store.
--- a/core/dispatch/window.go
+++ b/core/dispatch/window.go
@@ -63,8 +63,9 @@
 
 // available returns how many more starts may be decided. A gang may start as a
 // whole whenever any part of the window is free. If it had to wait until all
-// its members fit into the window, or until no start was pending, it would
-// never start beside 20 urgent tasks a second, nor would anything behind it.
+// its members fit into the window, or until no start is pending, it would never
+// start while 20 urgent tasks a second arrive, and neither would the tasks
+// behind it in the order.
 func (w *window) available(tasks int, gang bool) int {
 	free := int(w.size) - w.pendingStarts
 	switch {
