--- a/core/world/check.go
+++ b/core/world/check.go
@@ -14,7 +14,7 @@
 // most informative.
 const maxViolations = 100
 
-// A task that crashes workers may be given up after minCrashes of them. After
+// A task may be given up once it has crashed minCrashes workers. After
 // maxCrashes it may be started at most startsAfterCrashes more times. The
 // platform's specification sets these numbers.
 const (
@@ -47,8 +47,8 @@
 	}
 }
 
-// Violations returns the first invariants that did not hold, with the virtual
-// time since the beginning.
+// Violations returns the first invariants that did not hold, each with the
+// virtual time since the beginning of the simulation.
 func (w *World) Violations() []string { return w.violations }
 
 // historyOf returns the history of a task.
--- a/core/world/connection.go
+++ b/core/world/connection.go
@@ -20,8 +20,8 @@
 	return c.incarnation == 0 || c.machine.up && c.machine.incarnation == c.incarnation
 }
 
-// refusal says why an order was not sent, and after which time the sender
-// learns of it.
+// refusal is the reason why an order was not sent, and the time after which the
+// sender learns of it.
 type refusal struct {
 	verdict fleet.Verdict
 	after   time.Duration
--- a/core/world/fault.go
+++ b/core/world/fault.go
@@ -41,8 +41,8 @@
 	// StaleEntry makes the list of workers show the previous incarnation of
 	// workers again, until that entry expires after Times.MemberTTL.
 	StaleEntry FaultKind = "stale-entry"
-	// ReadList makes the owner read the whole list again, in reverse order of
-	// names.
+	// ReadList makes the owner read the whole list again, in descending order
+	// of the workers' ids.
 	ReadList FaultKind = "read-list"
 	// Fail makes all runs fail that workers start.
 	Fail FaultKind = "fail"
@@ -186,25 +186,25 @@
 
 // StopWorker ends a worker's incarnation. The worker is down until StartWorker.
 // StopWorker does nothing for a worker that is down or unknown.
-func (w *World) StopWorker(name id.Worker) {
-	if m := w.machineByID(name); m != nil {
+func (w *World) StopWorker(workerID id.Worker) {
+	if m := w.machineByID(workerID); m != nil {
 		m.endIncarnation(0, newID)
 	}
 }
 
 // StartWorker starts a new incarnation of a worker. It does nothing for a worker
 // that is up or unknown.
-func (w *World) StartWorker(name id.Worker) {
-	if m := w.machineByID(name); m != nil && !m.up {
+func (w *World) StartWorker(workerID id.Worker) {
+	if m := w.machineByID(workerID); m != nil && !m.up {
 		m.startIncarnation(newID)
 		w.list(m.listing())
 	}
 }
 
 // machineByID returns a worker of the setup, or nil.
-func (w *World) machineByID(name id.Worker) *machine {
+func (w *World) machineByID(workerID id.Worker) *machine {
 	for _, m := range w.machines {
-		if m.ID == name {
+		if m.ID == workerID {
 			return m
 		}
 	}
--- a/core/world/gang.go
+++ b/core/world/gang.go
@@ -99,7 +99,7 @@
 }
 
 // breakUp ends the other members of a gang that has lost one. In a gang that
-// was not complete, they keep waiting until their time is over.
+// was not complete, they wait on until the gang timeout ends them.
 func (g *gang) breakUp() {
 	if g.broken {
 		return
--- a/core/world/host.go
+++ b/core/world/host.go
@@ -63,7 +63,8 @@
 	return election.Member{Host: h.ID, Ability: int(abilityPerCore * h.Cores)}
 }
 
-// group returns the members that the store lists.
+// group returns the members of the hosts' group as the store lists them: a host
+// that is down stays listed until listedUntil.
 func (w *World) group() []election.Member {
 	var out []election.Member
 	for _, h := range w.hosts {
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -87,9 +87,9 @@
 	fleet.End
 	job     *submittedJob
 	endedAt unit.Instant
-	// leaseLapsed is set once the worker's lease has run out after the end: the
-	// owner may have given up the run, and its acknowledgement is too late to
-	// bind it.
+	// leaseLapsed is set once the worker's lease has expired after the end. The
+	// owner may then have given up the run already, so that a later
+	// acknowledgement isn't checked.
 	leaseLapsed bool
 }
 
@@ -179,11 +179,11 @@
 
 // unlist removes an incarnation from the platform's list of workers. The owner
 // learns of it later.
-func (w *World) unlist(name id.Worker) {
-	w.listings = slices.DeleteFunc(w.listings, func(l fleet.Listing) bool { return l.ID == name })
+func (w *World) unlist(workerID id.Worker) {
+	w.listings = slices.DeleteFunc(w.listings, func(l fleet.Listing) bool { return l.ID == workerID })
 	w.Schedule(w.setup.Times.ListingDelay, func() {
 		if w.owner != nil {
-			w.owner.enqueueEvent(func(o *owner) { o.dispatcher.Unlist(w.now, name) })
+			w.owner.enqueueEvent(func(o *owner) { o.dispatcher.Unlist(w.now, workerID) })
 		}
 	})
 }
@@ -319,7 +319,8 @@
 func (m *machine) renew(o dispatch.Renew, answer func(fleet.Report)) {
 	m.extendLease(o.Until)
 	// A sequence number that this incarnation has not issued yet comes from
-	// another one and acknowledges no ends here, as on the users' workers.
+	// another one and acknowledges no ends here. Real workers behave in the
+	// same way.
 	for o.AckedEnd <= m.lastSeq && len(m.ends) > 0 && m.ends[0].Seq <= o.AckedEnd {
 		m.world.checkAcknowledged(m.ends[0])
 		m.ends = m.ends[1:]
@@ -439,7 +440,7 @@
 	})
 }
 
-// readList makes the owner read the whole list, in reverse order of names.
+// readList makes the owner read the whole list, in descending order of ids.
 func (w *World) readList() {
 	if w.owner == nil {
 		return
@@ -454,7 +455,8 @@
 }
 
 // drain announces that the worker leaves, ends its incarnation after the
-// remaining time, and brings it back after another while, or never if that is 0.
+// remaining time, and starts the next one after the duration back, or never if
+// that is 0.
 func (m *machine) drain(remaining, back time.Duration) {
 	if !m.up {
 		return
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -10,8 +10,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// owner is the host that schedules. Its processor does one work item after the
-// other.
+// owner is the host that schedules. Its processor executes one work item at a
+// time.
 type owner struct {
 	world      *World
 	host       *host
@@ -105,8 +105,8 @@
 	}
 }
 
-// runNext begins the next work item. It completes items that take no time at
-// once, one after the other.
+// runNext begins the next work item that takes time. It completes the items
+// before it, which take none, in the same call.
 func (o *owner) runNext() {
 	w := o.world
 	o.busy = true
--- a/core/world/reborn_test.go
+++ b/core/world/reborn_test.go
@@ -75,7 +75,7 @@
 }
 
 // TestLongCrashesReborn is TestLongCrashes with workers that restart under
-// their names, whatever has crashed them.
+// their names, after crashes by tasks and after injected faults.
 func TestLongCrashesReborn(t *testing.T) {
 	eachDelivery(t, simulateCrashesReborn)
 }
--- a/core/world/run.go
+++ b/core/world/run.go
@@ -104,7 +104,8 @@
 	return r.machine.world.setup.Times.RestoreTime
 }
 
-// scheduleEnd schedules the end of the run after a time, or an earlier failure.
+// scheduleEnd schedules the success of the run after a time, or a failure
+// before that.
 func (r *run) scheduleEnd(after time.Duration) {
 	w := r.machine.world
 	reason := fleet.EndDone
@@ -217,8 +218,7 @@
 	}
 }
 
-// vanish ends the run without an end that the worker reports, as when the
-// worker crashes.
+// vanish ends the run without reporting its end, as when the worker crashes.
 func (r *run) vanish() {
 	r.release(false)
 	r.machine.world.tally.Vanished++
--- a/core/world/tally.go
+++ b/core/world/tally.go
@@ -29,7 +29,7 @@
 type submittedJob struct {
 	Job
 	submittedAt, endedAt unit.Instant
-	// startedAt is when its first run began; 0 before.
+	// startedAt is when the job's first run began; 0 if none has begun.
 	startedAt unit.Instant
 	state     State
 	// doneTasks counts the tasks that have ended with success.
@@ -55,10 +55,10 @@
 	Name  id.Job
 	Kind  string
 	State State
-	// At is the time of the submission since the beginning. StartDelay is the
-	// time from the submission to the start of the first run, and
-	// CompletionTime that from the submission to the outcome; each is 0 while
-	// there is none.
+	// At is the time of the submission since the beginning of the simulation.
+	// StartDelay is the time from the submission to the start of the first run,
+	// and CompletionTime that from the submission to the outcome; each is 0
+	// while there is none.
 	At, StartDelay, CompletionTime time.Duration
 	// Chain is the work of the longest chain of dependent steps, on workers of
 	// speed 1.
@@ -184,7 +184,7 @@
 
 // Sample is a snapshot of the site.
 type Sample struct {
-	// At is the time since the beginning.
+	// At is the time since the beginning of the simulation.
 	At time.Duration
 	// Utilization is the share of the accelerators that runs hold, of those of
 	// workers that are up.
@@ -221,7 +221,7 @@
 	return s
 }
 
-// openTasks counts the tasks of open jobs that are not done.
+// openTasks counts the tasks that are not done yet, of all open jobs.
 func (w *World) openTasks() int {
 	n := 0
 	open := w.openJobs[:0]
