--- a/core/election/election.go
+++ b/core/election/election.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	// missesBeforeClaim is the number of consecutive polls that must miss the
-	// owner. A single poll may miss a live owner while the store reassigns its
-	// partitions.
+	// missesBeforeClaim is the number of consecutive polls of the group that
+	// must lack the owner. A single poll may lack a live owner while the store
+	// reassigns its partitions.
 	missesBeforeClaim = 2
 	// claimStagger is the delay between the claims of hosts with adjacent ranks.
 	// A claim plus a poll takes about 50 ms.
@@ -40,17 +40,18 @@
 	// fastPollInterval that of any host while the owner is missing.
 	pollInterval     = 500 * time.Millisecond
 	fastPollInterval = 120 * time.Millisecond
-	// slowPollInterval is the pause for hosts at position slowPollFrom or later.
-	// Such a host claims only 2 s after it first missed the owner, when all hosts
-	// before it could have claimed, so it may poll less often. With many hosts,
-	// polls are a large part of all calls to the store.
+	// slowPollInterval is the pause for hosts at position slowPollFrom or
+	// later. Such a host claims only 2 s after the first poll without the
+	// owner, when all hosts before it could have claimed, so it may poll less
+	// often. With many hosts, polls are a large part of all calls to the store.
 	slowPollInterval = 1200 * time.Millisecond
 	slowPollFrom     = 8
-	// newOwnerGrace is how long after a claim the new owner isn't suspected. The
-	// group shows a host only once it holds a partition, and while many hosts join
-	// at once the partitions are reassigned repeatedly, so that without a grace
-	// period owners would replace each other in quick succession. A failed owner
-	// stays in the group for a second anyway.
+	// newOwnerGrace is how long after a claim no host claims again, even if the
+	// group lacks the new owner. The store shows a host in the group only once
+	// it has assigned a partition to it. While many hosts join at once, it
+	// reassigns the partitions repeatedly, so that without a grace period
+	// owners would replace each other in quick succession. A failed owner stays
+	// in the group for a second anyway.
 	newOwnerGrace = time.Second
 	// handoverFactor is the minimum ratio of another host's ability to the owner's
 	// for a handover, and handoverAfter is how long that host must have been in
@@ -213,7 +214,7 @@
 	return pollInterval
 }
 
-// MissesInGroup reports whether the newest poll missed the owner.
+// MissesInGroup reports whether the newest poll of the group lacked the owner.
 func (e *Election) MissesInGroup() bool { return e.misses > 0 }
 
 // contains reports whether a host is a member.
--- a/core/election/election_test.go
+++ b/core/election/election_test.go
@@ -30,10 +30,10 @@
 //	heard TIME OWNER                     the owner has answered a probe of this host
 //	unanswered OWNER                     a probe of this host timed out
 //	gone OWNER                           the owner's address refused the connection
-//	misses TIME OWNER true|false         checks whether this host misses the owner
+//	misses TIME OWNER true|false         checks whether the owner is unresponsive to this host
 //	witness TIME OWNER true|false        checks what it answers to another watcher
-//	agreed TIME OWNER OTHERS true|false  OTHERS other watchers miss the owner; checks
-//	                                     whether the owner is now considered failed
+//	agreed TIME OWNER OTHERS true|false  the owner is unresponsive to OTHERS other watchers;
+//	                                     checks whether it is now considered failed
 //	watchers OWNER HOST...               checks which hosts probe the owner
 func TestScripts(t *testing.T) {
 	scripttest.Each(t, run)
--- a/core/election/silence.go
+++ b/core/election/silence.go
@@ -27,9 +27,9 @@
 	// owner that has only a fraction of a core and is busy for some tenths of a
 	// second loses ownership repeatedly.
 	minUnanswered = 4
-	// confirmAfter corresponds to missAfter for a watcher that is asked by another
-	// one which misses the owner. It is shorter because this watcher may have sent
-	// its probe a little later.
+	// confirmAfter takes the place of missAfter when another watcher asks this
+	// one to confirm that the owner is unresponsive. It is shorter because this
+	// watcher may have sent its probe a little later.
 	confirmAfter = 150 * time.Millisecond
 	// probesCountFrom is how long a host must have been the owner before
 	// unanswered probes count. Until then only the store decides that it is gone,
@@ -49,13 +49,15 @@
 	// refused is set if the owner's address refused the connection, or if another
 	// incarnation of the host answered there.
 	refused bool
-	// agreedAt is when a majority of the watchers first missed the owner; 0 if
-	// there is no majority.
+	// agreedAt is when a majority of the watchers first found the owner
+	// unresponsive; 0 if there is no such majority.
 	agreedAt unit.Instant
 }
 
-// misses reports whether the owner has answered no probe for the given time.
-func (p *probeResults) misses(now unit.Instant, owner id.Host, after time.Duration) bool {
+// unresponsive reports whether the owner is unresponsive to this host: its address
+// has refused a probe (see probeResults.refused), or it has answered no probe
+// for the given time.
+func (p *probeResults) unresponsive(now unit.Instant, owner id.Host, after time.Duration) bool {
 	if owner == "" || p.owner != owner {
 		return false
 	}
@@ -100,18 +102,19 @@
 // OwnerUnresponsive reports whether the owner is unresponsive to this host, in
 // which case this host should ask the other watchers.
 func (e *Election) OwnerUnresponsive(now unit.Instant, owner id.Host) bool {
-	return e.probes.misses(now, owner, missAfter)
+	return e.probes.unresponsive(now, owner, missAfter)
 }
 
 // ConfirmUnresponsive reports, in answer to another watcher, whether the owner is
 // unresponsive to this host as well.
 func (e *Election) ConfirmUnresponsive(now unit.Instant, owner id.Host) bool {
-	return e.probes.misses(now, owner, confirmAfter)
+	return e.probes.unresponsive(now, owner, confirmAfter)
 }
 
-// RecordAgreement records how many other watchers miss the owner as well. It
-// reports true when the owner is first considered failed: a majority of the
-// watchers must miss it, at least one of them besides this host.
+// RecordAgreement records how many other watchers find the owner unresponsive
+// as well. It reports true when the owner is first considered failed: it must
+// be unresponsive to a majority of the watchers, this host and at least one
+// other among them.
 func (e *Election) RecordAgreement(now unit.Instant, owner id.Host, others int) bool {
 	if others == 0 || 2*(others+1) <= len(e.Watchers(owner)) || !e.OwnerUnresponsive(now, owner) {
 		return false
@@ -126,8 +129,9 @@
 	return first
 }
 
-// claimsByProbes reports whether this host should claim because a majority of the
-// watchers miss the owner. The watchers claim one after the other.
+// claimsByProbes reports whether this host should claim because the owner is
+// unresponsive to a majority of the watchers. The watchers claim one after the
+// other.
 func (e *Election) claimsByProbes(now unit.Instant) bool {
 	if e.probes.agreedAt == 0 {
 		return false
