--- a/core/node/node.go
+++ b/core/node/node.go
@@ -64,7 +64,8 @@
 	// stopDelay is how long a draining host still accepts requests after it has
 	// reported to the load balancer that it isn't ready.
 	stopDelay = 2 * time.Second
-	// firstFrameWait is how long a new host waits at most for a peer's frame.
+	// firstFrameWait is the longest time for which a new host waits for a
+	// peer's frame before it becomes ready.
 	firstFrameWait = 2 * time.Second
 )
 
--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -110,8 +110,9 @@
 	if !mayAffectWitness {
 		return
 	}
-	// The reducer rejects every entry after which there would be no witness; this
-	// asserts it.
+	// The reducer rejects every entry after which a guarantee couldn't be
+	// reclaimed because no witness exists (see package witness). This asserts
+	// that it did.
 	if err := n.state.CheckWitness(); err != nil {
 		n.fault(fmt.Errorf("%w: %w", ErrNoWitness, err))
 	}
@@ -141,16 +142,17 @@
 	case !mine || n.halted != nil || n.election.Heartbeat().Epoch > o.Epoch:
 		n.sched = nil
 	case n.sched == nil || n.sched.Epoch() != o.Epoch:
-		// An epoch of an earlier incarnation of this host isn't owned by this one:
-		// the earlier process may be suspended and resume later. This host has to
-		// claim a new epoch, as for any other owner.
+		// This incarnation must not use an epoch that an earlier incarnation of
+		// the host has claimed: the earlier process may be suspended and resume
+		// later. It has to claim a new epoch, as after any other owner.
 		if n.ownEpoch == o.Epoch {
 			n.sched = sched.New(o.Epoch, n.state, n.policy)
 		}
 	}
 }
 
-// sendHeartbeats sends a frame to each neighbor, with the records that it lacks.
+// sendHeartbeats sends a frame with the owner's heartbeat to each host that the
+// peer table selects. Each frame has the records that its receiver lacks.
 func (n *Node) sendHeartbeats(now unit.Instant) {
 	b := n.election.Heartbeat()
 	leaving := n.hostState == Draining
