--- a/core/jobtable/jobtable.go
+++ b/core/jobtable/jobtable.go
@@ -288,9 +288,9 @@
 	return nil
 }
 
-// ClearProgress removes the progress of all jobs. It keeps the state of waves:
-// a later owner may learn only after its takeover of a wave that an earlier one
-// has started.
+// ClearProgress removes the progress of all jobs. It keeps the state of waves,
+// because an owner may learn of a wave that an earlier owner has started only
+// some time after its takeover.
 func (t *Table) ClearProgress() {
 	for _, j := range t.Jobs() {
 		t.jobs[j].Progress = job.Progress{}
--- a/core/jobtable/record.go
+++ b/core/jobtable/record.go
@@ -64,7 +64,8 @@
 	return Record{Key: cancelPrefix + string(j), Value: []byte{1}}
 }
 
-// SummaryRecord returns the record of the state that callers see of a job.
+// SummaryRecord returns the record of a job's summary, from which callers see
+// its state.
 func (t *Table) SummaryRecord(j id.Job, s Summary) (Record, error) {
 	b, err := t.summaries.Encode(s)
 	return Record{Key: summaryPrefix + string(j), Value: b}, err
