--- a/core/upkeep/upkeep.go
+++ b/core/upkeep/upkeep.go
@@ -178,9 +178,9 @@
 }
 
 // CompleteOverdue completes the maintenance of machines that have been down for
-// longer than the downtime and listingDelay. An order for a machine that had its
-// maintenance before gets the same answer as one that takes a machine down, but
-// the machine stays up, so no new incarnation appears.
+// longer than the downtime and listingDelay. Some of them may never go down: an
+// order for a machine that had its maintenance before gets the same answer, but
+// the machine stays up, so that no new incarnation appears.
 func (p *Plan) CompleteOverdue(now unit.Instant) {
 	for _, m := range p.inState(down) {
 		if now.Sub(p.machines[m].since) > p.downtime+listingDelay {
