--- a/core/evacuation/evacuation.go
+++ b/core/evacuation/evacuation.go
@@ -52,8 +52,9 @@
 
 // Replace replaces the set by the domains that the newest records of a log
 // evacuate; end is the end offset of the log when it was read. It returns the
-// changes: the reopened domains, then the evacuated ones, each sorted by domain.
-// A list with an end below an offset that was applied already changes nothing.
+// changes: the reopened domains, then the evacuated ones, each sorted by
+// domain. If a record at or after end has been applied already, the list is out
+// of date and changes nothing.
 func (s *Set) Replace(end id.Offset, domains []id.Domain) []Change {
 	if end < s.next {
 		return nil
