--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -184,15 +184,15 @@
 
 // worker returns a worker by its id, adding it if it isn't known yet. A new one
 // is assumed to hold leases that an earlier owner granted up to now.
-func (d *Dispatcher) worker(now unit.Instant, workerID id.Worker) *worker {
-	w := d.workers[workerID]
+func (d *Dispatcher) worker(now unit.Instant, name id.Worker) *worker {
+	w := d.workers[name]
 	if w != nil {
 		return w
 	}
-	w = &worker{Listing: fleet.Listing{ID: workerID}, name: fleet.NameOf(workerID), clockAt: now, knownSince: now}
+	w = &worker{Listing: fleet.Listing{ID: name}, name: fleet.NameOf(name), clockAt: now, knownSince: now}
 	w.grantedLeaseExpiry = d.maxLeaseExpiry(now)
 	d.raiseFence(w)
-	d.workers[workerID] = w
+	d.workers[name] = w
 	at, _ := slices.BinarySearchFunc(d.workersByID, w, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
 	d.workersByID = slices.Insert(d.workersByID, at, w)
 	return w
