--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -43,11 +43,11 @@
 )
 
 // crashed reports whether an incarnation of a worker, for whose end there is
-// evidence e, seems to have ended unannounced and not by an order of the
-// system. Every later answer of its successor is evidence of the same end, so a
-// worker that is already replaced doesn't count again. A worker whose leases
-// have expired but that is still listed is assumed to be cut off from the
-// network.
+// evidence e, seems to have ended without an announcement and without an order
+// to take its machine down. Every later answer of its successor is evidence of
+// the same end, so a worker that is already replaced doesn't count again. A
+// worker whose leases have expired but that is still listed is assumed to be
+// cut off from the network.
 func (w *worker) crashed(now unit.Instant, e evidence) bool {
 	announced := w.Draining && !w.endedEarly(now)
 	return !w.replaced && !announced && !w.awaitingUpkeep && (e != leaseLapsed || !w.listed)
@@ -64,7 +64,7 @@
 // mustBeUpAt reports whether a draining worker must still be up at a time. The
 // worker announces the earliest time of its end on its own clock. An upper
 // bound of that clock is the reading in its last answer plus the time since the
-// renewal was sent that it answered.
+// renewal that it answered was sent.
 func (w *worker) mustBeUpAt(at unit.Instant) bool {
 	if w.syncedAsOf == 0 || w.syncedClock == 0 {
 		return false
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -46,7 +46,8 @@
 	// numbers of usable and of empty workers of each rack.
 	pools map[id.Service]*pool
 	racks map[rackName]*rackUse
-	// incarnationEnds holds the worker crashes within the last commonCause.
+	// incarnationEnds holds the latest worker crashes, as far back as the
+	// duration commonCause.
 	incarnationEnds []*incarnationEnd
 	// window bounds the number of start orders in flight.
 	window window
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -144,8 +144,8 @@
 	ok          bool
 }
 
-// assign puts the members on workers one by one, each where it costs least. A
-// worker's extension changes only when it gets a member.
+// assign puts the members on workers one by one, each where it costs least.
+// Only the extension of the worker that got the member is computed again.
 func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, roomOf roomFunc) assignment {
 	s := c.step
 	need := s.step.Reserved()
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -112,7 +112,7 @@
 		if d.policy.SuspendAtOnce && r.failedImmediately(now) && r.step.job.blameWorker(w.ID, d.maxBlamed(w.Service)) {
 			w.failureStreak = suspendAfterFailures
 		}
-		d.suspendFailing(now, w, "a task failed at once, or tasks of several jobs in a row")
+		d.suspendFailing(now, w, "a task failed immediately, or tasks of several jobs failed in a row")
 	case fleet.EndStopped, fleet.EndLeaseExpired, fleet.EndGangBroken, fleet.EndGangTimeout:
 	}
 }
@@ -205,10 +205,10 @@
 // reports whether the worker is assumed to be at fault: if the job failed this
 // way on more than maxWorkers workers, the job is.
 func (js *jobState) blameWorker(w id.Worker, maxWorkers int) bool {
-	if !slices.Contains(js.failedAtOnceOn, w) {
-		js.failedAtOnceOn = append(js.failedAtOnceOn, w)
+	if !slices.Contains(js.failedImmediatelyOn, w) {
+		js.failedImmediatelyOn = append(js.failedImmediatelyOn, w)
 	}
-	return len(js.failedAtOnceOn) <= maxWorkers
+	return len(js.failedImmediatelyOn) <= maxWorkers
 }
 
 // onProbation reports whether a worker was suspended and has completed nothing
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -12,8 +12,9 @@
 
 // A worker may restart under its name. Its next incarnation accepts orders that
 // were meant for the previous one. Everything that ran on the previous one has
-// ended, but a run whose order may have reached the next one is looked for
-// there before its task is placed again.
+// ended, but the next one may have received the order to start a run. Such a
+// task is placed again only after the next one has reported whether it has the
+// run.
 
 // maxOrderDelay is how long after it was sent an unanswered order may still be
 // carried out by the platform.
--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -47,7 +47,7 @@
 func (d *Dispatcher) loseRuns(now unit.Instant, w *worker, e evidence) {
 	for _, r := range w.sorted() {
 		if e == leaseLapsed && now <= w.leaseExpiry() {
-			d.noteViolation(now, r, "given up under a lease that may hold")
+			d.noteViolation(now, r, "given up although its lease may not have expired")
 			continue
 		}
 		d.noteRun(EventTaskLost, r, string(e), w.silentFor(now))
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -257,8 +257,8 @@
 }
 
 // renewalWait returns how long a renewal may wait at the worker under leases of
-// this length. After an answered renewal two in a row may be lost, of which the
-// second doesn't wait, before the lease expires.
+// this length. The wait is short enough that a lease doesn't expire if the two
+// renewals after an answered one are lost, the second of which doesn't wait.
 func renewalWait(lease time.Duration) time.Duration {
 	spare := scale(lease, leaseShare) - 2*renewTimeout
 	return max(minRenewWait, min(renewWait, spare/2))
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -14,7 +14,7 @@
 	// after about 3 s.
 	urgentRelaxWait = 1200 * time.Millisecond
 	// relaxWait is the same for other work while there is ample room. The
-	// platform counts a job as lost that waits 3 s then.
+	// platform counts a job as lost if it waits 3 s in that case.
 	relaxWait = 2 * time.Second
 	// maxRelaxUsage is the fraction of a service's capacity in use below which
 	// work that isn't urgent may be placed where it is slow. The platform asks
--- a/core/dispatch/room.go
+++ b/core/dispatch/room.go
@@ -5,8 +5,8 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// acceleratorWeight makes free accelerators count more than free processors or
-// memory in leftover: they are the scarce resource.
+// acceleratorWeight is the weight of accelerators in leftover; processors and
+// memory have the weight 1. Accelerators are the scarce resource.
 const acceleratorWeight = 2
 
 // occupy makes a run take capacity of its worker. An older run of the same task
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -53,9 +53,9 @@
 	open int
 	// knownSince is when this owner learned of the job.
 	knownSince unit.Instant
-	// failedAtOnceOn holds the workers on which a run of the job failed right
-	// after its start.
-	failedAtOnceOn []id.Worker
+	// failedImmediatelyOn holds the workers on which a run of the job failed
+	// immediately after its start.
+	failedImmediatelyOn []id.Worker
 	// guaranteeAtRisk is set once a note says that the customer's guarantee
 	// can't be met for the job.
 	guaranteeAtRisk bool
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -188,7 +188,7 @@
 		x.plan.Exclude(m)
 	case fleet.Busy, fleet.Unreachable:
 		if at := x.unansweredAt[m]; at != 0 && now.Sub(at) < unansweredFor {
-			x.retryAt[m] = now.Add(upkeepRetry) // the unanswered order may have taken it down: it counts as down
+			x.retryAt[m] = now.Add(upkeepRetry) // the unanswered order may have taken it down, so it still counts as in maintenance
 			return
 		}
 		x.plan.MarkRefused(now, m)
--- a/core/dispatch/window.go
+++ b/core/dispatch/window.go
@@ -33,15 +33,15 @@
 	decreaseInterval = 100 * time.Millisecond
 )
 
-// window bounds how many starts are pending, that is decided but without a
-// verdict. Beyond the bound, tasks wait without an order, so that urgent work
-// that arrives later goes first and no order is old when it is sent. The zero
-// value is not ready for use; call newWindow.
+// window bounds how many starts are pending, which means that they are decided
+// and have no verdict yet. Beyond the bound, no order is issued for waiting
+// tasks, so that urgent work that arrives later goes first and no order is out
+// of date when it is sent. The zero value is not ready for use; call newWindow.
 type window struct {
 	// size is between minWindow and maxWindow.
 	size float64
-	// reduced is when the size was last reduced.
-	reduced unit.Instant
+	// reducedAt is when the size was last reduced.
+	reducedAt unit.Instant
 	// pendingStarts counts the starts that are pending in this pass.
 	pendingStarts int
 }
@@ -56,8 +56,8 @@
 		w.size = min(maxWindow, w.size+1)
 		return
 	}
-	if now.Sub(w.reduced) >= decreaseInterval {
-		w.reduced, w.size = now, max(minWindow, w.size*windowDecrease)
+	if now.Sub(w.reducedAt) >= decreaseInterval {
+		w.reducedAt, w.size = now, max(minWindow, w.size*windowDecrease)
 	}
 }
 
