--- a/core/world/connection.go
+++ b/core/world/connection.go
@@ -10,7 +10,7 @@
 // connection is a connection to a worker on which orders are sent.
 type connection struct {
 	machine *machine
-	// incarnation is the one that accepted the connection; 0 where an order
+	// incarnation is the one that accepted the connection; 0 if an order
 	// reaches any incarnation.
 	incarnation int
 }
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -70,8 +70,8 @@
 // interval is a period of time.
 type interval struct{ from, to unit.Instant }
 
-// stalledTime returns for how long the runs on the worker made no progress
-// within a period.
+// stalledTime returns how long, within a period, the runs on the worker made no
+// progress.
 func (m *machine) stalledTime(from, to unit.Instant) time.Duration {
 	total := time.Duration(0)
 	for _, s := range m.stalls {
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -265,8 +265,8 @@
 func (o *owner) sendOrders() {
 	orders := o.dispatcher.Take()
 	for _, x := range orders.Starts {
-		mayLeave := func() bool { return o.dispatcher.StartRules().DenialReason(o.world.now, x.Domain) == "" }
-		o.sendOrder(x.Target, mayLeave, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.ClockReading) {
+		maySend := func() bool { return o.dispatcher.StartRules().DenialReason(o.world.now, x.Domain) == "" }
+		o.sendOrder(x.Target, maySend, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.ClockReading) {
 			o.dispatcher.Started(o.world.now, dispatch.StartResult{Start: x, Verdict: v, Clock: c})
 		})
 	}
@@ -294,13 +294,13 @@
 	}})
 }
 
-// alwaysAllowed permits an order to leave at any time.
+// alwaysAllowed permits an order to be sent at any time.
 func alwaysAllowed() bool { return true }
 
-// sendOrder sends one order, unless mayLeave forbids that when its turn comes,
-// and passes the answer to the dispatcher. An order that waits past the timeout
-// is still executed, but its answer is lost.
-func (o *owner) sendOrder(t dispatch.Target, mayLeave func() bool, execute func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.ClockReading)) {
+// sendOrder sends one order once the processor and the link are free, unless
+// maySend forbids it then, and passes the answer to the dispatcher. An order
+// that waits past the timeout is still executed, but its answer is lost.
+func (o *owner) sendOrder(t dispatch.Target, maySend func() bool, execute func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.ClockReading)) {
 	w := o.world
 	decided := w.now
 	o.enqueueSend(func() {
@@ -308,7 +308,7 @@
 		answer := func(v fleet.Verdict, after time.Duration) {
 			w.Schedule(after, func() { o.enqueueEvent(func(*owner) { answered(v, m.clock()) }) })
 		}
-		if !mayLeave() {
+		if !maySend() {
 			answer(fleet.Unreachable, 0)
 			return
 		}
@@ -317,7 +317,8 @@
 	})
 }
 
-// deliver delivers on a connection an order that was decided at a given time.
+// deliver delivers an order, which was decided at a given time, on a
+// connection.
 func (o *owner) deliver(c connection, t dispatch.Target, decided unit.Instant, execute func(*machine) fleet.Verdict,
 	answer func(fleet.Verdict, time.Duration),
 ) {
