--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -29,10 +29,10 @@
 	// workers never reach these numbers.
 	minCrashes    = 5
 	minCrashShare = 1.0 / 8
-	// maxExcused is how many crashes soon after its starts a task may be
-	// excused. Together with the three that end its job, they make up the
-	// number of starts that the platform allows. Without the bound, tasks that
-	// crash their workers at once excuse each other indefinitely.
+	// maxExcused is how many crashes soon after a start are excused for one
+	// task. Together with the three that end its job, they make up the number
+	// of starts that the platform allows. Without the bound, tasks that crash
+	// their workers at once excuse each other indefinitely.
 	maxExcused = 2
 )
 
@@ -98,7 +98,7 @@
 	d.noteRun(EventCrashExcused, r, fmt.Sprintf("%d workers crashed together, which suggests a common cause", crashes), r.confirmedRuntime())
 }
 
-// noteExcused counts a crash soon after its start that a task was excused.
+// noteExcused counts an excused crash that came soon after a start of the task.
 func (s *stepState) noteExcused(index int) {
 	if s.excusedCrashes == nil {
 		s.excusedCrashes = map[int]int{}
--- a/core/dispatch/window.go
+++ b/core/dispatch/window.go
@@ -87,8 +87,8 @@
 }
 
 // pending reports whether a run counts as a pending start. If its order got no
-// answer, it counts while its worker answers others, since the order is
-// repeated.
+// answer, it counts as long as its worker answers other orders, since the order
+// is repeated.
 func (r *run) pending(now unit.Instant) bool {
 	return r.state == runOrdered || r.state == runStarting && (r.inFlight || now.Sub(r.worker.lastAnswerAt) < maxAnswerAgeForPending)
 }
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -405,8 +405,8 @@
 			answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
 			return
 		}
-		// This timeout answers if the incarnation ends while the renewal waits
-		// there, because no other answer comes then.
+		// If the incarnation ends while the renewal waits there, no other
+		// answer comes, and this timeout ends the renewal.
 		answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
 		w.Schedule(half, func() {
 			if !c.isOpen() {
