--- a/core/job/job.go
+++ b/core/job/job.go
@@ -240,12 +240,12 @@
 	Checkpoint string
 }
 
-// CrashCount counts the incarnations of workers that crashed, that is ended
-// without notice, while they ran one task or a member of one gang.
+// CrashCount counts the incarnations of workers that crashed, which means that
+// they ended without notice, while they ran one task. Each member of a gang has
+// a count of its own.
 type CrashCount struct {
 	_ struct{} `cbor:",toarray"`
-	// Task is the position of the task in Progress.Tasks, for a gang that of
-	// its first task.
+	// Task is the position of the task in Progress.Tasks.
 	Task int
 	// Run is the newest run whose crash was counted, and Worker the incarnation
 	// that crashed. They ensure that each crash is counted once, also if several
@@ -278,8 +278,8 @@
 	// Tasks are ordered by round, step and index; empty if no task was ever
 	// started or the job has ended.
 	Tasks []TaskState
-	// Crashes has an entry for each task or gang with counted crashes, usually
-	// few or none. It is empty if Tasks is.
+	// Crashes has an entry for each task with counted crashes, usually few or
+	// none. It is empty if Tasks is.
 	Crashes []CrashCount
 }
 
