--- a/core/place/place.go
+++ b/core/place/place.go
@@ -76,38 +76,41 @@
 }
 
 // Buddy places a gang at a multiple of its size, rounded up to a power of two,
-// and prefers the smallest aligned buddy block that is entirely free. It takes
-// another position only if no rack has a free one at such a multiple.
+// and of these positions prefers one for which the largest entirely free buddy
+// block around it is smallest. It takes a start that isn't such a multiple only if
+// no rack has room at one.
 func Buddy() Policy {
 	return New("buddy", func(r RackSpace, start, size int, _ []int) int {
-		unit := 1 << bits.Len(uint(size-1))
-		if start%unit != 0 {
+		blockSize := 1 << bits.Len(uint(size-1))
+		if start%blockSize != 0 {
 			return block.MaxSize * 2
 		}
-		for unit < block.MaxSize {
-			whole := block.Run(start&^(2*unit-1), 2*unit)
-			if whole&^r.Free != 0 {
+		for blockSize < block.MaxSize {
+			parent := block.Run(start&^(2*blockSize-1), 2*blockSize)
+			if parent&^r.Free != 0 {
 				break
 			}
-			unit *= 2
+			blockSize *= 2
 		}
-		return unit
+		return blockSize
 	})
 }
 
-// Weights of Packing: for each accelerator to be avoided, for each accelerator
-// of an entirely free buddy block that is broken, and for each accelerator of a
-// gang that isn't aligned. See docs/design.
+// Weights of Packing. A buddy block is a run of a power of two of accelerators
+// whose start is a multiple of its size. The weights are: for each accelerator to
+// be avoided, for each accelerator of an entirely free buddy block of which the
+// gang would take only a part, and for each accelerator of a gang whose start isn't
+// a multiple of its size, rounded up to a power of two. See docs/design.
 const (
 	costAvoid     = 12
 	costBreak     = 6
 	costUnaligned = 1
 )
 
-// Packing is the policy used in production. It charges a position for each
-// entirely free buddy block that the gang would break, for accelerators to be
-// avoided, for a start that isn't a multiple of the size rounded up to a power
-// of two and, with little weight, for the length of the run of free
+// Packing is the policy used in production. The cost of a position counts the
+// entirely free buddy blocks of which the gang would take only a part, the
+// accelerators to be avoided, a start that isn't a multiple of the size rounded up
+// to a power of two and, with little weight, the length of the run of free
 // accelerators. Small gangs are therefore placed in racks that are already
 // fragmented.
 func Packing() Policy {
@@ -117,25 +120,26 @@
 		if start%(1<<bits.Len(uint(size-1))) != 0 {
 			cost += costUnaligned * size
 		}
-		for unit := 2; unit <= block.MaxSize; unit *= 2 {
-			cost += costBreak * brokenAccelerators(r.Free, start, size, unit)
+		for blockSize := 2; blockSize <= block.MaxSize; blockSize *= 2 {
+			cost += costBreak * brokenAccelerators(r.Free, start, size, blockSize)
 		}
 		return cost + bits.OnesCount64(block.RunAt(r.Free, start))/8
 	})
 }
 
-// brokenAccelerators counts the accelerators in entirely free aligned blocks of
-// unit accelerators that a gang of the given start and size would take only in
-// part. Only the blocks at its two ends can be such blocks.
-func brokenAccelerators(free uint64, start, size, unit int) int {
+// brokenAccelerators counts the accelerators of the buddy blocks of blockSize
+// accelerators that are entirely free and that a gang of size accelerators at
+// start would take only in part. Only the blocks at the two ends of the gang can be
+// such blocks.
+func brokenAccelerators(free uint64, start, size, blockSize int) int {
 	m := block.Run(start, size)
-	first := start / unit * unit
-	last := (start + size - 1) / unit * unit
+	first := start / blockSize * blockSize
+	last := (start + size - 1) / blockSize * blockSize
 	n := 0
 	for _, at := range [2]int{first, last} {
-		b := block.Run(at, unit)
+		b := block.Run(at, blockSize)
 		if b&^free == 0 && b&^m != 0 {
-			n += unit
+			n += blockSize
 		}
 		if first == last {
 			break
@@ -144,8 +148,8 @@
 	return n
 }
 
-// Weights of Expected. Each accelerator that a size in demand can no longer use
-// weighs expectedUnit; the sum is averaged over the sizes.
+// Weights of Expected: for each accelerator that a gang size in demand can no
+// longer use, averaged over the sizes, and for each accelerator to be avoided.
 const (
 	expectedUnit  = 64
 	expectedAvoid = 8
@@ -163,9 +167,11 @@
 	return usable
 }
 
-// Expected takes the position that costs the sizes in demand the fewest
-// accelerators (after FGD, ATC 2023): for each size, it counts those that the
-// size could use before the placement but not after it.
+// Expected takes the position that leaves the most usable accelerators to the
+// gang sizes in demand (after FGD, ATC 2023). For each size, it counts the
+// accelerators that gangs of the size could use before the placement but not after
+// it; the cost is based on the average. The accelerators to be avoided and the
+// length of the run of free accelerators add to the cost.
 func Expected() Policy {
 	return New("expected", func(r RackSpace, start, size int, demand []int) int {
 		m := block.Run(start, size)
