--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -24,7 +24,7 @@
 	home  block.Block
 	block block.Block
 	// cost is the work that borrowers would lose; vacant is set if no gang holds
-	// any of the accelerators and none of them is set aside.
+	// any accelerator of block and none is set aside.
 	cost   int
 	vacant bool
 	// newCell is set if the cell is not in use yet; waste is the number of the
@@ -43,7 +43,8 @@
 }
 
 // tryGuaranteed starts the job within a guarantee of its customer. If borrowers
-// occupy the chosen block, it preempts them and sets the block aside.
+// occupy the chosen block, it preempts them and sets the block aside, which means
+// that inventory.Reserve keeps other jobs off it for the rest of the pass.
 func (s *Scheduler) tryGuaranteed(now unit.Instant, j record.Job) tryResult {
 	best, ok := s.bestOption(now, j)
 	if !ok {
@@ -71,7 +72,8 @@
 			cell := record.Cell{Guarantee: g.ID, Index: i}
 			_, used := s.inventory.Home(cell)
 			if !used && unusedFound {
-				// All unused cells are equivalent: one of them is enough.
+				// The unused cells of a guarantee give equal options, so trying one
+				// of them is enough.
 				continue
 			}
 			o, ok := s.optionIn(now, j, cell, g.Size)
@@ -137,6 +139,7 @@
 	sums := s.costSumsOf(now, r)
 	for ; starts != 0; starts &= starts - 1 {
 		at := bits.TrailingZeros64(starts)
+		// The work counts twice so that alignment decides only among equals.
 		cost := 2 * (sums[at+size] - sums[at])
 		if at%size != 0 {
 			cost++
@@ -149,13 +152,14 @@
 }
 
 // costSums has at index i the work that would be lost if the gangs on the
-// accelerators before i were stopped, in accelerator-minutes. An accelerator that
-// is held or set aside counts at least 1. Free ones, and those whose gang is
-// stopping already, count 0 unless they are set aside.
+// accelerators before i were stopped, in accelerator-minutes. An accelerator
+// that is held or set aside counts at least 1. An accelerator that is free, or
+// whose gang is stopping already, counts 0 unless it is set aside.
 type costSums [block.MaxSize + 1]int
 
-// costSumsOf returns the preemption costs of a rack. They are cached for one pass,
-// as long as r.Staying doesn't change.
+// costSumsOf returns the preemption costs of a rack. It caches them until the next
+// pass, or until r.Staying, the set of accelerators that are set aside or held by
+// gangs that aren't stopping, changes.
 func (s *Scheduler) costSumsOf(now unit.Instant, r *inventory.Rack) *costSums {
 	if p := s.preemptCosts[r.ID]; p != nil && p.staying == r.Staying() {
 		return &p.costSums
@@ -186,8 +190,8 @@
 }
 
 // tryBorrow starts the job on accelerators that no gang holds and that are not set
-// aside. It avoids the reserved block unless that is reserved for this job, or the
-// job is expected to end before the block is free.
+// aside. It leaves out the block s.reserved unless that is reserved for this job,
+// or the job is expected to end before the block is free.
 func (s *Scheduler) tryBorrow(now unit.Instant, j record.Job) bool {
 	var excluded uint64
 	if s.reserved.Size > 0 && s.reservedFor != j.ID && s.expectedRunTime(j.Customer, j.Declared) > s.reservedFreeIn {
@@ -288,8 +292,8 @@
 	return true
 }
 
-// reserve reserves a block for the job, if none is reserved yet: the block that is
-// expected to be free first.
+// reserve makes s.reserved the block for the job that is expected to be free
+// first, unless a block is reserved already.
 func (s *Scheduler) reserve(now unit.Instant, j record.Job) {
 	if s.reserved.Size > 0 {
 		return
--- a/core/sched/doc.go
+++ b/core/sched/doc.go
@@ -8,9 +8,9 @@
 // accepted its placement.
 //
 // Each step first advances the gangs. If a scheduling pass is due, it then refuses
-// jobs that can never run and tries the waiting groups of jobs. A job is first tried within
-// its customer's guarantees, where it may preempt borrowers, and then on borrowed
-// capacity, where only an urgent job may preempt. The first job that finds no
-// room gets a reservation: a block that other jobs may use only if they are
-// expected to end before it becomes free.
+// jobs that can never run and tries the waiting groups of jobs. A job is first
+// tried within its customer's guarantees, where it may preempt borrowers, and then
+// on borrowed capacity, where only an urgent job may preempt. The first job that
+// finds no room gets a reservation: a block that other jobs may use only if they
+// are expected to end before it becomes free.
 package sched
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// checkSilent marks the gangs that have a silent member.
+// checkSilent marks the gangs that have a silent member, so that the next step
+// advances them.
 func (s *Scheduler) checkSilent(now unit.Instant) {
 	for _, r := range s.gangs {
 		if r.HasSilentMember(now) {
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -42,7 +42,7 @@
 }
 
 // eligible returns the groups that the pass tries. It refuses the jobs of groups
-// that can never run.
+// that can never run under the current configuration.
 func (s *Scheduler) eligible(groups []*backlog.Group, full bool) []*backlog.Group {
 	var out []*backlog.Group
 	for _, group := range groups {
@@ -220,7 +220,7 @@
 	return m
 }
 
-// refuseGroup ends all jobs of a group that can never run.
+// refuseGroup emits an end entry with the outcome Refused for each job of a group.
 func (s *Scheduler) refuseGroup(group *backlog.Group, reason string) {
 	for _, j := range slices.Clone(group.Jobs) {
 		s.backlog.Remove(j.ID)
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -65,7 +65,8 @@
 	// reserved is the block kept for job reservedFor, the first job that found no
 	// room since the last full pass. Other jobs may use the block if they are
 	// expected to run no longer than reservedFreeIn, the time until the block is
-	// expected to be free.
+	// expected to be free. The blocks that inventory.Reserve sets aside for one
+	// pass are independent of it: no other job may use those.
 	reserved       block.Block
 	reservedFor    id.Job
 	reservedFreeIn time.Duration
--- a/core/sched/sync.go
+++ b/core/sched/sync.go
@@ -10,7 +10,7 @@
 	"curlewsill.org/curlewsill/core/worker"
 )
 
-// requestSync makes a sync to each worker of a gang due at once.
+// requestSync makes the next sync due at once for each worker of a gang.
 func (s *Scheduler) requestSync(r *run) {
 	for _, m := range r.Members {
 		if h := s.workers[m.Worker]; h != nil {
