--- a/core/gang/gang.go
+++ b/core/gang/gang.go
@@ -38,8 +38,8 @@
 	// covers the drift between two clocks over one term.
 	Margin = time.Second
 	// Takeover bounds how long an earlier owner may continue to renew leases
-	// after a new owner was accepted. It stops renewing when it has received
-	// nothing from either the log or a peer for this long.
+	// after a new owner was accepted: an owner stops renewing when it has
+	// received nothing from either the log or a peer for this long.
 	Takeover = 30 * time.Second
 )
 
@@ -117,8 +117,8 @@
 	committed bool
 }
 
-// New returns a gang in the state Asking, in which it asks its workers for
-// leases.
+// New returns a gang in the state Asking, in which each worker is asked to create
+// a gated task and so to grant a lease.
 func New(now unit.Instant, p record.Place, j record.Job, members []Member) *Gang {
 	g := &Gang{
 		Job: j, Attempt: p.Attempt, Lease: p.Lease, Block: p.Block, Cell: p.Cell, Home: p.Home,
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -4,7 +4,7 @@
 //
 // A cell is one block of a guarantee, and the home of a cell in use is the
 // block in which the gangs that use it run. Homes and the accelerators of gangs
-// that must not be repeated are firm: no other cell can have its place there.
+// that must run at most once are firm: no other cell can have its place there.
 //
 // Each rack has 64-bit masks that are kept up to date as gangs come and go, so
 // a query costs a few bit operations for each rack and never an iteration over
@@ -50,8 +50,9 @@
 	// whose gang is stopping, NonPreemptible those whose gang can't be
 	// preempted, and Urgent those whose gang is urgent.
 	Busy, Stopping, NonPreemptible, Urgent uint64
-	// Firm has the homes of the cells in use and the accelerators of gangs that
-	// must not be repeated.
+	// Firm has the accelerators at which no unused cell can have its place: the
+	// homes of the cells in use and the blocks of gangs that must run at most
+	// once.
 	Firm uint64
 	// UnusedCells has the accelerators at which the cells that are not in use
 	// have their places.
@@ -88,15 +89,18 @@
 	holdings      map[id.Job]Holding
 	homes         map[record.Cell]cellHome
 	reservedHomes map[record.Cell]block.Block
-	heldBy        map[id.Customer]int
-	unusedPlaces  witness.Witness
-	placesStale   bool
-	atRisk        bool
+	// heldBy has the number of accelerators that the gangs of each customer hold.
+	heldBy map[id.Customer]int
+	// unusedPlaces has the place of each cell that is neither in use nor
+	// reserved. placesStale is set when the places must be recomputed.
+	unusedPlaces witness.Witness
+	placesStale  bool
+	atRisk       bool
 	// freed grows whenever something was freed that a waiting job might use.
 	freed uint64
 }
 
-// New returns a map without racks.
+// New returns an inventory without racks.
 func New() *Inventory {
 	return &Inventory{
 		rackIndex: map[id.Rack]int{}, holdings: map[id.Job]Holding{}, homes: map[record.Cell]cellHome{},
@@ -226,8 +230,8 @@
 	inv.releaseHome(h)
 }
 
-// releaseHome removes one gang from the home of its cell, and the home with the
-// last one.
+// releaseHome removes one gang from the home of its cell, and also removes the
+// home if this was its last gang.
 func (inv *Inventory) releaseHome(h Holding) {
 	if h.Cell.Guarantee == "" {
 		return
@@ -243,8 +247,9 @@
 	}
 }
 
-// Reserve reserves a block until the next BeginPass for a gang that waits for
-// others to stop, and the home h of its cell if it has one.
+// Reserve reserves block b for a gang that waits until other gangs have stopped
+// there. If the gang uses a guarantee, Reserve also reserves h as the home of its
+// cell. BeginPass drops both reservations.
 func (inv *Inventory) Reserve(b block.Block, cell record.Cell, h block.Block) {
 	if r := inv.Rack(b.Rack); r != nil {
 		r.reserved |= b.Mask()
@@ -256,9 +261,8 @@
 	}
 }
 
-// BeginPass drops all reservations and updates the places of the unused cells.
-// Agreed is the state's current witness; as few of its places as possible
-// change.
+// BeginPass drops all reservations and updates the places of the unused cells as
+// Refresh does.
 func (inv *Inventory) BeginPass(c config.Config, agreed witness.Witness) {
 	if len(inv.reservedHomes) > 0 {
 		inv.placesStale = true
@@ -271,7 +275,8 @@
 }
 
 // Refresh recomputes the places of the unused cells if anything changed that
-// they depend on.
+// they depend on. It starts from agreed, the witness of the replicated state, and
+// changes as few of its places as possible.
 func (inv *Inventory) Refresh(c config.Config, agreed witness.Witness) {
 	if !inv.placesStale {
 		return
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -88,7 +88,8 @@
 	Denied TaskState = "denied"
 )
 
-// Ended reports whether a task in this state holds no accelerators any more.
+// Ended reports whether a task in this state holds no accelerators any more. It
+// is true also for the empty state, which stands for a task without a report.
 func (s TaskState) Ended() bool { return s != Gated && s != Running }
 
 // Task is the state of one task in a report.
