--- a/core/route/backend.go
+++ b/core/route/backend.go
@@ -97,8 +97,9 @@
 	return false
 }
 
-// cost returns the load of the backend server as seen by this host; a new
-// request goes where it is lower. An outdated reported load is ignored.
+// cost returns the load of the backend server as seen by this host. Of two backend
+// servers, a new request goes to the one with the lower cost. A load that was
+// reported longer ago than loadMaxAge is ignored.
 func (b *backend) cost(now unit.Instant) int {
 	if now.Sub(b.loadAt) > loadMaxAge {
 		return b.inFlight
--- a/core/route/claim.go
+++ b/core/route/claim.go
@@ -5,8 +5,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// ClaimDecided handles the log's verdict on a claim; nil means that the claim
-// was accepted.
+// ClaimDecided handles the log's verdict on the claim of a request's idempotency
+// key. A verdict of nil means that the claim was accepted.
 func (r *Router) ClaimDecided(now unit.Instant, reqID id.Request, verdict error) {
 	if c, ok := r.abandonedClaims[reqID]; ok {
 		delete(r.abandonedClaims, reqID)
@@ -29,8 +29,7 @@
 	r.enqueue(now, r.pools[req.Service], req)
 }
 
-// releaseKey gives up a request's claim of its key if nothing was sent under
-// it.
+// releaseKey releases a request's key if no attempt of the request can have run.
 func (r *Router) releaseKey(req *request) {
 	if req.Key == "" || !req.Once || req.mayHaveRun || req.attemptInFlight != 0 {
 		return
--- a/core/route/message.go
+++ b/core/route/message.go
@@ -104,13 +104,14 @@
 	RetryAfter time.Duration
 }
 
-// Claim asks the log to record the claim of a request's key.
+// Claim asks the log to record that a request claims its idempotency key, so that
+// no other request with the key is sent.
 type Claim struct {
 	Request  id.Request
 	Customer id.Customer
 	Key      string
-	// Release is set to give the key up again, because nothing was sent under
-	// it.
+	// Release is set to release the key again, because no attempt of the request
+	// can have run.
 	Release bool
 }
 
--- a/core/route/pool.go
+++ b/core/route/pool.go
@@ -45,8 +45,8 @@
 	waiting       *fair.Queue[id.Customer, *request]
 	budget        retry.Budget
 	// limit is how many requests this host keeps in flight, from 1 to the
-	// number of all slots. It shrinks when a backend server refuses for lack of
-	// slots, and grows with answers while requests wait.
+	// number of all slots. It shrinks when a backend server refuses a request for
+	// lack of slots, and grows when an answer arrives while requests wait.
 	limit        float64
 	lastDecrease unit.Instant
 	inFlight     int
--- a/core/route/resolve.go
+++ b/core/route/resolve.go
@@ -75,8 +75,8 @@
 		requeue = !req.mayHaveRun
 	}
 	if requeue && p.waiting.Push(req.Customer, req.weight, req) == nil {
-		// Nothing ran, so the request may wait for a slot and any backend
-		// server may get it.
+		// The attempt didn't run, so the request may wait for a slot, and any
+		// backend server may get it, also those tried before.
 		req.tried = nil
 		return
 	}
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -99,8 +99,8 @@
 }
 
 // Backends applies the list of backend servers of a service; the value is false
-// for one that is leaving. The list lags, so first-hand evidence that a backend
-// server leaves takes precedence for a while.
+// for one that is leaving. The list may be out of date, so first-hand evidence that
+// a backend server leaves takes precedence for leavingMaxAge.
 func (r *Router) Backends(now unit.Instant, service id.Service, list map[id.Backend]bool) {
 	p := r.pools[service]
 	if p == nil {
@@ -166,8 +166,8 @@
 	r.out.Claims = append(r.out.Claims, Claim{Request: q.ID, Customer: q.Customer, Key: q.Key})
 }
 
-// enqueue lets a request wait for a slot, unless it couldn't be answered in
-// time.
+// enqueue adds a request to the queue for a slot. It refuses the request if the
+// estimated wait is too long for its deadline or if the queue is full.
 func (r *Router) enqueue(now unit.Instant, p *pool, req *request) {
 	if p == nil {
 		r.refuse(req, CodeNoService, 0)
