--- a/core/proof/long_test.go
+++ b/core/proof/long_test.go
@@ -59,6 +59,8 @@
 	actionCounts map[string]int
 }
 
+// newChaos starts the hosts and the site of a long run. Some messages between
+// hosts and workers are lost, duplicated or late from the beginning.
 func newChaos(seed uint64) *chaos {
 	s := &script{world: newWorld(seed), plans: map[string]plan.Plan{}}
 	if err := cmdHosts(s, parseWords([]string{fmt.Sprint(chaosHosts)})); err != nil {
--- a/core/proof/script_test.go
+++ b/core/proof/script_test.go
@@ -38,14 +38,15 @@
 	})
 }
 
-// script is a world and the plans that a script has made, by name.
+// script is the state of one running script: its world, and the plans that its
+// commands have made, by name.
 type script struct {
 	*world
 	plans map[string]plan.Plan
 }
 
-// commands maps each script command to its function. Arguments are plain words or
-// key=value pairs.
+// commands maps each script command to its function. The arguments of a command
+// are plain words or key=value pairs.
 var commands = map[string]func(*script, words) error{
 	"hosts":   cmdHosts,
 	"site":    cmdSite,
@@ -88,7 +89,8 @@
 	return out
 }
 
-// words are the arguments of a command.
+// words has the arguments of a command: the plain words in their order, and the
+// values of the key=value pairs by key.
 type words struct {
 	plain []string
 	named map[string]string
@@ -243,6 +245,7 @@
 	if err != nil {
 		return err
 	}
+	// Only the guarantees remain, without the two customers and the service.
 	changes = changes[3:]
 	if c := w.named["customer"]; c != "" {
 		changes = append(changes, config.Change{SetCustomer: &config.Customer{
@@ -389,7 +392,8 @@
 	return nil
 }
 
-// cmdBackend sets the mode of backend servers: backend B|all MODE.
+// cmdBackend sets the mode of backend servers: backend B|all MODE. The modes are
+// those of backend.mode.
 func cmdBackend(s *script, w words) error {
 	for _, n := range config.SortedKeys(s.backends) {
 		if w.at(0) == "all" || string(n) == w.at(0) {
@@ -419,8 +423,8 @@
 	return nil
 }
 
-// cmdNetwork sets the share of lost and of duplicated messages between hosts and
-// workers, and the lag of the host list: network loss=PERCENT dup=PERCENT lag=D.
+// cmdNetwork sets the failures of the network: network loss=PERCENT dup=PERCENT
+// lag=D. See world.netLoss, world.netDup and world.listLag.
 func cmdNetwork(s *script, w words) error {
 	s.netLoss = float64(w.number("loss", 0)) / 100
 	s.netDup = float64(w.number("dup", 0)) / 100
@@ -459,7 +463,8 @@
 
 // cmdAnswer checks the answers to the requests NAME, NAME-1, ...: answer NAME
 // whole|CODE|pending [ran=no|yes|unknown] [count=N]. With count, exactly N
-// requests have this answer; without it, all have.
+// requests have this answer; without it, all of them do. Whole means that the
+// complete answer of a backend server was relayed.
 func cmdAnswer(s *script, w words) error {
 	got := map[string]int{}
 	for _, c := range s.calls {
--- a/core/proof/world_test.go
+++ b/core/proof/world_test.go
@@ -108,7 +108,8 @@
 	now    unit.Instant
 	rng    *rand.Rand
 	timers timers
-	// seq is the number of timers created so far, and events the number called.
+	// seq is the number of timers created so far, and events the number of
+	// timers called so far.
 	seq    uint64
 	events int
 
@@ -125,9 +126,9 @@
 	// listLag is how long the host list still shows a backend server as staying
 	// after it began to leave.
 	listLag time.Duration
-	// netLoss is the share of messages between hosts and workers that are lost,
-	// and netDup the share of syncs that are sent twice, and the share that
-	// arrive late.
+	// netLoss is the share of messages between hosts and workers that are lost.
+	// netDup is the share of syncs that are sent twice, and also the share of
+	// syncs that arrive up to 15 s late.
 	netLoss, netDup float64
 
 	calls map[callID]*call
@@ -178,11 +179,11 @@
 	//   - cut: runs requests, but the connection breaks before the answer is complete;
 	//   - hang: runs requests and answers neither them nor probes.
 	mode string
-	// leavingSince is when it began to refuse requests because it is leaving; 0
-	// if it doesn't.
+	// leavingSince is when the backend server began to leave; 0 if it isn't
+	// leaving.
 	leavingSince unit.Instant
-	// serviceTime is how long it runs a request, and busy the number that it
-	// runs.
+	// serviceTime is how long a request runs, and busy the number of requests
+	// that are running.
 	serviceTime time.Duration
 	busy        int
 }
@@ -244,7 +245,7 @@
 	running map[id.Worker]bool
 	exited  int
 	// partialSince is when the gang began to run on only some of its workers; 0
-	// if it doesn't.
+	// if it runs on all or none of them.
 	partialSince unit.Instant
 }
 
@@ -318,8 +319,8 @@
 	w.schedule(time.Duration(w.rng.Int64N(int64(d))), again)
 }
 
-// step delivers an event to a host and performs the actions that result. A
-// paused host gets the event when it is resumed.
+// step delivers an event to a host and performs the actions that result. If the
+// host is paused, it gets the event when it is resumed.
 func (w *world) step(m *machine, ev node.Event) {
 	if !m.up {
 		return
