--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -12,7 +12,8 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// Version numbers configurations; a later one has a higher version.
+// Version is the version number of a configuration; a later configuration has a
+// higher one.
 type Version int64
 
 // Queue accepts jobs of one kind.
@@ -31,7 +32,8 @@
 	DeadlineExtra  time.Duration
 	// Anonymous is set if jobs need no key.
 	Anonymous bool
-	// Advice tells whether placements need a permit of the advice service.
+	// Advice says whether the platform's advice service must approve the
+	// placements of the queue's jobs, and how long it takes to answer.
 	Advice job.Advice
 }
 
@@ -72,7 +74,8 @@
 	keys map[string]id.Customer
 }
 
-// New returns a copy of the given configuration that can look up keys.
+// New returns a copy of c with an index of all customers' keys, which
+// CustomerByKey needs.
 func New(c Catalog) *Catalog {
 	c.keys = map[string]id.Customer{}
 	for _, customer := range c.Customers {
--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -41,7 +41,7 @@
 
 // Transition is one line of a chart file.
 type Transition[S, E ~string] struct {
-	// From and To are states of the chart; Event leads from one to the other.
+	// From and To are states of the chart; Event leads from From to To.
 	From  S
 	Event E
 	To    S
--- a/core/charts/charts_test.go
+++ b/core/charts/charts_test.go
@@ -9,9 +9,9 @@
 	"curlewsill.org/curlewsill/core/charts"
 )
 
-// TestWalk parses every chart and checks that it makes each of its transitions
-// and that each of its states with an outgoing transition is reachable from the
-// start.
+// TestWalk parses every chart and checks that Next returns the target state of
+// each transition, and that each state with an outgoing transition is reachable
+// from the start.
 func TestWalk(t *testing.T) {
 	names, err := fs.Glob(charts.Files, "*.chart")
 	if err != nil || len(names) != 8 {
--- a/core/fair/fair.go
+++ b/core/fair/fair.go
@@ -14,8 +14,9 @@
 // ErrFull reports that the queue holds the maximum number of elements.
 var ErrFull = errors.New("fair: queue is full")
 
-// Queue is a bounded queue of elements of type T that is shared by flows, which
-// have keys of type K. It is not safe for concurrent use.
+// Queue is a bounded queue of elements of type T that is shared by flows. A flow
+// has the elements of one key of type K, such as those of one customer. Queue is
+// not safe for concurrent use.
 type Queue[K comparable, T any] struct {
 	items       itemHeap[K, T]
 	limit       int
@@ -40,7 +41,8 @@
 // Len returns the number of elements.
 func (q *Queue[K, T]) Len() int { return len(q.items) }
 
-// Push adds an element to the flow k. A weight below 1 counts as 1.
+// Push adds an element to the flow k, or returns ErrFull. A weight below 1
+// counts as 1.
 func (q *Queue[K, T]) Push(k K, weight int, v T) error {
 	if len(q.items) >= q.limit {
 		return ErrFull
@@ -62,7 +64,8 @@
 	it := heap.Pop(&q.items).(item[K, T])
 	q.virtualTime = max(q.virtualTime, it.start)
 	if len(q.items) == 0 {
-		// The queue is empty, so the earlier elements no longer matter.
+		// With an empty queue, all flows are equal again, so the virtual times
+		// start anew.
 		clear(q.lastFinish)
 		q.virtualTime = 0
 	}
--- a/core/owner/owner.go
+++ b/core/owner/owner.go
@@ -36,12 +36,12 @@
 	Leaving bool `cbor:"3,keyasint,omitempty" json:"leaving,omitempty"`
 }
 
-// after reports whether b is later than o.
-func (b Heartbeat) after(o Heartbeat) bool {
-	if b.Epoch != o.Epoch {
-		return b.Epoch > o.Epoch
+// after reports whether h is later than o.
+func (h Heartbeat) after(o Heartbeat) bool {
+	if h.Epoch != o.Epoch {
+		return h.Epoch > o.Epoch
 	}
-	return b.Count > o.Count || b.Count == o.Count && b.Leaving && !o.Leaving
+	return h.Count > o.Count || h.Count == o.Count && h.Leaving && !o.Leaving
 }
 
 // Election is one host's view of the ownership.
@@ -61,9 +61,9 @@
 }
 
 // ReceiveHeartbeat records a heartbeat received from any peer.
-func (e *Election) ReceiveHeartbeat(now unit.Instant, b Heartbeat) {
-	if b.after(e.last) {
-		e.last, e.lastAt = b, now
+func (e *Election) ReceiveHeartbeat(now unit.Instant, h Heartbeat) {
+	if h.after(e.last) {
+		e.last, e.lastAt = h, now
 	}
 }
 
@@ -71,7 +71,8 @@
 // Advance instead.
 func (e *Election) Heartbeat() Heartbeat { return e.last }
 
-// Advance increments the owner's own heartbeat and returns it.
+// Advance returns the owner's next heartbeat, which it also records. Only the
+// owner calls it.
 func (e *Election) Advance(now unit.Instant, epoch id.Epoch, leaving bool) Heartbeat {
 	e.ReceiveHeartbeat(now, Heartbeat{Epoch: epoch, Count: e.last.Count + 1, Leaving: leaving})
 	return e.last
@@ -82,8 +83,8 @@
 	e.ReceiveHeartbeat(now, Heartbeat{Epoch: epoch})
 }
 
-// ShouldClaim reports whether the host should claim now. The epoch in force is
-// current; live lists the live hosts, including this one, in any order.
+// ShouldClaim reports whether the host should claim the ownership now. Current is
+// the epoch in force; live lists the live hosts, including this one, in any order.
 func (e *Election) ShouldClaim(now unit.Instant, current id.Epoch, live []id.Host) bool {
 	if e.last.Epoch > current {
 		// A peer knows of a newer owner, whose claim this host has yet to read from
--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -33,7 +33,7 @@
 	// forgetAfter is how long after its last frame an unlisted host is removed
 	// from the table.
 	forgetAfter = 10 * time.Minute
-	// nearTimeout is the age of a host's last frame from which Near omits the host.
+	// nearTimeout is how long after its last frame Near still returns a host.
 	nearTimeout = 1500 * time.Millisecond
 )
 
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -25,8 +25,8 @@
 	return n
 }
 
-// Compare orders two hosts for a key like Of: it returns a negative number if a
-// comes first.
+// Compare compares two hosts by their positions for a key, as Of defines them. It
+// returns a negative number if a comes first; equal scores are ordered by ID.
 func Compare(a, b id.Host, key string) int {
 	return cmp.Or(cmp.Compare(score(b, key), score(a, key)), cmp.Compare(a, b))
 }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -19,7 +19,7 @@
 	return Budget{tokens: burst, burst: burst, share: share}
 }
 
-// Earn records a first attempt.
+// Earn adds the share of one first attempt to the budget.
 func (b *Budget) Earn() { b.tokens = min(b.burst, b.tokens+b.share) }
 
 // Spend takes one retry from the budget and reports whether the budget had one.
--- a/core/state/check.go
+++ b/core/state/check.go
@@ -11,9 +11,9 @@
 )
 
 // CheckPlace returns the witness after placement p, or the reason why p can't be
-// accepted with regard to accelerators and guarantees: its block must exist, be
-// neither drained nor in use, its home must not overlap what non-preemptible jobs
-// outside its cell hold, and every other guaranteed block must have a place.
+// accepted with regard to accelerators and guarantees. Its block must exist and be
+// neither drained nor in use; its home must not overlap what non-preemptible jobs
+// outside its cell hold; and every other guaranteed block must have a place.
 func (s *State) CheckPlace(p record.Place) (witness.Witness, error) {
 	j, ok := s.Jobs[p.Job]
 	if !ok {
@@ -119,10 +119,13 @@
 	return witness.Update(rackSpaces(c, held), s.Witness, needs(c, bound))
 }
 
-// heldAccelerators returns the accelerators of each rack that non-preemptible
-// jobs hold, and the cells of c that are bound to their home: they need no place
-// in the witness because their home serves as one as soon as it is free again.
-// If added isn't nil, the placement added counts like a non-preemptible job.
+// heldAccelerators returns the accelerators of each rack that are not available
+// to unused cells, and the cells of c that are bound to their home. The former are
+// the homes of the cells in use and the blocks of the other non-preemptible jobs. A
+// cell in use is bound if its home still has the size of the guarantee and is
+// usable. It needs no place in the witness, because its home becomes its place as
+// soon as no job uses the cell any more. If added isn't nil, the placement added
+// counts like a non-preemptible job.
 func (s *State) heldAccelerators(c config.Config, added *record.Place) (map[id.Rack]uint64, map[record.Cell]bool) {
 	held, bound := map[id.Rack]uint64{}, map[record.Cell]bool{}
 	hold := func(cell record.Cell, home, own block.Block) {
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -88,8 +88,8 @@
 	Incarnation id.Incarnation `cbor:"2,keyasint"`
 }
 
-// Key identifies a request that must not be repeated, by the idempotency key of its
-// customer.
+// Key identifies a request that must run at most once, by its customer and the
+// idempotency key that the caller gave.
 type Key struct {
 	Customer id.Customer `cbor:"1,keyasint"`
 	Key      string      `cbor:"2,keyasint"`
@@ -180,8 +180,8 @@
 	for _, k := range config.SortedKeys(s.Jobs) {
 		im.Jobs = append(im.Jobs, s.Jobs[k])
 	}
-	for _, l := range s.sortedWriters() {
-		im.Writers = append(im.Writers, writerImage{l, s.Writers[l]})
+	for _, w := range s.sortedWriters() {
+		im.Writers = append(im.Writers, writerImage{w, s.Writers[w]})
 	}
 	for _, k := range s.keyOrder {
 		im.Keys = append(im.Keys, keyImage{k, s.Keys[k]})
--- a/core/witness/witness.go
+++ b/core/witness/witness.go
@@ -30,8 +30,10 @@
 // RackSpace describes what one rack offers to the cells that are not in use.
 type RackSpace struct {
 	Rack id.Rack
-	// Free has a bit for each accelerator that is neither part of a home, nor
-	// held by a task that can't be preempted, nor on a lost worker.
+	// Free has a bit for each accelerator that an unused cell may have in its
+	// place: it is neither part of a home nor held by a task that can't be
+	// preempted, and its worker is one that the caller counts on. A caller may
+	// leave out lost workers.
 	Free uint64
 }
 
