--- a/core/route/router.go
+++ b/core/route/router.go
@@ -13,10 +13,12 @@
 // Errors that report a violated invariant of the router. Take returns them.
 var (
 	// ErrSentTwice reports that a request which must not be repeated would have
-	// been sent a second time. The second attempt is suppressed.
+	// been sent again although an earlier attempt may have run. The new attempt is
+	// suppressed.
 	ErrSentTwice = errors.New("route: a request that must not be repeated would have been sent again")
-	// ErrRefusedAfterSend reports that a request which was sent would have been
-	// refused as not run. The answer says that it is unknown whether it ran.
+	// ErrRefusedAfterSend reports that a request which may have run would have
+	// been refused as not run. The answer says instead that it is unknown whether
+	// the request ran.
 	ErrRefusedAfterSend = errors.New("route: a request that may have run would have been refused as not run")
 )
 
