--- a/core/fake/worker/worker.go
+++ b/core/fake/worker/worker.go
@@ -78,8 +78,8 @@
 	tasks       map[taskKey]*task
 	clock       time.Duration
 	faulty      bool
-	// base is the number of the last sync with a whole list that was applied, and
-	// reported holds the task states in the answer to it.
+	// base is the sequence number of the last sync with a complete list that was
+	// applied, and reported has the task states in the report on that sync.
 	base     id.Seq
 	reported map[taskKey]worker.TaskState
 }
@@ -163,8 +163,8 @@
 	}
 }
 
-// unchanged reports whether every task is still in the state that was reported in
-// the answer to the sync base.
+// unchanged reports whether every task is still in the state of the report on the
+// sync with the sequence number w.base.
 func (w *Worker) unchanged() bool {
 	for n, t := range w.tasks {
 		if w.reported[n] != t.state {
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -5,7 +5,7 @@
 
 import "slices"
 
-// Policy tells which mechanisms are on. Unless a field's comment says
+// Policy says which mechanisms are on. Unless a field's comment says
 // otherwise, they are independent of each other. The zero value has all of them
 // off; New returns a policy with all of them on.
 type Policy struct {
@@ -24,8 +24,8 @@
 	// no effect without KeepEmpty.
 	HoldBack bool
 	// ByDeadline: of equally urgent steps, the one with the earlier deadline
-	// starts first; steps that can no longer earn anything start last. If off,
-	// the step that became due first starts first.
+	// starts first; steps so late that completing them earns nothing any more
+	// start last. If off, the step that became due first starts first.
 	ByDeadline bool
 	// UsedRacksFirst: workers and racks that are already in use are filled
 	// before tasks are placed on empty ones.
--- a/core/record/entry.go
+++ b/core/record/entry.go
@@ -129,9 +129,9 @@
 }
 
 // KeyClaim claims the idempotency key of a request that must not be repeated. The
-// first accepted claim holds the key; only its writer may send the request, and
-// only once. In Entry.ReleaseKey it releases the claim, which the writer does
-// only if it hasn't sent the request.
+// first accepted claim holds the key: only its writer may send the request, which
+// runs at most once. In Entry.ReleaseKey it releases the claim, which the writer
+// does only if no attempt of the request can have run.
 type KeyClaim struct {
 	Customer id.Customer `cbor:"1,keyasint"`
 	Key      string      `cbor:"2,keyasint"`
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -117,9 +117,10 @@
 	// Tasks lists every task in the sync and every other task that the worker
 	// still holds.
 	Tasks []Task `json:"tasks,omitempty"`
-	// Base repeats the Base of the sync if the worker knows that earlier sync and
-	// no task has changed since the worker's report on it; Tasks is empty then. A
-	// worker that doesn't know the Base ignores the sync and answers with the
-	// complete list.
+	// Base repeats the Base of the sync if the worker has the list of that earlier
+	// sync and no task has changed since its report on it; Tasks is empty then. If a
+	// task has changed, the worker answers with the complete list of its tasks. A
+	// worker that doesn't have the list of that sync answers so too, and ignores
+	// this sync.
 	Base id.Seq `json:"base,omitempty"`
 }
