--- a/core/dispatch/commands_test.go
+++ b/core/dispatch/commands_test.go
@@ -158,7 +158,7 @@
 	for _, n := range names {
 		s.evacuated = append(s.evacuated, id.Domain(n))
 	}
-	s.d.Evacuate(s.evacuated)
+	s.d.SetEvacuated(s.evacuated)
 }
 
 // addJob writes a job to the store and adds it to the dispatcher.
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -122,22 +122,22 @@
 // is known.
 func (d *Dispatcher) PlacedRuns() int { return d.placedRuns }
 
-// Take returns the orders that may be sent at once.
-func (d *Dispatcher) Take() Orders {
+// TakeOrders returns the orders that may be sent at once.
+func (d *Dispatcher) TakeOrders() Orders {
 	o := d.orders
 	d.orders = Orders{}
 	return o
 }
 
-// Notes returns the decisions made since the last call.
-func (d *Dispatcher) Notes() []Note {
+// TakeNotes returns the decisions made since the last call.
+func (d *Dispatcher) TakeNotes() []Note {
 	n := d.notes
 	d.notes = nil
 	return n
 }
 
-// Guarantee sets the number of accelerators guaranteed to a customer.
-func (d *Dispatcher) Guarantee(c id.Customer, accelerators int) { d.guaranteed[c] = accelerators }
+// SetGuarantee sets the number of accelerators guaranteed to a customer.
+func (d *Dispatcher) SetGuarantee(c id.Customer, accelerators int) { d.guaranteed[c] = accelerators }
 
 // List adds or updates a worker from its entry in the platform's list.
 func (d *Dispatcher) List(now unit.Instant, l fleet.Listing) {
--- a/core/dispatch/doc.go
+++ b/core/dispatch/doc.go
@@ -2,7 +2,7 @@
 //
 // The Dispatcher is a state machine without I/O. Events report jobs, workers
 // and answers to it. Flush returns records for the store together with orders
-// that may be sent only once the records are there; Take returns orders that
+// that may be sent only once the records are there; TakeOrders returns orders that
 // need no record. The rules:
 //
 //   - A placement is in the store before its start order is sent, so that the
--- a/core/dispatch/evacuation.go
+++ b/core/dispatch/evacuation.go
@@ -85,8 +85,8 @@
 	d.noteWithheld(&d.startsWithheld, !d.knowsEvacuations(now), EventStartsWithheld, EventStartsResumed, age(now, d.evacuationsKnownAt))
 }
 
-// Evacuate sets the evacuated failure domains; all others are open.
-func (d *Dispatcher) Evacuate(domains []id.Domain) {
+// SetEvacuated sets the evacuated failure domains; all others are open.
+func (d *Dispatcher) SetEvacuated(domains []id.Domain) {
 	before := d.evacuated
 	d.evacuated = slices.Clone(domains)
 	for _, w := range d.workersByID {
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -74,8 +74,8 @@
 		if ok {
 			f.d.Committed(f.now, b)
 		}
-		f.answer(f.d.Take())
-		f.d.Notes()
+		f.answer(f.d.TakeOrders())
+		f.d.TakeNotes()
 	}
 }
 
--- a/core/dispatch/lives_internal_test.go
+++ b/core/dispatch/lives_internal_test.go
@@ -35,7 +35,7 @@
 			})
 		}
 		d.Pass(now, now)
-		for _, o := range d.Take().Renews {
+		for _, o := range d.TakeOrders().Renews {
 			v := fleet.Unreachable // earlier incarnations don't answer
 			if strings.HasSuffix(string(o.Worker), fmt.Sprintf("-%d", incarnation)) {
 				v = fleet.CarriedOut
@@ -44,7 +44,7 @@
 		}
 		now = now.Add(2 * c.MaxLease)
 		d.Pass(now, now)
-		d.Take()
+		d.TakeOrders()
 	}
 	if got := len(d.workersByID); got > 2*workers {
 		t.Errorf("%d workers are known after %d incarnations of %d, of which %d are listed", got, incarnations, workers, workers)
--- a/core/dispatch/orders_test.go
+++ b/core/dispatch/orders_test.go
@@ -4,7 +4,7 @@
 
 // collect formats the orders as lines.
 func (s *script) collect() {
-	o := s.d.Take()
+	o := s.d.TakeOrders()
 	for _, x := range o.Starts {
 		s.starts[x.Task.String()] = x
 		line := fmt.Sprintf("start %s run %d on %s", x.Task, x.Run, x.Worker)
--- a/core/dispatch/script_test.go
+++ b/core/dispatch/script_test.go
@@ -153,7 +153,7 @@
 	for _, name := range sorted(s.workers) {
 		s.d.List(s.now, s.workers[name])
 	}
-	s.d.Evacuate(s.evacuated)
+	s.d.SetEvacuated(s.evacuated)
 	s.d.ConfirmEvacuations(s.informed)
 	for _, w := range s.waves {
 		s.d.SetWave(s.now, s.now.Add(s.ahead), w)
--- a/core/dispatch/unheeded_test.go
+++ b/core/dispatch/unheeded_test.go
@@ -23,7 +23,7 @@
 		s.now = s.now.Add(100 * time.Millisecond)
 		s.d.Pass(s.now, s.now)
 		s.write()
-		o := s.d.Take()
+		o := s.d.TakeOrders()
 		for _, x := range o.Starts {
 			if x.Worker == "w2" {
 				return
--- a/core/election/election.go
+++ b/core/election/election.go
@@ -206,7 +206,7 @@
 // PollInterval returns the pause until the next poll of the group.
 func (e *Election) PollInterval() time.Duration {
 	switch {
-	case e.MissesInGroup():
+	case e.OwnerMissing():
 		return fastPollInterval
 	case len(e.members) > 0 && e.position() >= slowPollFrom:
 		return slowPollInterval
@@ -214,8 +214,8 @@
 	return pollInterval
 }
 
-// MissesInGroup reports whether the newest poll of the group lacked the owner.
-func (e *Election) MissesInGroup() bool { return e.misses > 0 }
+// OwnerMissing reports whether the newest poll of the group lacked the owner.
+func (e *Election) OwnerMissing() bool { return e.misses > 0 }
 
 // contains reports whether a host is a member.
 func contains(members []Member, host id.Host) bool {
--- a/core/world/evacuation.go
+++ b/core/world/evacuation.go
@@ -74,7 +74,7 @@
 			return
 		}
 		o.enqueueEvent(func(o *owner) {
-			o.dispatcher.Evacuate(domains)
+			o.dispatcher.SetEvacuated(domains)
 			o.dispatcher.ConfirmEvacuations(readAt)
 		})
 	})
--- a/core/world/host.go
+++ b/core/world/host.go
@@ -110,7 +110,7 @@
 		return
 	}
 	if !h.claimDue() {
-		if h.election.MissesInGroup() {
+		if h.election.OwnerMissing() {
 			w.Schedule(handoverDelay, func() { h.claimIfDue(incarnation) })
 		}
 		return
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -52,7 +52,7 @@
 	w.owner = o
 	h.election.BecomeOwner(w.now)
 	for _, g := range w.setup.Guarantees {
-		o.dispatcher.Guarantee(g.Customer, g.Accelerators)
+		o.dispatcher.SetGuarantee(g.Customer, g.Accelerators)
 	}
 	for _, s := range w.submissions {
 		o.loadJob(s.Name)
@@ -194,7 +194,7 @@
 // violations among them. An owner that a worker has fenced ends.
 func (o *owner) countNotes() {
 	w := o.world
-	for _, n := range o.dispatcher.Notes() {
+	for _, n := range o.dispatcher.TakeNotes() {
 		w.events[n.Event]++
 		if n.Event == dispatch.EventViolated {
 			w.recordViolation("the dispatcher reported a violation: " + n.Why)
@@ -263,7 +263,7 @@
 
 // sendOrders sends the orders that the dispatcher has released.
 func (o *owner) sendOrders() {
-	orders := o.dispatcher.Take()
+	orders := o.dispatcher.TakeOrders()
 	for _, x := range orders.Starts {
 		maySend := func() bool { return o.dispatcher.StartRules().DenialReason(o.world.now, x.Domain) == "" }
 		o.sendOrder(x.Target, maySend, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.ClockReading) {
--- a/internal/entry/dropped_internal_test.go
+++ b/internal/entry/dropped_internal_test.go
@@ -35,7 +35,7 @@
 		decided := 0
 		for range 10 {
 			o.core.Pass(o.host.now(), o.host.now())
-			orders := o.core.Take()
+			orders := o.core.TakeOrders()
 			decided += len(orders.Renews)
 			o.enqueueOrders(t.Context(), orders)
 			time.Sleep(passInterval)
--- a/internal/entry/evacuations.go
+++ b/internal/entry/evacuations.go
@@ -79,7 +79,7 @@
 // evacuate passes the evacuated failure domains to the dispatcher and to the
 // goroutines that send orders.
 func (o *owner) evacuate() {
-	o.core.Evacuate(o.host.evacuations.Domains())
+	o.core.SetEvacuated(o.host.evacuations.Domains())
 	o.setStartRules()
 }
 
--- a/internal/entry/flush_internal_test.go
+++ b/internal/entry/flush_internal_test.go
@@ -76,7 +76,7 @@
 	o.core = dispatch.New(dispatch.Config{MaxLease: 6 * time.Second}, policy.New(), o.epoch, jobtable.New())
 	o.core.List(h.now(), fleet.Listing{ID: "worker-0", Address: "worker-0", Service: "s", Capacity: job.Resources{Accelerators: 1}})
 	o.core.Pass(h.now(), h.now())
-	o.core.Renewed(h.now(), dispatch.RenewResult{Renew: o.core.Take().Renews[0], Sent: h.now(), Verdict: fleet.CarriedOut})
+	o.core.Renewed(h.now(), dispatch.RenewResult{Renew: o.core.TakeOrders().Renews[0], Sent: h.now(), Verdict: fleet.CarriedOut})
 	spec := &job.Spec{Service: "s", MaxAttempts: 1, Steps: []job.Step{{Count: 1, Need: job.Resources{Accelerators: 1}}}}
 	o.core.AddJob(h.now(), "j", &jobtable.Entry{Spec: spec})
 	o.core.Pass(h.now(), h.now())
--- a/internal/entry/foreign_internal_test.go
+++ b/internal/entry/foreign_internal_test.go
@@ -53,7 +53,7 @@
 			}
 		}
 		unlisted := 0
-		for _, n := range o.core.Notes() {
+		for _, n := range o.core.TakeNotes() {
 			if n.Event == dispatch.EventWorkerUnlisted {
 				unlisted++
 			}
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -82,7 +82,7 @@
 // to the advice service, and for each wave as many orders as it may take
 // machines down.
 func (o *owner) sendOrders(ctx context.Context) {
-	orders := o.core.Take()
+	orders := o.core.TakeOrders()
 	o.enqueueOrders(ctx, orders)
 	for _, x := range orders.Asks {
 		go o.send(ctx, "ask", func() (fleet.Verdict, event) { return o.askAdvice(ctx, x) })
@@ -221,7 +221,7 @@
 
 // logDecisions logs and counts the dispatcher's decisions.
 func (o *owner) logDecisions() {
-	for _, n := range o.core.Notes() {
+	for _, n := range o.core.TakeNotes() {
 		if n.Event == dispatch.EventViolated {
 			o.host.metrics.faults.Inc()
 		}
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -83,7 +83,7 @@
 // configure applies the guarantees of a configuration.
 func (o *owner) configure(c *catalog.Catalog) {
 	for _, cust := range c.Customers {
-		o.core.Guarantee(cust.Name, cust.Guaranteed)
+		o.core.SetGuarantee(cust.Name, cust.Guaranteed)
 	}
 }
 
--- a/internal/entry/suspend_internal_test.go
+++ b/internal/entry/suspend_internal_test.go
@@ -52,7 +52,7 @@
 			o.host.noteSuspension()
 			o.core.ConfirmSoleOwner(o.host.assured)
 			o.core.Pass(o.host.now(), o.host.now())
-			return o.core.Take()
+			return o.core.TakeOrders()
 		}
 		first := pass().Renews[0]
 		o.core.Renewed(o.host.now(), dispatch.RenewResult{Renew: first, Sent: o.host.now(), Verdict: fleet.CarriedOut})
@@ -64,7 +64,7 @@
 			t.Errorf("%d records were decided on an assurance from before the suspension, %v", len(b.Jobs)+len(b.Progress), err)
 		}
 		withheld := false
-		for _, n := range o.core.Notes() {
+		for _, n := range o.core.TakeNotes() {
 			withheld = withheld || n.Event == dispatch.EventLeasesWithheld
 		}
 		if !withheld {
