--- a/internal/conntrack/call.go
+++ b/internal/conntrack/call.go
@@ -81,8 +81,8 @@
 
 // finish records that the call has ended, and returns its connection; nil if it
 // had none or had ended before. An answer proves that the connection worked
-// when the call was sent. retire is set if the connection is suspect all the
-// same and must not be used again.
+// when the call was sent. retire is set if the connection is suspect in spite
+// of the answer and must not be used again.
 func (c *call) finish(answered bool) (x *conn, retire bool) {
 	t := c.transport
 	t.mu.Lock()
--- a/internal/conntrack/conn.go
+++ b/internal/conntrack/conn.go
@@ -24,18 +24,20 @@
 	net.Conn
 	transport *Transport
 	to        string
-	// incarnation is the one that it was opened for; empty if any will do.
+	// incarnation is the incarnation that the connection was opened for; empty
+	// if any will do.
 	incarnation string
 	opened      time.Time
 	// received records when bytes last arrived, or when the connection was
 	// opened.
 	received *meter.EventTime
-	// proven is when the newest answered call was sent here, or when the
-	// connection was opened: both directions worked then.
+	// proven is when the newest of the calls that were answered on this
+	// connection was sent, or when the connection was opened: both directions
+	// worked then.
 	proven time.Time
 	// call is the call in flight; nil while the connection is idle.
 	call *call
-	// used is set once a call was answered here.
+	// used is set once a call was answered on this connection.
 	used bool
 	// stale is set once another incarnation has answered in place of the one
 	// that it was opened for.
@@ -43,8 +45,8 @@
 }
 
 // provesAlive reports whether c shows that the path works although the
-// connection dead has brought no answer: c was open when bytes last arrived on
-// dead, and has received some itself after since.
+// connection dead has brought no answer: c was already open when bytes last
+// arrived on dead, and bytes have arrived on c later than since.
 func (c *conn) provesAlive(dead *conn, since time.Time) bool {
 	return !c.opened.After(dead.received.Last()) && c.received.Last().After(since)
 }
--- a/internal/conntrack/conntrack.go
+++ b/internal/conntrack/conntrack.go
@@ -37,10 +37,12 @@
 )
 
 const (
-	// provenWithin is how recently, before a call was found unanswered, another
-	// connection must have carried a call and its answer to be trusted still,
-	// or bytes to show that the path works. The shortest timeout of a call is
-	// 600 ms: a path that was silent for it had been silent 300 ms before its
+	// provenWithin is the length of the period before a call is found
+	// unanswered in which other connections must have worked. A connection
+	// stays trusted if a call that was answered on it was sent in this period.
+	// Bytes that arrived on a connection in this period show that the path
+	// works. The shortest timeout of a call is 600 ms, so a path that was
+	// silent during a whole call was already silent 300 ms before the call's
 	// end.
 	provenWithin = 300 * time.Millisecond
 	// overdueAfter is how long an answer must be overdue when its call is
@@ -59,7 +61,7 @@
 	// First is set if that call was the first one on it: then new connections
 	// are silent too, which may also mean that the service hangs.
 	First bool
-	// Why says what showed that it was dead.
+	// Why is the reason for which the connection counts as dead.
 	Why string
 	// Closed is how many other connections were closed with it because they
 	// were idle and suspect.
@@ -223,8 +225,8 @@
 	return idle, true
 }
 
-// deadReason returns what showed that a call's connection is dead; empty if
-// nothing did.
+// deadReason returns why a call's connection counts as dead, or "" if the end
+// of the call doesn't show that it is.
 func deadReason(err error, elapsed, wait time.Duration, known bool) string {
 	switch {
 	case errors.Is(err, syscall.ETIMEDOUT):
--- a/internal/conntrack/life_test.go
+++ b/internal/conntrack/life_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestLives makes calls one after the other and checks which of them open a
-// connection, and to which address. What is sent names the address as the
-// caller gave it, whatever the incarnation is called.
+// connection, and to which address. The Host of each call is the address that
+// the caller gave, whatever name the incarnation has.
 func TestLives(t *testing.T) {
 	served := &echo{}
 	transport := conntrack.NewPerIncarnation(&http.Transport{DialContext: served.dial}, func(conntrack.DeadConn) {})
@@ -74,8 +74,8 @@
 	return near, nil
 }
 
-// ServeHTTP answers with the status that the call requests, and with the Host
-// that it named.
+// ServeHTTP answers with the status in the call's Status header, and with the
+// call's Host as the body.
 func (e *echo) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Status") == "421" {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
@@ -83,7 +83,8 @@
 	_, _ = io.WriteString(rw, r.Host)
 }
 
-// call makes a call and checks that it was sent as given.
+// call makes a call and checks that it arrives with address as its Host, and
+// that the caller's request is unchanged afterwards.
 func (e *echo) call(t *testing.T, c *conntrack.Transport, incarnation, address, status string) {
 	ctx := t.Context()
 	if incarnation != "" {
@@ -93,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Host = "" // the URL's is meant
+	req.Host = "" // the host of the URL is then used
 	req.Header.Set("Status", status)
 	resp, err := c.RoundTrip(req)
 	if err != nil {
--- a/internal/entry/assure.go
+++ b/internal/entry/assure.go
@@ -33,9 +33,9 @@
 	absentHostRetention = 30 * time.Second
 )
 
-// assure records that no other host was the owner at the time when the read,
-// append or question that shows this was sent. The records that a read returned
-// have already been applied.
+// assure records that no other host was the owner at the time sent, when the
+// read, append or question that shows this was sent. The records that a read
+// returned have already been applied.
 func (h *Host) assure(sent unit.Instant) { h.assured = max(h.assured, sent) }
 
 // otherHost is another host as last seen in the group of live hosts.
--- a/internal/entry/clients_internal_test.go
+++ b/internal/entry/clients_internal_test.go
@@ -115,7 +115,8 @@
 // Addr implements net.Listener.
 func (*oneConn) Addr() net.Addr { return &net.TCPAddr{} }
 
-// closeSignalConn is a connection that closes ended when it is closed.
+// closeSignalConn is a connection that closes the channel ended when the
+// connection is closed.
 type closeSignalConn struct {
 	net.Conn
 	ended chan struct{}
--- a/internal/entry/counts_internal_test.go
+++ b/internal/entry/counts_internal_test.go
@@ -13,7 +13,7 @@
 //
 // A walk takes place on the goroutine that handles workers' answers. With
 // 10,000 jobs on a fifth of a core a walk takes 3.7 ms: with a walk for each of
-// 300 calls a second, beside passes of 3.6 ms, an answer waited for 6.4 s in
+// 300 calls a second, and passes of 3.6 ms, an answer waited for 6.4 s in
 // virtual time, against 6 ms at 100 calls a second.
 func TestCountsAreNotWalkedForEachCaller(t *testing.T) {
 	const calls, every, queues = 3000, time.Second / 300, 2
--- a/internal/entry/flush_internal_test.go
+++ b/internal/entry/flush_internal_test.go
@@ -20,8 +20,9 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// twoLogs is a store that answers the appends to each log as the log's word
-// says: ok, busy (refused once, then ok), fenced, or silent.
+// twoLogs is a store that answers the appends to each of two logs as words says
+// for that log: ok, busy (refused once, then ok), fenced, or silent (no
+// answer).
 type twoLogs struct {
 	mu    sync.Mutex
 	words map[platform.Topic]string
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -280,8 +280,8 @@
 // MetricsAddress returns the address at which metrics are served.
 func (h *Host) MetricsAddress() string { return h.listeners[2].Addr().String() }
 
-// Reload logs changed settings. Addresses and names stay as they are for the
-// lifetime of the process.
+// Reload logs that the settings were reloaded. It applies none of them:
+// addresses and names stay the same for the lifetime of the process.
 func (h *Host) Reload(s settings.Site) {
 	h.log.Info("settings-reloaded", zap.String("host", string(s.Host)), zap.Bool("store_moved", s.Store != h.settings.Store))
 }
--- a/internal/entry/lookup.go
+++ b/internal/entry/lookup.go
@@ -155,7 +155,7 @@
 // add registers a channel to close when a job ends.
 func (w watchers) add(j id.Job, c chan struct{}) { w[j] = append(w[j], c) }
 
-// drop removes a channel whose reader has stopped waiting.
+// drop removes a channel on which no caller waits any more.
 func (w watchers) drop(j id.Job, c chan struct{}) {
 	rest := slices.DeleteFunc(w[j], func(x chan struct{}) bool { return x == c })
 	if len(rest) == 0 {
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -20,9 +20,9 @@
 	operatorRetryMargin = 300 * time.Millisecond
 	minOperatorWait     = 200 * time.Millisecond
 	// operatorReads is how many reads of the operator's log the owner makes
-	// within the maximum age of what it knows of evacuations. What a read
-	// returns is as old as the read's wait plus its latency when it arrives,
-	// and as old again by the time the next one arrives. With fewer reads,
+	// within the maximum age of what it knows of evacuations. When the answer
+	// to a read arrives, it may be as old as the read's wait plus its latency,
+	// and until the next answer arrives its age doubles. With fewer reads,
 	// starts are withheld again and again while the store is slow.
 	operatorReads = 4
 )
--- a/internal/entry/pass_internal_test.go
+++ b/internal/entry/pass_internal_test.go
@@ -27,17 +27,17 @@
 }
 
 // TestAnswersAreTakenInBesideLongPasses checks that workers' answers are
-// handled in time beside long passes.
+// handled in time although each scheduling pass takes longer than passInterval.
 //
 // On a host with a fifth of a core that owned 350 workers and many waiting
 // tasks, each pass took longer than the 5 ms after which the next one was due.
 // If the pause doesn't depend on the duration of a pass, a pass then follows
-// every event, and events and orders wait for seconds: ends were handled up to
-// 11 s late. Runs whose ends were not handled yet were given up and placed
-// again: 1,329 counted as lost by an expired lease, of which only 35 had been,
-// and accepted jobs did not run although most of the capacity was free. With
-// passes of 7 ms, as with 1,000 waiting tasks on that host, the ring of events
-// fills up in this test and an answer waits for 11.9 s.
+// every event, and events and orders wait for seconds: the ends of runs were
+// handled up to 11 s late. Before that, the owner gave such runs up and placed
+// them again: it counted 1,329 runs as lost by an expired lease, although only
+// 35 of them were, and accepted jobs did not run although most of the capacity
+// was free. With passes of 7 ms, as with 1,000 waiting tasks on that host, the
+// ring of events fills up in this test and an answer waits for 11.9 s.
 func TestAnswersAreTakenInBesideLongPasses(t *testing.T) {
 	const (
 		passCost     = 7 * time.Millisecond
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -90,8 +90,8 @@
 	h.table.ClearProgress()
 }
 
-// takeover is a claim of this host that is the newest one, from when the host
-// has read it until the host is the owner.
+// takeover is the state of this host while its claim is the newest one: from
+// when it has read this claim until it is the owner.
 type takeover struct {
 	epoch  id.Epoch
 	cancel context.CancelFunc
--- a/internal/entry/silence_test.go
+++ b/internal/entry/silence_test.go
@@ -135,8 +135,8 @@
 	"to-target": faultproxy.ToTarget, "from-target": faultproxy.FromTarget, "both": faultproxy.Both,
 }
 
-// silence makes the open connections to the store, to the workers or to all of
-// them silent.
+// silence makes the open connections to the store, to the workers or, for the
+// kind "all", to both drop their data in a direction without being closed.
 func (s *site) silence(kind string, d faultproxy.Direction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,8 +149,9 @@
 	}
 }
 
-// silenceLinks makes all open links between hosts silent. It fails if none is
-// open.
+// silenceLinks makes all open links between hosts drop their data in a
+// direction without being closed, and resets the count of unknown outcomes. It
+// fails the test if no link is open.
 func (s *site) silenceLinks(d faultproxy.Direction) {
 	sp := s.storeProxy
 	sp.mu.Lock()
--- a/internal/entry/site_test.go
+++ b/internal/entry/site_test.go
@@ -46,17 +46,18 @@
 	// mu guards the elements of workers and of proxies.
 	mu      sync.Mutex
 	workers []*standin.Worker
-	// workerStart is the start of the incarnation that later workers report; 0
-	// if they report none. addresses holds the address of each worker.
+	// workerStart is the start time that workers started from now on report for
+	// their incarnation; 0 if they report none. addresses holds the address of
+	// each worker.
 	workerStart int64
 	addresses   map[int]string
-	// domain is the failure domain of later workers, domains that of each
-	// worker.
+	// domain is the failure domain of workers started from now on; domains
+	// holds that of each worker.
 	domain  string
 	domains map[int]string
 
-	// stops stop each host immediately. ended are closed when the host has
-	// ended.
+	// stops holds the functions that stop each host immediately. ended holds,
+	// for each host, the channel that is closed when the host has ended.
 	hosts []*entry.Host
 	stops []context.CancelFunc
 	ended []chan struct{}
@@ -78,7 +79,8 @@
 	line int
 }
 
-// work maps the payloads of the scripts to what they do.
+// work says, for each payload in the scripts, how long its tasks run and
+// whether they fail.
 var work = map[string]standin.Work{
 	"short": {Duration: 20 * time.Millisecond}, "long": {Duration: 700 * time.Millisecond}, "fails": {Fails: true}, "endless": {Duration: time.Hour},
 }
--- a/internal/entry/suspend.go
+++ b/internal/entry/suspend.go
@@ -11,10 +11,11 @@
 // more if the process is not scheduled between them.
 const minSuspension = 100 * time.Millisecond
 
-// noteSuspension logs and counts a suspension of the machine since the last one
-// that it logged. The consequences follow from the time that has passed: leases
-// aren't extended on an assurance from before, and peers that couldn't answer
-// meanwhile are asked again.
+// noteSuspension logs and counts a suspension of the machine if the machine has
+// been suspended for at least minSuspension since the last call that logged
+// one. Nothing else has to be done: the host's clock includes suspensions, so
+// an assurance from before a suspension is too old to extend leases, and peers
+// that couldn't answer during it are asked again.
 func (h *Host) noteSuspension() {
 	s := h.clock.Suspended()
 	lasted := s - h.suspended
--- a/internal/entry/tail.go
+++ b/internal/entry/tail.go
@@ -27,7 +27,7 @@
 	// wake cuts a pause short; nil if pauses are never cut short.
 	wake <-chan struct{}
 	// caughtUp is called after each read that came to the end of the topic,
-	// with the time at which the read was sent; nil if nothing needs that.
+	// with the time at which the read was sent; nil if no such call is needed.
 	caughtUp func(sentAt unit.Instant)
 	// timeoutFactor is the factor by which a read waits longer than usual for
 	// its answer; 0 counts as 1.
--- a/internal/entry/waves.go
+++ b/internal/entry/waves.go
@@ -76,7 +76,8 @@
 }
 
 // writeReports writes the queued reports on waves for the operator one after
-// the other, until ctx is done or a later owner has written.
+// the other, until ctx is done or the store refuses a report because a later
+// owner has written one.
 func (o *owner) writeReports(ctx context.Context) {
 	seq := uint64(0)
 	for {
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -164,9 +164,10 @@
 	return batch, ctx.Err()
 }
 
-// renumber continues under a new epoch. Sequence numbers start again whatever
-// the store has counted, and the store from then on refuses earlier appends
-// that may still be in flight.
+// renumber continues under a new epoch. Its sequence numbers start from the
+// beginning, so the writer need not know which of its earlier appends the store
+// has counted. After the first append under the new epoch, the store refuses
+// earlier appends that may still be in flight.
 func (w *writer) renumber() { w.id.Epoch, w.id.Seq = w.id.Epoch+1, 0 }
 
 // pauseRefused pauses after a try that the store has certainly refused, and
--- a/internal/faultproxy/mute_test.go
+++ b/internal/faultproxy/mute_test.go
@@ -8,13 +8,14 @@
 	"curlewsill.org/curlewsill/internal/faultproxy"
 )
 
-// TestMuteWhileAccepting mutes many proxies, by IgnoreConnects, at the moment
-// when each accepts a connection. It guards against a muted proxy that answers
-// a connect: IgnoreConnects had filled the accept queue while an accept was
-// still in flight, which then took a connection from the queue and so made room
-// for another one. This happened in 3 of 150 runs under load. Of 2,400 proxies
-// that were muted right after a connect, 38 answered another one: their queues
-// were empty, and they had accepted one or two connections.
+// TestMuteWhileAccepting calls IgnoreConnects on many proxies at the moment
+// when each accepts a connection, and checks that they answer no further
+// connect. It guards against a race: IgnoreConnects filled the accept queue
+// while an accept was still in flight. The accept then took a connection from
+// the queue, so that there was room for another one, and the next connect was
+// answered. This happened in 3 of 150 runs under load. Of 2,400 proxies that
+// were muted right after a connect, 38 answered another connect: each of them
+// had accepted one or two connections, and its queue was empty.
 func TestMuteWhileAccepting(t *testing.T) {
 	const proxies, rounds = 24, 12
 	var group sync.WaitGroup
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -30,7 +30,7 @@
 	limits Limits
 
 	mu sync.Mutex
-	// receivers holds those with orders that are queued or in flight.
+	// receivers holds the receivers with orders that are queued or in flight.
 	receivers map[K]*receiver
 	// ready is the round-robin queue of the receivers with an order that may be
 	// sent, each once.
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -32,11 +32,11 @@
 type player struct {
 	box  *outbox.Box[string]
 	held map[string]chan struct{}
-	left chan string
+	sent chan string
 }
 
 func play(t *testing.T, text string) {
-	p := &player{held: map[string]chan struct{}{}, left: make(chan string, 1000)}
+	p := &player{held: map[string]chan struct{}{}, sent: make(chan string, 1000)}
 	defer p.end()
 	for i, l := range strings.Split(text, "\n") {
 		f := strings.Fields(l)
@@ -89,7 +89,7 @@
 	for _, o := range f[2:last] {
 		wait := p.held[o]
 		accepted = p.box.Put(f[1], func() {
-			p.left <- o
+			p.sent <- o
 			if wait != nil {
 				<-wait
 			}
@@ -102,8 +102,8 @@
 
 func (p *player) check(t *testing.T, line int, want []string) {
 	got := map[string]bool{}
-	for range len(p.left) {
-		got[<-p.left] = true
+	for range len(p.sent) {
+		got[<-p.sent] = true
 	}
 	names := slices.Sorted(maps.Keys(got))
 	if !slices.Equal(names, slices.Sorted(slices.Values(want))) {
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -57,8 +57,8 @@
 	// answer take 200 bytes: four neighbors cost 0.8 kB a second.
 	pingAfter   = time.Second
 	pongTimeout = time.Second
-	// acceptedPingAfter is pingAfter for the accepting side. In this time it
-	// must have missed five frames and two pings of the other side.
+	// acceptedPingAfter is pingAfter for the accepting side. A working peer
+	// would have sent five frames and two pings of its own in this time.
 	acceptedPingAfter = 2500 * time.Millisecond
 )
 
--- a/internal/relay/ask_internal_test.go
+++ b/internal/relay/ask_internal_test.go
@@ -17,7 +17,7 @@
 // tries and the final error.
 //
 // It guards against a call that ends with an unknown outcome with time left:
-// the link dies under the call, the next link isn't opened in time, and the
+// the link dies during the call, the next link isn't opened in time, and the
 // call isn't tried a third time. With two tries this hit one of 3,200 calls on
 // silent links on a busy machine, which had seven seconds left.
 func TestAsk(t *testing.T) {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -38,9 +38,9 @@
 // may wait for one second while the store is slow. A dead link has to be found
 // early enough to leave time for another try.
 const (
-	// inUsePingAfter is how long a peer may send nothing while a call waits for
-	// it before it is pinged. A usual answer takes a few milliseconds, so most
-	// calls cost no ping.
+	// inUsePingAfter is the time without bytes from a peer after which the peer
+	// is pinged, while a call waits for its answer. A usual answer takes a few
+	// milliseconds, so most calls cost no ping.
 	inUsePingAfter = 250 * time.Millisecond
 	// pongTimeout is how long a peer may take to answer a ping. 512 kB queued
 	// ahead of the ping take 420 ms at 10 Mbit/s, and throttling by a CPU quota
@@ -54,8 +54,8 @@
 	// and its answer take 200 bytes and opening a link takes 1 kB: in this
 	// time, an unused link costs as much as opening it again.
 	idleTimeout = 5 * time.Second
-	// acceptedPingAfter is pingAfter for the accepting side. In this time it
-	// must have missed two pings of the other side.
+	// acceptedPingAfter is pingAfter for the accepting side. A working peer
+	// would have sent two pings of its own in this time.
 	acceptedPingAfter = 2500 * time.Millisecond
 )
 
--- a/internal/relay/overdue_internal_test.go
+++ b/internal/relay/overdue_internal_test.go
@@ -126,7 +126,7 @@
 	return NewResponse(req, status, nil), nil
 }
 
-// cutDialer opens connections, and can silence all that are open.
+// cutDialer opens connections, and can make all open ones drop further writes.
 type cutDialer struct {
 	dial wslink.DialFunc
 
@@ -147,7 +147,7 @@
 	return out, nil
 }
 
-// silence makes the open connections silent.
+// silence makes the open connections drop further writes.
 func (d *cutDialer) silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -70,8 +70,8 @@
 	Body        []byte `cbor:"5,keyasint"`
 	// Timeout is how long the peer may take to make the call.
 	Timeout time.Duration `cbor:"6,keyasint"`
-	// tryTimeout bounds each try on this side; 0 leaves the bound to the
-	// caller's context.
+	// tryTimeout bounds each try on this host, including the opening of a link.
+	// With 0, only the caller's context bounds it.
 	tryTimeout time.Duration
 }
 
@@ -97,7 +97,8 @@
 	RouteAdvice Route = "/v1/relay/advice"
 	// RouteRecords relays to the peer's own record writer.
 	RouteRecords Route = "/v1/records"
-	// RouteWatch serves what the peer knows of the owner.
+	// RouteWatch serves questions to the peer itself about the owner of the
+	// scheduling, such as whether the owner is alive.
 	RouteWatch Route = "/v1/watch"
 )
 
@@ -125,8 +126,8 @@
 }
 
 // New returns a transport to the server at base, a URL with scheme and host.
-// The client direct makes the direct calls. Peers accept relayed calls at the
-// route, over connections of conns.
+// The client direct makes the direct calls. Relayed calls go over connections
+// of conns, which peers accept at the URL path route.
 func New(base string, route Route, direct *http.Client, conns *wslink.Links, log *zap.Logger) *Transport {
 	return &Transport{
 		base: base, route: route, client: direct, conns: conns, log: log,
@@ -172,7 +173,8 @@
 	return plan{directFirst: !usePeers || now.After(p.direct.suspectUntil), usePeers: usePeers}
 }
 
-// recordOutcome updates which paths are believed to work.
+// recordOutcome updates which paths are suspect, from the outcome of a call on
+// one of them.
 func (p *Transport) recordOutcome(o outcome) {
 	if errors.Is(o.err, context.Canceled) {
 		return
--- a/internal/wslink/conn.go
+++ b/internal/wslink/conn.go
@@ -29,8 +29,8 @@
 )
 
 // pingJitter is the part of Policy.PingAfter that is random. With PingAfter at
-// 1 s, a quarter spreads the pings of 40 connections by 6 ms each, and costs at
-// most a third more pings.
+// 1 s, a quarter spreads the pings of 40 connections over 250 ms, one every 6
+// ms, and costs at most a third more pings.
 const pingJitter = 0.25
 
 // minSlowWrite is the shortest write that counts as one that delays pings. A
--- a/internal/wslink/network_test.go
+++ b/internal/wslink/network_test.go
@@ -106,8 +106,8 @@
 	return w.silent&d == 0
 }
 
-// silence makes the open connections drop all bytes in direction d, starting
-// with the connection number first.
+// silence makes the connections from index first on, in the order of their
+// opening, drop all further bytes in direction d.
 func (n *network) silence(first int, d direction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
