--- a/internal/conntrack/life_test.go
+++ b/internal/conntrack/life_test.go
@@ -13,10 +13,10 @@
 	"curlewsill.org/curlewsill/internal/conntrack"
 )
 
-// TestLives makes calls one after the other and checks which of them open a
-// connection, and to which address. The Host of each call is the address that
-// the caller gave, whatever name the incarnation has.
-func TestLives(t *testing.T) {
+// TestConnectionsPerIncarnation makes calls one after the other and checks
+// which of them open a connection, and to which address. The Host of each call
+// is the address that the caller gave, whatever name the incarnation has.
+func TestConnectionsPerIncarnation(t *testing.T) {
 	served := &echo{}
 	transport := conntrack.NewPerIncarnation(&http.Transport{DialContext: served.dial}, func(conntrack.DeadConn) {})
 	t.Cleanup(transport.CloseIdleConnections)
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -127,15 +127,15 @@
 	return d
 }
 
-// TestEndsAsItSettles sends orders that end at the moment they stop counting as
-// recent.
+// TestOrderEndsAsItAgesOut sends orders that end at the moment they stop
+// counting as recent.
 //
 // It guards against a data race that ended the owner's process with a nil
 // pointer: an order's timer fires while the order ends, and its goroutine
 // continues with the next order, or with none. If the timer's function reads
 // the variable in which the goroutine keeps its current order, it counts the
 // wrong order, or dereferences nil.
-func TestEndsAsItSettles(t *testing.T) {
+func TestOrderEndsAsItAgesOut(t *testing.T) {
 	const recentFor, orders = 100 * time.Millisecond, 500
 	synctest.Test(t, func(t *testing.T) {
 		box := outbox.New[int](outbox.Limits{Queued: orders, Recent: 8, InFlight: 16, RecentFor: recentFor, PerReceiver: 2})
--- a/internal/relay/link_internal_test.go
+++ b/internal/relay/link_internal_test.go
@@ -55,10 +55,10 @@
 	}
 }
 
-// TestOverdueIsForgotten checks that a call whose answer is overdue is removed
-// from the link. A link that other calls keep open would otherwise leak one map
-// entry and channel for each such call.
-func TestOverdueIsForgotten(t *testing.T) {
+// TestOverdueCallIsRemoved checks that a call whose answer is overdue is
+// removed from the link. A link that other calls keep open would otherwise leak
+// one map entry and channel for each such call.
+func TestOverdueCallIsRemoved(t *testing.T) {
 	l := linkTo(t, unansweringHandler(newTestLinks(t)))
 	if _, err := l.do(context.Background(), call{Method: http.MethodPost, Path: "/", Timeout: -hedgeDelay}); !errors.Is(err, errOverdue) {
 		t.Fatalf("the call ended with %v", err)
--- a/internal/relay/race_internal_test.go
+++ b/internal/relay/race_internal_test.go
@@ -29,10 +29,11 @@
 	return NewResponse(req, http.StatusOK, nil), nil
 }
 
-// TestNoSecondCopy checks that no peer is tried while an answer is already
-// arriving: the second copy would share a slow link with the first. The peer in
-// this test is unreachable, so that trying it sets peersSuspectUntil.
-func TestNoSecondCopy(t *testing.T) {
+// TestNoHedgeWhileAnswerArrives checks that no peer is tried while an answer
+// is already arriving: the second copy would share a slow link with the first.
+// The peer in this test is unreachable, so that trying it sets
+// peersSuspectUntil.
+func TestNoHedgeWhileAnswerArrives(t *testing.T) {
 	for _, c := range []struct {
 		begins   time.Duration
 		usesPeer bool
