--- a/internal/entry/assured_internal_test.go
+++ b/internal/entry/assured_internal_test.go
@@ -125,7 +125,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		h := newAssured(ctx, &storeScript{})
 		h.deciding.Store(true)
-		body, err := questions.Encode(question{Owner: "b#1"})
+		body, err := ownerQueries.Encode(ownerQuery{Owner: "b#1"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -156,8 +156,8 @@
 // so, records would go to a former owner until the next one, and nobody would
 // watch the new owner.
 func (h *Host) followOwner() {
-	h.findGatherer()
-	h.findWatched()
+	h.updateForwardAddress()
+	h.updateWatched()
 }
 
 // takeOver starts scheduling from the state in the table.
@@ -194,7 +194,7 @@
 	for _, n := range slices.Sorted(maps.Keys(h.waves)) {
 		o.setWave(now, h.waves[n])
 	}
-	h.forgetProgress() // the dispatcher holds it from here on
+	h.forgetProgress() // the dispatcher keeps the progress from now on
 	go h.followWorkerList(ctx, o)
 	go o.writeReports(ctx)
 	go o.followMachines(ctx)
--- a/internal/entry/claim_internal_test.go
+++ b/internal/entry/claim_internal_test.go
@@ -115,7 +115,7 @@
 			t.Fatal(err)
 		}
 		h.applyJobs(h.now(), []jobtable.Record{rec}, 0)
-		if at := h.gatherer.Load(); at == nil || *at != "there" {
+		if at := h.forwardAddress.Load(); at == nil || *at != "there" {
 			t.Errorf("records are forwarded to %v", at)
 		}
 		if w := h.watched.Load(); w == nil || w.owner != "a#1" {
--- a/internal/entry/evacuations.go
+++ b/internal/entry/evacuations.go
@@ -96,10 +96,10 @@
 	o.startRules.Store(&r)
 }
 
-// held checks a start order just before it is sent, since it may have been
-// queued for a while. If the order may no longer be sent, held returns the
+// denyStart checks a start order just before it is sent, since it may have been
+// queued for a while. If the order may no longer be sent, denyStart returns the
 // order's result and true, else false.
-func (o *owner) held(s dispatch.Start) (dispatch.StartResult, bool) {
+func (o *owner) denyStart(s dispatch.Start) (dispatch.StartResult, bool) {
 	why := o.startRules.Load().DenialReason(o.host.now(), s.Domain)
 	if why == "" {
 		return dispatch.StartResult{}, false
--- a/internal/entry/gather.go
+++ b/internal/entry/gather.go
@@ -22,10 +22,10 @@
 const recordsBase = "http://records"
 
 // recordCodec encodes the records that hosts forward to the owner.
-var recordCodec = codec.New[gathered]()
+var recordCodec = codec.New[forwardedRecord]()
 
-// gathered is a record that a host forwards to the owner.
-type gathered struct {
+// forwardedRecord is a record that a host forwards to the owner.
+type forwardedRecord struct {
 	_     struct{} `cbor:",toarray"`
 	Key   string
 	Value []byte
@@ -34,11 +34,11 @@
 // putByOwner writes a record to the store through the owner. It reports false
 // if forwarding doesn't apply, or nothing was sent.
 func (h *Host) putByOwner(ctx context.Context, rec jobtable.Record) (outcome, string, bool) {
-	address := h.gatherer.Load()
+	address := h.forwardAddress.Load()
 	if address == nil || !h.health.slow() || h.health.hanging() {
 		return notStored, "", false
 	}
-	body, err := recordCodec.Encode(gathered{Key: rec.Key, Value: rec.Value})
+	body, err := recordCodec.Encode(forwardedRecord{Key: rec.Key, Value: rec.Value})
 	if err != nil {
 		h.log.Error("record-not-encoded", zap.String("key", rec.Key), zap.Error(err))
 		return notStored, "", false
@@ -74,7 +74,7 @@
 		return relay.NewResponse(req, http.StatusBadRequest, []byte("not a record")), nil
 	}
 	t.host.metrics.gatheredRecords.Inc()
-	got, why := t.host.append(req.Context(), jobtable.Record{Key: rec.Key, Value: rec.Value}, gatheredShares)
+	got, why := t.host.append(req.Context(), jobtable.Record{Key: rec.Key, Value: rec.Value}, forwardedShares)
 	return relay.NewResponse(req, got.status(), []byte(why)), nil
 }
 
@@ -90,13 +90,13 @@
 	return http.StatusGatewayTimeout
 }
 
-// findGatherer sets the address at which the owner accepts records, or none if
-// this host is the owner. Only the deciding goroutine may call it.
-func (h *Host) findGatherer() {
+// updateForwardAddress sets the address at which the owner accepts records, or
+// none if this host is the owner. Only the deciding goroutine may call it.
+func (h *Host) updateForwardAddress() {
 	address, ok := h.peerAddresses[h.table.Owner().Host]
 	if !ok || h.owner != nil {
-		h.gatherer.Store(nil)
+		h.forwardAddress.Store(nil)
 		return
 	}
-	h.gatherer.Store(&address)
+	h.forwardAddress.Store(&address)
 }
--- a/internal/entry/gather_internal_test.go
+++ b/internal/entry/gather_internal_test.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go h.writer.run(ctx)
-	body, err := codec.New[gathered]().Encode(gathered{Key: "spec/first"})
+	body, err := codec.New[forwardedRecord]().Encode(forwardedRecord{Key: "spec/first"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -71,11 +71,11 @@
 	// storePath and advicePath carry calls to the store and to the advice
 	// service, directly or through peers.
 	storePath, advicePath *relay.Transport
-	// recordsPath carries records to the writers of peers. gatherer is the
-	// address at which the owner accepts records; nil if it is unknown or this
-	// host is the owner.
-	recordsPath *relay.Transport
-	gatherer    atomic.Pointer[string]
+	// recordsPath carries records to the writers of peers. forwardAddress is
+	// the address at which the owner accepts records; nil if it is unknown or
+	// this host is the owner.
+	recordsPath    *relay.Transport
+	forwardAddress atomic.Pointer[string]
 	// watchPath carries questions about the owner to peers. watched is the
 	// owner if this host is to check whether it is alive, else nil.
 	watchPath *relay.Transport
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -127,8 +127,8 @@
 // sent any more.
 func (o *owner) start(ctx context.Context, s dispatch.Start) orderCall {
 	return func() (fleet.Verdict, event) {
-		res, held := o.held(s)
-		if !held {
+		res, denied := o.denyStart(s)
+		if !denied {
 			res = o.host.workers.Start(ctx, s)
 		}
 		return res.Verdict, o.started(res)
--- a/internal/entry/put.go
+++ b/internal/entry/put.go
@@ -46,9 +46,9 @@
 var (
 	// callerShares are the shares of a client's call.
 	callerShares = timeShares{queued: waitShare, sent: unknownShare}
-	// gatheredShares are the shares of a call from another host, whose time is
+	// forwardedShares are the shares of a call from another host, whose time is
 	// already a share of its client's. The rest is reserved for the answer.
-	gatheredShares = timeShares{queued: 0.5, sent: 0.9}
+	forwardedShares = timeShares{queued: 0.5, sent: 0.9}
 )
 
 // put writes a record to the store, through the owner while the store is slow.
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -45,15 +45,15 @@
 	watchCheckInterval = 500 * time.Millisecond
 )
 
-// question asks a host about the owner. Sent to the owner itself, it asks
+// ownerQuery asks a host about the owner. Sent to the owner itself, it asks
 // whether it is alive.
-type question struct {
+type ownerQuery struct {
 	_     struct{} `cbor:",toarray"`
 	Owner id.Host
 }
 
-// presence answers a question.
-type presence struct {
+// ownerReply is the answer to an ownerQuery.
+type ownerReply struct {
 	_ struct{} `cbor:",toarray"`
 	// Host is the incarnation that answers.
 	Host id.Host
@@ -71,8 +71,8 @@
 var errNotDeciding = errors.New("entry: the deciding goroutine is not running")
 
 var (
-	questions = codec.New[question]()
-	presences = codec.New[presence]()
+	ownerQueries = codec.New[ownerQuery]()
+	ownerReplies = codec.New[ownerReply]()
 )
 
 // watched is the owner that this host watches, and the other watchers.
@@ -83,9 +83,9 @@
 	others []string
 }
 
-// findWatched sets the owner that this host watches, or nil if this host isn't
-// one of the owner's watchers. Only the deciding goroutine may call it.
-func (h *Host) findWatched() {
+// updateWatched sets the owner that this host watches, or nil if this host
+// isn't one of the owner's watchers. Only the deciding goroutine may call it.
+func (h *Host) updateWatched() {
 	owner := h.table.Owner().Host
 	address := h.peerAddresses[owner]
 	watchers := h.election.Watchers(owner)
@@ -168,18 +168,18 @@
 }
 
 // askPeer asks the host at an address about the owner.
-func (h *Host) askPeer(ctx context.Context, address string, owner id.Host, limit time.Duration) (presence, error) {
-	body, err := questions.Encode(question{Owner: owner})
+func (h *Host) askPeer(ctx context.Context, address string, owner id.Host, limit time.Duration) (ownerReply, error) {
+	body, err := ownerQueries.Encode(ownerQuery{Owner: owner})
 	if err != nil {
-		return presence{}, err
+		return ownerReply{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	_, raw, err := h.watchPath.CallPeer(ctx, address, relay.Request{Method: http.MethodPost, Path: "/", Body: body, Timeout: limit})
 	if err != nil {
-		return presence{}, err
+		return ownerReply{}, err
 	}
-	return presences.Decode(raw)
+	return ownerReplies.Decode(raw)
 }
 
 // watchTransport answers other hosts' questions about the owner.
@@ -196,12 +196,12 @@
 	if err != nil {
 		return nil, err
 	}
-	q, err := questions.Decode(body)
+	q, err := ownerQueries.Decode(body)
 	if err != nil {
 		t.host.log.Warn("question-rejected", zap.Error(err))
 		return nil, err
 	}
-	p := presence{Host: t.host.self}
+	p := ownerReply{Host: t.host.self}
 	if q.Owner != t.host.self {
 		known, _ := query(req.Context(), t.host, func(now unit.Instant) bool {
 			p.Misses = t.host.election.ConfirmUnresponsive(now, q.Owner)
@@ -211,7 +211,7 @@
 			return nil, errOtherOwner
 		}
 	}
-	raw, err := presences.Encode(p)
+	raw, err := ownerReplies.Encode(p)
 	if err != nil {
 		return nil, err
 	}
