--- a/internal/entry/cutoff_test.go
+++ b/internal/entry/cutoff_test.go
@@ -28,9 +28,9 @@
 	s.checkStartedOnce()
 }
 
-// TestOwnerCutOffBeforeNextStarts is the same with another host that starts
-// only after the owner was cut off, as when a failure domain is partitioned
-// while a host in another domain is down.
+// TestOwnerCutOffBeforeNextStarts is like TestOwnerCutOffWithWorker, but the
+// other host starts only after the owner was cut off, as when a failure domain
+// is partitioned while a host in another domain is down.
 //
 // If the owner only asks the hosts that its last read of the group listed,
 // which is as old as the partition, it asks none. It then counts as the sole
@@ -48,9 +48,9 @@
 	s.checkStartedOnce()
 }
 
-// TestOwnerCutOffBeforeNextReturns is the same with a host that the owner knew,
-// that was down for some seconds when the owner was cut off, and that returns
-// during the partition.
+// TestOwnerCutOffBeforeNextReturns is like TestOwnerCutOffWithWorker, but the
+// other host, which the owner knew, has been down for some seconds when the
+// owner is cut off, and returns during the partition.
 func TestOwnerCutOffBeforeNextReturns(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -103,8 +103,8 @@
 	catalog atomic.Pointer[catalog.Catalog]
 	// ready is the readiness that the load balancer sees.
 	ready atomic.Bool
-	// groupCapacity is the number of hosts that fit into the group, as last seen
-	// by this host.
+	// groupCapacity is the number of hosts that fit into the group, as last
+	// seen by this host.
 	groupCapacity atomic.Int32
 	// standby is set while this host would be among the first to claim.
 	standby atomic.Bool
@@ -139,9 +139,9 @@
 	progress progressPosition
 	// owner is nil unless this host schedules. claiming is set during a claim,
 	// from the read before its append to the read that may follow it, and while
-	// this host releases the ownership to a more able one; no other claim begins
-	// meanwhile. takeover is set from when this host has read its own claim
-	// until it is the owner.
+	// this host releases the ownership to a more able one; no other claim
+	// begins meanwhile. takeover is set from when this host has read its own
+	// claim until it is the owner.
 	owner    *owner
 	claiming bool
 	takeover *takeover
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// maxFreshOrders limits the orders of one kind in flight that were sent less
-	// than freshOrderAge ago; older ones don't count. Workers answer within a
-	// few milliseconds, so 64 are enough for several thousand orders a second.
-	// If a new owner sent all renewals at once, their goroutines would starve
-	// the deciding goroutine.
+	// maxFreshOrders limits the orders of one kind in flight that were sent
+	// less than freshOrderAge ago; older ones don't count. Workers answer
+	// within a few milliseconds, so 64 are enough for several thousand orders a
+	// second. If a new owner sent all renewals at once, their goroutines would
+	// starve the deciding goroutine.
 	maxFreshOrders = 64
 	freshOrderAge  = 100 * time.Millisecond
 	// maxStarts and maxStops limit the number of goroutines for each kind of
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -21,8 +21,8 @@
 	ownerWait = 500 * time.Millisecond
 	// jobsPause is the pause after a read that returned records, because each
 	// read loads the store. standbyPause is the pause on hosts that would be
-	// among the first to claim, so that they notice at once when the owner hands
-	// over.
+	// among the first to claim, so that they notice at once when the owner
+	// hands over.
 	jobsPause    = 500 * time.Millisecond
 	standbyPause = 100 * time.Millisecond
 	// awaitedPause is the pause while a job waits for the next read: on the
