--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -71,11 +71,11 @@
 	// storePath and advicePath carry calls to the store and to the advice
 	// service, directly or through peers.
 	storePath, advicePath *relay.Transport
-	// recordsPath carries records to the writers of peers. gatherer is the
-	// address at which the owner accepts records; nil if it is unknown or this
-	// host is the owner.
-	recordsPath *relay.Transport
-	gatherer    atomic.Pointer[string]
+	// recordsPath carries records to the writers of peers. forwardAddress is
+	// the address at which the owner accepts records; nil if it is unknown or
+	// this host is the owner.
+	recordsPath    *relay.Transport
+	forwardAddress atomic.Pointer[string]
 	// watchPath carries questions about the owner to peers. watched is the
 	// owner if this host is to check whether it is alive, else nil.
 	watchPath *relay.Transport
@@ -103,8 +103,8 @@
 	catalog atomic.Pointer[catalog.Catalog]
 	// ready is the readiness that the load balancer sees.
 	ready atomic.Bool
-	// groupCapacity is the number of hosts that fit into the group, as last seen
-	// by this host.
+	// groupCapacity is the number of hosts that fit into the group, as last
+	// seen by this host.
 	groupCapacity atomic.Int32
 	// standby is set while this host would be among the first to claim.
 	standby atomic.Bool
@@ -139,9 +139,9 @@
 	progress progressPosition
 	// owner is nil unless this host schedules. claiming is set during a claim,
 	// from the read before its append to the read that may follow it, and while
-	// this host releases the ownership to a more able one; no other claim begins
-	// meanwhile. takeover is set from when this host has read its own claim
-	// until it is the owner.
+	// this host releases the ownership to a more able one; no other claim
+	// begins meanwhile. takeover is set from when this host has read its own
+	// claim until it is the owner.
 	owner    *owner
 	claiming bool
 	takeover *takeover
@@ -280,8 +280,8 @@
 // MetricsAddress returns the address at which metrics are served.
 func (h *Host) MetricsAddress() string { return h.listeners[2].Addr().String() }
 
-// Reload logs changed settings. Addresses and names stay as they are for the
-// lifetime of the process.
+// Reload logs that the settings were reloaded. It applies none of them:
+// addresses and names stay the same for the lifetime of the process.
 func (h *Host) Reload(s settings.Site) {
 	h.log.Info("settings-reloaded", zap.String("host", string(s.Host)), zap.Bool("store_moved", s.Store != h.settings.Store))
 }
