--- a/core/state/apply.go
+++ b/core/state/apply.go
@@ -74,11 +74,11 @@
 	if b.BasisOffset+Window < s.Applied {
 		return ErrLate
 	}
-	life := WriterID{b.Host, b.Incarnation}
-	if b.Seq <= s.Writers[life].Seq {
+	writer := WriterID{b.Host, b.Incarnation}
+	if b.Seq <= s.Writers[writer].Seq {
 		return ErrDuplicate
 	}
-	s.Writers[life] = Writer{Seq: b.Seq, Last: s.Applied}
+	s.Writers[writer] = Writer{Seq: b.Seq, Last: s.Applied}
 	return nil
 }
 
