--- a/cmd/curlewsill/cmd/apply.go
+++ b/cmd/curlewsill/cmd/apply.go
@@ -18,9 +18,9 @@
 // applyCmd is the subcommand apply.
 type applyCmd struct {
 	env  *env
-	Yes  bool `long:"yes" description:"don't ask"`
+	Yes  bool `long:"yes" description:"apply the plan without asking for confirmation"`
 	Args struct {
-		Intent string `positional-arg-name:"INTENT" description:"intent file (INI)"`
+		Intent string `positional-arg-name:"INTENT" description:"file with the configuration changes (INI)"`
 	} `positional-args:"yes" required:"yes"`
 }
 
--- a/cmd/curlewsill/cmd/demo.go
+++ b/cmd/curlewsill/cmd/demo.go
@@ -13,8 +13,8 @@
 // demoCmd is the subcommand demo.
 type demoCmd struct {
 	env      *env
-	Platform bool   `long:"platform" description:"run the path on the users' platform instead"`
-	Site     string `long:"site" default:"delta-north" choice:"delta-north" choice:"be-oost" description:"site to run"`
+	Platform bool   `long:"platform" description:"run the demo of entry hosts on the users' platform instead"`
+	Site     string `long:"site" default:"delta-north" choice:"delta-north" choice:"be-oost" description:"site whose configuration to use"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/curlewsill/cmd/drain.go
+++ b/cmd/curlewsill/cmd/drain.go
@@ -12,8 +12,8 @@
 // drainCmd is the subcommand drain.
 type drainCmd struct {
 	env  *env
-	Undo bool `long:"undo" description:"let new tasks on the workers again"`
-	Yes  bool `long:"yes" description:"don't ask"`
+	Undo bool `long:"undo" description:"allow new tasks on the workers again"`
+	Yes  bool `long:"yes" description:"apply the plan without asking for confirmation"`
 	Args struct {
 		Workers []string `positional-arg-name:"WORKER" required:"1"`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/curlewsill/cmd/experiment.go
+++ b/cmd/curlewsill/cmd/experiment.go
@@ -19,10 +19,10 @@
 // experimentCmd is the subcommand experiment.
 type experimentCmd struct {
 	env        *env
-	Site       string `long:"site" required:"yes" value-name:"FILE" description:"site to model (INI)"`
-	Experiment string `long:"experiment" required:"yes" value-name:"FILE" description:"what comes, what fails and which policies to compare (INI)"`
-	Processors int    `long:"processors" default:"1" value-name:"N" description:"how many seeds and policies are played at a time"`
-	Charts     string `long:"charts" value-name:"DIR" description:"draw charts into a folder"`
+	Site       string `long:"site" required:"yes" value-name:"FILE" description:"site to simulate (INI)"`
+	Experiment string `long:"experiment" required:"yes" value-name:"FILE" description:"experiment: jobs that arrive, faults, and policies to compare (INI)"`
+	Processors int    `long:"processors" default:"1" value-name:"N" description:"number of simulations to run concurrently, each of one policy with one seed"`
+	Charts     string `long:"charts" value-name:"DIR" description:"draw charts into this folder"`
 	Format     string `long:"chart-format" default:"svg" choice:"svg" choice:"png" description:"format of the charts"`
 }
 
--- a/cmd/curlewsill/cmd/explain.go
+++ b/cmd/curlewsill/cmd/explain.go
@@ -27,9 +27,9 @@
 // explainCmd is the subcommand explain.
 type explainCmd struct {
 	env  *env
-	Day  bool `long:"day" description:"tell where all jobs of the logs lost time, instead of one job's history"`
+	Day  bool `long:"day" description:"show where all jobs in the logs lost time, instead of one job's history"`
 	Args struct {
-		Names []string `positional-arg-name:"[JOB] LOG" required:"1" description:"a job (not with --day), then logs; a log's name tells its host"`
+		Names []string `positional-arg-name:"[JOB] LOG" required:"1" description:"job (not with --day), then log files, named after their hosts"`
 	} `positional-args:"yes" required:"yes"`
 }
 
--- a/cmd/curlewsill/cmd/jobs.go
+++ b/cmd/curlewsill/cmd/jobs.go
@@ -21,7 +21,7 @@
 	Submit jobsSubmitCmd `command:"submit" description:"Add a job"`
 	List   jobsListCmd   `command:"list" description:"List the jobs"`
 	Show   jobsShowCmd   `command:"show" description:"Show one job"`
-	Cancel jobsCancelCmd `command:"cancel" description:"End a job"`
+	Cancel jobsCancelCmd `command:"cancel" description:"Cancel a job"`
 }
 
 // Execute implements flags.Commander.
@@ -30,15 +30,15 @@
 // jobsSubmitCmd is the subcommand jobs submit.
 type jobsSubmitCmd struct {
 	env          *env
-	ID           string        `long:"id" required:"yes" description:"name of the job, never used before"`
+	ID           string        `long:"id" required:"yes" description:"name of the job; it must not have been used before"`
 	Customer     string        `long:"customer" required:"yes" description:"customer that the job belongs to"`
-	Accelerators int           `long:"accelerators" default:"1" description:"adjacent accelerators, 1 to 64"`
-	Cores        int           `long:"cores" description:"cores for each accelerator"`
-	MemoryMiB    int64         `long:"memory-mib" description:"memory for each accelerator in MiB"`
+	Accelerators int           `long:"accelerators" default:"1" description:"number of adjacent accelerators, 1 to 64"`
+	Cores        int           `long:"cores" description:"CPU cores per accelerator"`
+	MemoryMiB    int64         `long:"memory-mib" description:"memory per accelerator in MiB"`
 	Declared     time.Duration `long:"declared" default:"1h" description:"expected run time"`
-	Once         bool          `long:"once" description:"never start the job a second time"`
-	Urgent       bool          `long:"urgent" description:"go before the customer's other jobs"`
-	Command      string        `long:"command" description:"handed to the workers"`
+	Once         bool          `long:"once" description:"start the job at most once"`
+	Urgent       bool          `long:"urgent" description:"schedule the job before the customer's other jobs"`
+	Command      string        `long:"command" description:"command that the workers receive"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/curlewsill/cmd/load.go
+++ b/cmd/curlewsill/cmd/load.go
@@ -21,16 +21,16 @@
 // loadCmd is the subcommand load.
 type loadCmd struct {
 	env       *env
-	Target    string        `long:"target" required:"yes" value-name:"URL,..." description:"callers' addresses of entry hosts"`
-	Service   string        `long:"service" required:"yes" description:"service to call"`
-	Customers string        `long:"customers" required:"yes" value-name:"NAME,..." description:"customers that take turns"`
-	Rate      float64       `long:"rate" default:"100" description:"requests a second"`
-	Duration  time.Duration `long:"duration" default:"10s" description:"how long to send"`
-	OnceShare float64       `long:"once-share" default:"0" description:"share that must not be repeated, 0 to 1"`
-	Body      int           `long:"body" default:"256" description:"bytes of each request"`
-	Direct    bool          `long:"direct" description:"the targets are backend servers themselves, to compare with"`
-	Seed      uint64        `long:"seed" default:"1" description:"seed of what is drawn"`
-	Ledger    string        `long:"ledger" value-name:"URL" description:"any stand-in backend server, to compare with what ran"`
+	Target    string        `long:"target" required:"yes" value-name:"URL,..." description:"URLs on which entry hosts serve callers"`
+	Service   string        `long:"service" required:"yes" description:"service to send requests to"`
+	Customers string        `long:"customers" required:"yes" value-name:"NAME,..." description:"customers to send requests for, in rotation"`
+	Rate      float64       `long:"rate" default:"100" description:"requests per second"`
+	Duration  time.Duration `long:"duration" default:"10s" description:"how long to send requests"`
+	OnceShare float64       `long:"once-share" default:"0" description:"share of requests that must not be repeated, 0 to 1"`
+	Body      int           `long:"body" default:"256" description:"size of each request body in bytes"`
+	Direct    bool          `long:"direct" description:"the targets are backend servers instead of entry hosts, for comparison"`
+	Seed      uint64        `long:"seed" default:"1" description:"seed of the random choice of requests that must not be repeated"`
+	Ledger    string        `long:"ledger" value-name:"URL" description:"compare with the ledger of any stand-in backend server"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/curlewsill/cmd/plan.go
+++ b/cmd/curlewsill/cmd/plan.go
@@ -16,9 +16,9 @@
 // planCmd is the subcommand plan.
 type planCmd struct {
 	env  *env
-	Out  string `long:"out" value-name:"FILE" description:"keep the plan here for confirm"`
+	Out  string `long:"out" value-name:"FILE" description:"write the plan to this file, for the subcommand confirm"`
 	Args struct {
-		Intent string `positional-arg-name:"INTENT" description:"intent file (INI)"`
+		Intent string `positional-arg-name:"INTENT" description:"file with the configuration changes (INI)"`
 	} `positional-args:"yes" required:"yes"`
 }
 
--- a/cmd/curlewsill/cmd/replay.go
+++ b/cmd/curlewsill/cmd/replay.go
@@ -20,14 +20,14 @@
 // replayCmd is the subcommand replay.
 type replayCmd struct {
 	env      *env
-	Site     string        `long:"site" required:"yes" value-name:"FILE" description:"site to run on (INI)"`
+	Site     string        `long:"site" required:"yes" value-name:"FILE" description:"site to simulate (INI)"`
 	Trace    string        `long:"trace" value-name:"FILE" description:"trace to replay (CSV)"`
-	Policy   string        `long:"policy" default:"first-fit,best-fit,buddy,expected,curlewsill" description:"policies to compare"`
+	Policy   string        `long:"policy" default:"first-fit,best-fit,buddy,expected,curlewsill" description:"comma-separated placement policies to compare"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of a generated trace"`
-	Generate string        `long:"generate" value-name:"LIKENESS" choice:"delta-north" choice:"be-oost" description:"make a trace instead of reading one"`
+	Generate string        `long:"generate" value-name:"LIKENESS" choice:"delta-north" choice:"be-oost" description:"generate a trace with this profile"`
 	Length   time.Duration `long:"length" default:"24h" description:"length of a generated trace"`
-	Print    bool          `long:"print-trace" description:"print the generated trace and stop"`
-	Plot     string        `long:"plot" value-name:"DIR" description:"draw fragmentation and waiting over time"`
+	Print    bool          `long:"print-trace" description:"print the generated trace and exit"`
+	Plot     string        `long:"plot" value-name:"DIR" description:"draw charts of fragmentation and waiting jobs over time into this folder"`
 }
 
 // comparison is the result of replay.
--- a/cmd/curlewsill/cmd/root.go
+++ b/cmd/curlewsill/cmd/root.go
@@ -49,7 +49,7 @@
 type env struct {
 	URL       string `long:"url" env:"CURLEWSILL_URL" default:"http://127.0.0.1:8081" value-name:"URL" description:"operators' interface of any entry host"`
 	TokenFile string `long:"token-file" env:"CURLEWSILL_TOKEN_FILE" value-name:"FILE" description:"file with the operators' token"`
-	JSON      bool   `long:"json" description:"print JSON"`
+	JSON      bool   `long:"json" description:"print the result as JSON"`
 
 	ctx    context.Context
 	stdin  io.Reader
--- a/cmd/curlewsill/cmd/standin.go
+++ b/cmd/curlewsill/cmd/standin.go
@@ -22,9 +22,9 @@
 
 // standinCmd is the subcommand standin.
 type standinCmd struct {
-	Log      standinLogCmd      `command:"log" description:"The log service and the host list"`
-	Workers  standinWorkersCmd  `command:"workers" description:"The workers"`
-	Backends standinBackendsCmd `command:"backends" description:"The backend servers of a service"`
+	Log      standinLogCmd      `command:"log" description:"Run the log service and the host list"`
+	Workers  standinWorkersCmd  `command:"workers" description:"Run the workers"`
+	Backends standinBackendsCmd `command:"backends" description:"Run the backend servers of a service"`
 }
 
 // Execute implements flags.Commander.
@@ -34,8 +34,8 @@
 type standinLogCmd struct {
 	env    *env
 	Listen string        `long:"listen" default:"127.0.0.1:9000" description:"address to listen on"`
-	Keep   int           `long:"keep" default:"100000" description:"records that are kept"`
-	Lag    time.Duration `long:"lag" default:"0s" description:"lag of the host list"`
+	Keep   int           `long:"keep" default:"100000" description:"number of records to keep"`
+	Lag    time.Duration `long:"lag" default:"0s" description:"delay until a new announcement appears in the host list"`
 }
 
 // Execute implements flags.Commander.
@@ -56,10 +56,10 @@
 type standinBackendsCmd struct {
 	env     *env
 	Service string        `long:"service" required:"yes" description:"name of the service"`
-	Hosts   string        `long:"hosts" default:"http://127.0.0.1:9000" description:"host list to announce to"`
+	Hosts   string        `long:"hosts" default:"http://127.0.0.1:9000" description:"URL of the host list in which to announce the backend servers"`
 	Count   int           `long:"count" default:"50" description:"number of backend servers"`
-	Slots   int           `long:"slots" default:"8" description:"slots of each"`
-	Work    time.Duration `long:"work" default:"20ms" description:"time that a request takes"`
+	Slots   int           `long:"slots" default:"8" description:"slots of each backend server"`
+	Work    time.Duration `long:"work" default:"20ms" description:"time that each request takes"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/curlewsilld/cmd/root.go
+++ b/cmd/curlewsilld/cmd/root.go
@@ -27,11 +27,11 @@
 // options are the flags. The flags after Check override the settings file.
 type options struct {
 	Config    string `long:"config" required:"yes" value-name:"FILE" description:"settings file (INI)"`
-	Check     bool   `long:"check" description:"check the settings, print every fault and stop"`
-	Callers   string `long:"callers" value-name:"ADDRESS" description:"listen here for callers"`
-	Operators string `long:"operators" value-name:"ADDRESS" description:"listen here for operators"`
-	Peers     string `long:"peers" value-name:"ADDRESS" description:"listen here for other entry hosts"`
-	LogLevel  string `long:"log-level" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"least level that is logged"`
+	Check     bool   `long:"check" description:"check the settings, print all errors and exit"`
+	Callers   string `long:"callers" value-name:"ADDRESS" description:"address to listen on for callers"`
+	Operators string `long:"operators" value-name:"ADDRESS" description:"address to listen on for operators"`
+	Peers     string `long:"peers" value-name:"ADDRESS" description:"address to listen on for other entry hosts"`
+	LogLevel  string `long:"log-level" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"lowest level to log"`
 }
 
 // Main runs the program and returns its exit code.
--- a/cmd/curlewsilld/cmd/site.go
+++ b/cmd/curlewsilld/cmd/site.go
@@ -21,7 +21,7 @@
 // siteOptions are the flags of the site command.
 type siteOptions struct {
 	Config string `long:"config" env:"CURLEWSILL_BOOT" required:"yes" value-name:"FILE" description:"settings file (INI)"`
-	Check  bool   `long:"check" description:"check the settings, print every fault and stop"`
+	Check  bool   `long:"check" description:"check the settings, print all errors and exit"`
 }
 
 // site runs an entry host on the users' platform and returns the exit code.
