--- a/cmd/curlewsill/cmd/commands.go
+++ b/cmd/curlewsill/cmd/commands.go
@@ -8,7 +8,7 @@
 	return []command{
 		{
 			"plan", "Show what an intent would change",
-			"Reads an intent (INI) and prints the plan. Nothing is changed. With --out the plan is saved for confirm.",
+			"Reads an intent, an INI file with configuration changes, and prints the plan. Nothing is changed. With --out the plan is saved for confirm.",
 			&planCmd{env: e},
 		},
 		{
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -36,14 +36,14 @@
 }
 
 // Now returns the clock's current time.
-func (c *Clock) Now() unit.Instant { return unit.At(c.start).Add(c.passed()) }
+func (c *Clock) Now() unit.Instant { return unit.At(c.start).Add(c.elapsed()) }
 
 // Suspended returns how long the machine was suspended in total since the clock
 // was created, accurate to a few microseconds.
-func (c *Clock) Suspended() time.Duration { return c.passed() - time.Since(c.start) }
+func (c *Clock) Suspended() time.Duration { return c.elapsed() - time.Since(c.start) }
 
-// passed returns the time since the clock was created, including suspensions.
-func (c *Clock) passed() time.Duration {
+// elapsed returns the time since the clock was created, including suspensions.
+func (c *Clock) elapsed() time.Duration {
 	now, err := read()
 	if err != nil {
 		return time.Since(c.start) // can't happen: New has read the system's clock
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -9,7 +9,7 @@
 
 // TestClock checks that a clock starts at the time of day, never goes back, and
 // reports no suspension on a machine that wasn't suspended. The test can't
-// suspend the machine, so that it doesn't check that suspensions are counted.
+// suspend the machine, so it doesn't check that suspensions are counted.
 func TestClock(t *testing.T) {
 	c, err := boottime.New()
 	if err != nil {
--- a/internal/dayreport/dayreport.go
+++ b/internal/dayreport/dayreport.go
@@ -157,9 +157,9 @@
 	h.addLoss(l, causeOf(l.Why))
 }
 
-// addLoss processes the end of a run without success, or a stop order for a run.
-// The cause of the longest such run counts, but memberEnded doesn't replace
-// another cause.
+// addLoss records a run that ended without success or got a stop order, if it
+// lasted longer than all such runs of the job before. Its cause becomes the
+// cause of the job's loss, except that memberEnded replaces no other cause.
 func (h *jobHistory) addLoss(l line, c cause) {
 	began, known := h.starts[l.Task]
 	if lasted := l.When.Sub(began); known && lasted > h.longestLost {
@@ -198,8 +198,8 @@
 // groups jobs.
 const periodLength = 2 * time.Second
 
-// minLost is the smallest loss that counts. A call, a record and an order take
-// about this long in any case.
+// minLost is the smallest loss that the report counts. The call, the job's
+// record and the start order together take about this long for every job.
 const minLost = 500 * time.Millisecond
 
 // rows has the losses by queue, period and cause.
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -149,7 +149,7 @@
 	return fmt.Errorf("%w: %s: found %s, want %s", ErrInvalid, where, found, want)
 }
 
-// Reject records that the value of a key isn't what the reader wants.
+// Reject records a fault of a key: its value isn't what want describes.
 func (s *Section) Reject(key, want string) { s.addFault(key, s.firstValue(key), want) }
 
 func (s *Section) addFault(key, found, want string) {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -119,8 +119,8 @@
 	sent    []sentRequest
 }
 
-// Do executes the run. The function ledger returns what the backend servers ran. It may
-// be nil.
+// Do executes the run. After the last response it calls ledger for what the backend
+// servers ran, to compare the responses with it. If ledger is nil, Do compares nothing.
 func Do(ctx context.Context, r Config, ledger func(context.Context) (backendsvc.Ledger, error)) (Report, error) {
 	if len(r.Targets) == 0 || len(r.Customers) == 0 || r.Rate <= 0 {
 		return Report{}, ErrTargets
--- a/internal/logging/stream.go
+++ b/internal/logging/stream.go
@@ -25,7 +25,7 @@
 	sampleThen  = 50
 	// flushWait is how long an exiting process waits until its last lines are written.
 	flushWait = 200 * time.Millisecond
-	// flushPoll is the interval at which Flush checks whether they are written.
+	// flushPoll is the interval at which Flush checks whether all lines are written.
 	flushPoll = 5 * time.Millisecond
 )
 
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -88,7 +88,8 @@
 	event Event
 	// started is when a gate of the job first opened; 0 before.
 	started unit.Instant
-	// opened is when a gate last opened while no other task of the job was running.
+	// opened is when the first task of the job's latest run started, that is, when
+	// a gate last opened while no other task of the job was running.
 	opened unit.Instant
 	// ended is when the job finished; 0 if it has not.
 	ended unit.Instant
@@ -96,8 +97,7 @@
 	// workers on which its tasks run now.
 	leases  map[id.Lease]bool
 	running map[id.Worker]bool
-	// reclaims is set for a guarantee_used job whose customer had no other such job
-	// in flight at its submission, so that the guarantee must serve it at once.
+	// reclaims is set by mustReclaim at the job's submission.
 	reclaims bool
 }
 
@@ -176,7 +176,7 @@
 	})
 }
 
-// gateOpened records that the gate of a task was opened.
+// gateOpened records that the gate of a task was opened, so that the task runs.
 func (sim *simulation) gateOpened(j *job, w id.Worker, l id.Lease) {
 	if !j.leases[l] && j.event.Once && len(j.leases) > 0 {
 		sim.result.Violations++
@@ -191,7 +191,8 @@
 	j.running[w] = true
 }
 
-// taskEnded records that a task ended.
+// taskEnded records that a task ended. If it is the last running task of its job and
+// did not exit by itself, the work of the whole gang since opened counts as lost.
 func (sim *simulation) taskEnded(j *job, w id.Worker, st worker.TaskState) {
 	if !j.running[w] {
 		return
@@ -250,7 +251,9 @@
 }
 
 // mustReclaim reports whether the event submits a guarantee_used job whose customer
-// has no other such job in flight.
+// has no other such job in flight. The customer's guarantee must then serve the job
+// at once: gangs of other customers that borrow the guaranteed accelerators must make
+// room.
 func (sim *simulation) mustReclaim(e Event) bool {
 	if e.Kind != SubmitGuaranteed {
 		return false
@@ -306,7 +309,8 @@
 	}
 }
 
-// execute writes the entries of the decisions and delivers their syncs.
+// execute writes the entries of the decisions to the log and sends their syncs to
+// the workers, whose reports it passes to the scheduler.
 func (sim *simulation) execute(d sched.Decisions) {
 	for part := range slices.Chunk(d.Entries, batchSize) {
 		for i, err := range sim.write(part...) {
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -49,9 +49,9 @@
 	Accelerators  int
 	Run, Declared time.Duration
 	// Once, Urgent and CrashesEverywhere are flags of a job: it must not be
-	// repeated, it is urgent, or it crashes on every worker. In a file the last one
-	// is the flag bad. Read accepts the flag preemptible and ignores it, because
-	// every job that may be repeated can be preempted.
+	// repeated, it is urgent, or it crashes on every worker. In a file the flag of
+	// CrashesEverywhere is "bad". Read accepts the flag "preemptible" and ignores
+	// it, because every job that may be repeated can be preempted.
 	Once, Urgent, CrashesEverywhere bool
 }
 
--- a/internal/standin/workersvc/workersvc.go
+++ b/internal/standin/workersvc/workersvc.go
@@ -97,8 +97,8 @@
 	return out
 }
 
-// SetFaults replaces the faults of all workers: the ones that aren't named
-// behave well from now on.
+// SetFaults replaces the faults of all workers. Workers that f doesn't name have
+// no fault from then on.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -13,7 +13,7 @@
 	"curlewsill.org/curlewsill/core/route"
 )
 
-// viewTimeout bounds how long a scrape waits for the core.
+// viewTimeout bounds how long a scrape waits for the host's view.
 const viewTimeout = time.Second
 
 // Viewer returns a snapshot of a host's state.
--- a/soak/entries_test.go
+++ b/soak/entries_test.go
@@ -16,8 +16,8 @@
 	missedHeartbeats = 3
 	// entriesInterval is the interval at which all entries are checked.
 	entriesInterval = 20 * time.Millisecond
-	// maxReturnTime bounds how long after the return of the store the entries
-	// that expired during its outage are written again.
+	// maxReturnTime bounds how long after the end of a store outage the entries
+	// that expired during it are written again.
 	maxReturnTime = 2 * time.Second
 	// minLateness and maxLateness bound the delay of the last heartbeat of an
 	// incarnation that crashed.
--- a/soak/evacuate_test.go
+++ b/soak/evacuate_test.go
@@ -17,10 +17,10 @@
 const domainCount = 3
 
 var evacuationKinds = []wideKind{
-	// The operator evacuates one failure domain, or all, and takes that back
-	// later. A new version of the configuration follows at once. Halfway,
-	// "twice" evacuates the domain again, and "damaged" writes a record for it
-	// that can't be parsed.
+	// The operator evacuates one failure domain, or all, and ends the
+	// evacuation later. A new version of the configuration is written right
+	// after the beginning. Halfway through the fault, "twice" evacuates the
+	// domain again, and "damaged" writes a record for it that can't be parsed.
 	{"evacuate", []string{"one", "all", "twice", "damaged"}, 1, 3 * time.Second, 9 * time.Second},
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// openDomain takes back the evacuation of a failure domain.
+// openDomain ends the evacuation of a failure domain.
 func (s *site) openDomain(name string) {
 	s.record(event{Kind: eventOpened, What: name})
 	s.store.EndEvacuation(name)
@@ -74,8 +74,8 @@
 	s.record(e)
 }
 
-// handleEvacuation notes that the operator evacuated a failure domain, or took
-// that back.
+// handleEvacuation records that the operator evacuated a failure domain, or
+// ended its evacuation.
 func (j *judge) handleEvacuation(e event) {
 	_, known := j.evacuatedAt[e.What]
 	switch {
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -64,8 +64,10 @@
 	worker     string
 	number     int
 	start, end time.Duration // end is 0 while the run is in flight
-	how        string
-	noted      bool
+	// how is the outcome of the run, once it has ended. noted is set when the
+	// owner has noted the end.
+	how   string
+	noted bool
 	// crashesWorker is set if each start of the task crashes its worker.
 	crashesWorker bool
 	// overlapping is an earlier run of the task whose end was not yet recorded
--- a/soak/judge_worker_test.go
+++ b/soak/judge_worker_test.go
@@ -111,9 +111,10 @@
 	return n
 }
 
-// startRun records the start of a run. An earlier run without an end is only
-// noted as overlapping for now, since the lapse of a lease is reported slightly
-// late.
+// startRun records the start of a run. If an earlier run has no recorded end,
+// startRun only marks it as overlapping: its lease may have lapsed before the
+// start, since a lapse is reported slightly late. settleOverlaps decides once
+// the end is recorded.
 func (j *judge) startRun(e event, w *workerRecord) {
 	t := j.task(e.Task)
 	r := &runRecord{worker: e.Worker, number: e.Run, start: e.At, crashesWorker: e.Text == crashingText}
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -60,8 +60,8 @@
 	// start.
 	warmUpTime = 2 * time.Second
 	// minFault and maxFault bound the duration of a fault. maxStoreFault bounds
-	// those that affect the whole site, because a store that is away most of
-	// the time leads to nothing but refusals.
+	// those that affect the whole site, because with a store that is
+	// unavailable most of the time hosts refuse almost all calls.
 	minFault, maxFault = 200 * time.Millisecond, 5 * time.Second
 	maxStoreFault      = 2500 * time.Millisecond
 	// meanPause is the mean pause between the beginnings of two faults on three
--- a/soak/planted_test.go
+++ b/soak/planted_test.go
@@ -30,12 +30,13 @@
 	}
 }
 
-// judgePart judges one history of a file.
+// judgePart judges one part of a file: the text after "# " up to the next one.
+// A part that begins with neither "fails" nor "keeps" is a comment.
 func judgePart(t *testing.T, part string) {
 	t.Helper()
 	head, _, _ := strings.Cut(part, "\n")
-	want, failing := strings.CutPrefix(head, "fails ")
-	if !failing && !strings.HasPrefix(head, "keeps") {
+	want, mustFail := strings.CutPrefix(head, "fails ")
+	if !mustFail && !strings.HasPrefix(head, "keeps") {
 		return // a comment
 	}
 	want, _, _ = strings.Cut(want, ":")
@@ -43,7 +44,7 @@
 	if err != nil || len(events) == 0 {
 		t.Fatal(head, len(events), err)
 	}
-	if got := checksOf(judged(events)); failing && !slices.Equal(got, []string{want}) || !failing && len(got) > 0 {
+	if got := checksOf(judged(events)); mustFail && !slices.Equal(got, []string{want}) || !mustFail && len(got) > 0 {
 		t.Errorf("%s: found %v", head, got)
 	}
 }
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -28,8 +28,8 @@
 	dir       string
 	startedAt time.Time
 	store     *standin.Store
-	// address is where the store listens. Its handler replaces the addresses of
-	// hosts by those of proxies.
+	// address is where the store listens, behind serveStore, which replaces the
+	// peer addresses of hosts by those of proxies.
 	address string
 	gangs   *standin.Gangs
 	// namesMachines is set if the entries of workers name their machine.
@@ -78,8 +78,8 @@
 	// worker after crashTime.
 	crashingText = "crashes"
 	crashTime    = 10 * time.Millisecond
-	// minAway and maxAway bound how long such a worker is away. Those of the
-	// platform return after some seconds.
+	// minAway and maxAway bound the time from such a crash to the restart of
+	// the worker. Workers of the platform restart after some seconds.
 	minAway, maxAway = 300 * time.Millisecond, 2500 * time.Millisecond
 )
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -54,10 +54,10 @@
 // sourceDirs are the folders from which curlewsilld is built.
 var sourceDirs = []string{"../cmd", "../core", "../internal", "../platform"}
 
-// readSources reads the files from which curlewsilld is built. The go command
-// reuses a cached test result as long as the files that the tests have read are
-// unchanged; without these reads it wouldn't test a changed program again.
-// Reads before the tests run, as in TestMain, don't count.
+// readSources reads the files from which curlewsilld is built, so that the go
+// command runs the tests again when one of them has changed: it reuses a cached
+// test result as long as the files that the tests have read are unchanged. Reads
+// before the tests run, as in TestMain, don't count for this.
 func readSources() error {
 	for _, dir := range sourceDirs {
 		err := filepath.WalkDir(dir, func(path string, e fs.DirEntry, err error) error {
--- a/soak/wide_test.go
+++ b/soak/wide_test.go
@@ -68,13 +68,15 @@
 	// All hosts end one after the other.
 	{"turns", []string{"kill", "term"}, 1, 0, 2 * time.Second},
 	// A worker that keeps running can't reach the store and can't be reached by
-	// hosts. This lasts longer than its entry stays listed, and not as long as
+	// hosts. This lasts longer than its entry stays listed, but less than
 	// a lease.
 	{"apart", []string{"refuse", "mute", "both"}, 3, 5 * time.Second, 9 * time.Second},
-	// The store is away, and all entries have expired when it returns.
+	// The store is unavailable, and all entries have expired when it is
+	// available again.
 	{"lapse", []string{"busy", "hang"}, 1, 1500 * time.Millisecond, 4 * time.Second},
-	// A worker leaves: its entry expires without a drain notice, or it
-	// announces draining and is isolated for the last part of its stay.
+	// A worker leaves. Its entry expires without a drain notice ("unsaid"), or
+	// the worker announces draining and is isolated from half of the announced
+	// drain time on.
 	{"parting", []string{"unsaid", "refuse", "mute"}, 1, 4 * time.Second, 8 * time.Second},
 }
 
@@ -82,11 +84,11 @@
 	// A worker crashes and returns as another incarnation at another address of
 	// its machine.
 	{"moved", []string{"plain", "late"}, 1, 50 * time.Millisecond, time.Second},
-	// A worker that has announced draining is isolated for the last part of its
-	// stay, while connections from hosts are still accepted.
+	// A worker that has announced draining is isolated from half of the
+	// announced drain time on, while connections from hosts are still accepted.
 	{"leaving", []string{"both"}, 1, 5 * time.Second, 8 * time.Second},
-	// The next version of the configuration, with another random part of the
-	// queues.
+	// The operator writes the next version of the configuration, with another
+	// random part of the queues.
 	{"queues", []string{"change"}, 1, 0, 0},
 }
 
@@ -214,32 +216,34 @@
 	return true
 }
 
-// crashMany crashes a random share of the workers at once.
+// crashMany crashes a random share of the workers at once. They restart under
+// their IDs if the variant is "again" and workers report their start times.
+// Otherwise other incarnations replace them.
 func (s *site) crashMany(f fault) {
-	one := fault{kind: f.variant, variant: "cut", duration: f.duration}
+	crash := fault{kind: f.variant, variant: "cut", duration: f.duration}
 	if !s.reportStart {
-		one = fault{kind: "reborn", variant: "mute", duration: f.duration}
+		crash = fault{kind: "reborn", variant: "mute", duration: f.duration}
 	}
-	share := minStorm + s.intN(maxStorm-minStorm+1)
-	var all sync.WaitGroup
-	for i := range max(1, len(s.workers)*share/100) {
+	percent := minStorm + s.intN(maxStorm-minStorm+1)
+	var wg sync.WaitGroup
+	for i := range max(1, len(s.workers)*percent/100) {
 		w := s.workers[(f.target+i)%len(s.workers)]
 		if incarnation, _ := w.current(); incarnation != nil {
-			all.Go(func() { s.injectIncarnationFault(w, incarnation, one) })
+			wg.Go(func() { s.injectIncarnationFault(w, incarnation, crash) })
 		}
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // stopHostsInTurn ends all hosts one after the other, so that the owner changes
 // while outdated entries are still listed.
 func (s *site) stopHostsInTurn(f fault) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range s.hosts {
-		all.Go(func() { s.injectFault(fault{kind: f.variant, variant: "restart", target: i, duration: f.duration}) })
+		wg.Go(func() { s.injectFault(fault{kind: f.variant, variant: "restart", target: i, duration: f.duration}) })
 		time.Sleep(hostStopInterval)
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // injectIncarnationFault carries out a fault of a worker's incarnation.
@@ -363,9 +367,9 @@
 	}
 }
 
-// leaveService lets a worker leave. It keeps running for a while after its
-// entry has expired, or after the stay that it announced; it may be isolated
-// from the hosts meanwhile.
+// leaveService lets a worker leave. The worker keeps running for a while after
+// its entry has expired, or after the drain time that it announced. It may be
+// isolated from the store and the hosts meanwhile.
 func (w *worker) leaveService(incarnation *standin.Worker, f fault) {
 	s := w.site
 	rejoin := func() { w.setIsolated(incarnation, f.variant, false) }
