--- a/cmd/curlewsill/cmd/commands.go
+++ b/cmd/curlewsill/cmd/commands.go
@@ -17,7 +17,7 @@
 			&confirmCmd{env: e},
 		},
 		{
-			"apply", "Plan, show, ask, confirm",
+			"apply", "Put an intent in force after confirmation",
 			"Shows the plan for an intent, asks for confirmation, and puts it in force.",
 			&applyCmd{env: e},
 		},
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -51,8 +51,8 @@
 	return a.queues[job]
 }
 
-// caller submits jobs and asks for them. Its connections are its own, and it
-// keeps them until they end.
+// caller submits jobs and requests their state. It shares no connections with
+// other callers, and reuses a connection until it ends or is closed as idle.
 type caller struct {
 	pool   *callerPool
 	random *rand.Rand
@@ -260,8 +260,8 @@
 	return "short", []standin.Step{{Count: count}}
 }
 
-// awaitJobs asks for all jobs until each has ended or is unknown, or until the
-// deadline.
+// awaitJobs requests the state of all jobs until each has ended or is unknown,
+// or until the deadline.
 func (c *caller) awaitJobs(deadline time.Time) {
 	c.pool.mu.Lock()
 	pending := append([]string{}, c.pool.jobs...)
--- a/soak/inject_test.go
+++ b/soak/inject_test.go
@@ -20,12 +20,12 @@
 
 // inject carries out a plan and returns when all faults have ended.
 func (s *site) inject(p plan) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, f := range p.faults {
 		time.Sleep(time.Until(s.startedAt.Add(f.at)))
-		all.Go(func() { s.injectFault(f) })
+		wg.Go(func() { s.injectFault(f) })
 	}
-	all.Wait()
+	wg.Wait()
 	s.clearFaults()
 }
 
@@ -101,7 +101,7 @@
 	p.mu.Unlock()
 	if ending {
 		if f.kind == "kill" {
-			s.record(event{Kind: eventFaultBegan, What: p.incarnation}) // a planned stop that SIGKILL cuts short counts as disturbed
+			s.record(event{Kind: eventFaultBegan, What: p.incarnation}) // a planned stop that SIGKILL cuts short counts as a fault of the host
 		}
 		_ = p.signal(map[string]syscall.Signal{"term": syscall.SIGTERM, "kill": syscall.SIGKILL}[f.kind])
 		return // the fault that ended the process first starts the next one
@@ -136,7 +136,8 @@
 	s.during(target, begin, f.duration, end)
 }
 
-// directions are the directions in which a proxy can be cut.
+// directions are the directions in which a proxy can be cut, by their names in
+// the variants of faults.
 var (
 	directions = map[string]faultproxy.Direction{
 		"to-target": faultproxy.ToTarget, "from-target": faultproxy.FromTarget, "both": faultproxy.Both,
@@ -197,20 +198,21 @@
 	}
 }
 
-// injectEverywhere injects a fault into all hosts or all workers at once.
+// injectEverywhere injects a fault of the kind f.variant into all hosts at once,
+// or for "wire" into the connections to all workers.
 func (s *site) injectEverywhere(f fault) {
-	var all sync.WaitGroup
-	one := fault{kind: f.variant, variant: "both", duration: f.duration}
+	var wg sync.WaitGroup
+	single := fault{kind: f.variant, variant: "both", duration: f.duration}
 	if f.variant == "kill" {
-		one.variant = "restart"
+		single.variant = "restart"
 	}
 	for i := range max(len(s.hosts), len(s.workers)) {
-		one.target = i
+		single.target = i
 		if i < len(s.hosts) && f.variant != "wire" || i < len(s.workers) && f.variant == "wire" {
-			all.Go(func() { s.injectFault(one) })
+			wg.Go(func() { s.injectFault(single) })
 		}
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // clearFaults ends the fault of the store and all evacuations, restores all
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -71,13 +71,24 @@
 	// host fault is given the same host.
 	sameTargetShare = 0.3
 	// plannedOneIn is the number of seeds of which one has only changes that
-	// operators plan. Beside other faults most calls count as disturbed, so
-	// that planned stops are hardly checked there.
+	// operators plan. In the other seeds most calls are made near a fault, where
+	// the judge allows them to be cut, so that planned stops are hardly checked.
 	plannedOneIn = 4
 )
 
 // faultKinds are the kinds of faults of all plans, with their variants and
-// weights.
+// weights:
+//   - "term", "kill" and "pause" send a signal to a host's process; "hup" changes
+//     its settings and reloads them
+//   - "path", "link" and "callers" affect a host's connections to the store, from
+//     its peers and from callers
+//   - "store" and "worker" affect how the store or a worker answers, and "wire"
+//     the connections from hosts to a worker
+//   - "crash" and "drain" end an incarnation of a worker, "drain" after it has
+//     announced draining
+//   - "config" writes a new version of the configuration
+//   - "all" injects the fault that its variant names into all hosts, or for "wire"
+//     into the connections to all workers
 var faultKinds = []struct {
 	kind     string
 	variants []string
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -284,17 +284,17 @@
 
 // stopAll stops all hosts with planned stops.
 func (s *site) stopAll() {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, h := range s.hosts {
 		if p := h.running(); p != nil {
-			all.Go(func() {
+			wg.Go(func() {
 				if err := p.stop(true); err != nil {
 					s.t.Error(err)
 				}
 			})
 		}
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // killAll kills the processes that are left, through their own handles, and
