--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -29,10 +29,10 @@
 	// workers never reach these numbers.
 	minCrashes    = 5
 	minCrashShare = 1.0 / 8
-	// maxExcused is how many crashes soon after its starts a task may be
-	// excused. Together with the three that end its job, they make up the
-	// number of starts that the platform allows. Without the bound, tasks that
-	// crash their workers at once excuse each other indefinitely.
+	// maxExcused is how many crashes soon after a start are excused for one
+	// task. Together with the three that end its job, they make up the number
+	// of starts that the platform allows. Without the bound, tasks that crash
+	// their workers at once excuse each other indefinitely.
 	maxExcused = 2
 )
 
@@ -48,9 +48,9 @@
 	explained, repeatedCrash bool
 }
 
-// excuseCommonCause takes back the counts of a service's newest crashes if so
-// many of them are unexplained, or so many happened at all, that they must have
-// a common cause.
+// excuseCommonCause takes back the counts of a service's newest crashes if they
+// must have a common cause: there are too many without an explanation, or too
+// many altogether, to be independent.
 func (d *Dispatcher) excuseCommonCause(service id.Service) {
 	all, unexplained := 0, 0
 	for _, e := range d.incarnationEnds {
@@ -98,7 +98,7 @@
 	d.noteRun(EventCrashExcused, r, fmt.Sprintf("%d workers crashed together, which suggests a common cause", crashes), r.confirmedRuntime())
 }
 
-// noteExcused counts a crash soon after its start that a task was excused.
+// noteExcused counts an excused crash that came soon after a start of the task.
 func (s *stepState) noteExcused(index int) {
 	if s.excusedCrashes == nil {
 		s.excusedCrashes = map[int]int{}
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -46,7 +46,8 @@
 	// numbers of usable and of empty workers of each rack.
 	pools map[id.Service]*pool
 	racks map[rackName]*rackUse
-	// incarnationEnds holds the worker crashes within the last commonCause.
+	// incarnationEnds holds the latest worker crashes, as far back as the
+	// duration commonCause.
 	incarnationEnds []*incarnationEnd
 	// window bounds the number of start orders in flight.
 	window window
@@ -121,22 +122,22 @@
 // is known.
 func (d *Dispatcher) PlacedRuns() int { return d.placedRuns }
 
-// Take returns the orders that may be sent at once.
-func (d *Dispatcher) Take() Orders {
+// TakeOrders returns the orders that may be sent at once.
+func (d *Dispatcher) TakeOrders() Orders {
 	o := d.orders
 	d.orders = Orders{}
 	return o
 }
 
-// Notes returns the decisions made since the last call.
-func (d *Dispatcher) Notes() []Note {
+// TakeNotes returns the decisions made since the last call.
+func (d *Dispatcher) TakeNotes() []Note {
 	n := d.notes
 	d.notes = nil
 	return n
 }
 
-// Guarantee sets the number of accelerators guaranteed to a customer.
-func (d *Dispatcher) Guarantee(c id.Customer, accelerators int) { d.guaranteed[c] = accelerators }
+// SetGuarantee sets the number of accelerators guaranteed to a customer.
+func (d *Dispatcher) SetGuarantee(c id.Customer, accelerators int) { d.guaranteed[c] = accelerators }
 
 // List adds or updates a worker from its entry in the platform's list.
 func (d *Dispatcher) List(now unit.Instant, l fleet.Listing) {
@@ -172,17 +173,17 @@
 }
 
 // Unlist records that the platform's list no longer contains a worker. The
-// worker may still run, cut off from the platform's store.
-func (d *Dispatcher) Unlist(_ unit.Instant, name id.Worker) {
-	w := d.workers[name]
+// worker may still be up, but partitioned from the platform's store.
+func (d *Dispatcher) Unlist(_ unit.Instant, workerID id.Worker) {
+	w := d.workers[workerID]
 	if w == nil || !w.listed {
 		return
 	}
 	w.listed = false
-	d.note(Note{Event: EventWorkerUnlisted, Worker: name})
+	d.note(Note{Event: EventWorkerUnlisted, Worker: workerID})
 }
 
-// worker returns a worker by name, adding it if it isn't known yet. A new one
+// worker returns a worker by its id, adding it if it isn't known yet. A new one
 // is assumed to hold leases that an earlier owner granted up to now.
 func (d *Dispatcher) worker(now unit.Instant, name id.Worker) *worker {
 	w := d.workers[name]
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -61,7 +61,8 @@
 	verdict fleet.Verdict
 }
 
-// run advances the time. Batches are in the store at once.
+// run makes scheduling passes for a duration. Each batch is committed, and each
+// order answered, as soon as the pass has ended.
 func (f *failingFleet) run(duration time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := f.now.Add(duration); f.now < end; f.now = f.now.Add(step) {
@@ -73,8 +74,8 @@
 		if ok {
 			f.d.Committed(f.now, b)
 		}
-		f.answer(f.d.Take())
-		f.d.Notes()
+		f.answer(f.d.TakeOrders())
+		f.d.TakeNotes()
 	}
 }
 
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -36,9 +36,10 @@
 	// that can be bad: the platform lets a seventh of the workers fail
 	// everything they start.
 	maxSuspendedShare = 1.0 / 3
-	// failurePenalty is added to the leftover of a placement for each failure
-	// in a row on its worker. It outweighs all other parts of the leftover, so
-	// that other workers are preferred.
+	// failurePenalty is added to the score of a placement (see the function
+	// leftover; the lowest score wins) for each failure in a row on its worker.
+	// It outweighs all other parts of the score, so that other workers are
+	// preferred.
 	failurePenalty = 10
 	// avoidAfterFailure is how long a task isn't placed again where it has just
 	// failed, if there are other workers. It is less than the 3 s after which a
@@ -111,7 +112,7 @@
 		if d.policy.SuspendAtOnce && r.failedImmediately(now) && r.step.job.blameWorker(w.ID, d.maxBlamed(w.Service)) {
 			w.failureStreak = suspendAfterFailures
 		}
-		d.suspendFailing(now, w, "a task failed at once, or tasks of several jobs in a row")
+		d.suspendFailing(now, w, "a task failed immediately, or tasks of several jobs failed in a row")
 	case fleet.EndStopped, fleet.EndLeaseExpired, fleet.EndGangBroken, fleet.EndGangTimeout:
 	}
 }
@@ -204,10 +205,10 @@
 // reports whether the worker is assumed to be at fault: if the job failed this
 // way on more than maxWorkers workers, the job is.
 func (js *jobState) blameWorker(w id.Worker, maxWorkers int) bool {
-	if !slices.Contains(js.failedAtOnceOn, w) {
-		js.failedAtOnceOn = append(js.failedAtOnceOn, w)
+	if !slices.Contains(js.failedImmediatelyOn, w) {
+		js.failedImmediatelyOn = append(js.failedImmediatelyOn, w)
 	}
-	return len(js.failedAtOnceOn) <= maxWorkers
+	return len(js.failedImmediatelyOn) <= maxWorkers
 }
 
 // onProbation reports whether a worker was suspended and has completed nothing
@@ -227,8 +228,8 @@
 	}
 }
 
-// failureStreakPenalty returns what is added to the leftover of a placement on a worker
-// whose latest runs failed.
+// failureStreakPenalty returns the penalty, in addition to the leftover, for a
+// placement on a worker whose latest runs failed.
 func (w *worker) failureStreakPenalty() float64 {
 	return failurePenalty * float64(min(w.failureStreak, suspendAfterFailures))
 }
--- a/core/dispatch/room.go
+++ b/core/dispatch/room.go
@@ -5,8 +5,8 @@
 	"curlewsill.org/curlewsill/core/job"
 )
 
-// acceleratorWeight makes free accelerators count more than free processors or
-// memory in leftover: they are the scarce resource.
+// acceleratorWeight is the weight of accelerators in leftover; processors and
+// memory have the weight 1. Accelerators are the scarce resource.
 const acceleratorWeight = 2
 
 // occupy makes a run take capacity of its worker. An older run of the same task
@@ -100,7 +100,7 @@
 		acceleratorWeight*fraction(float64(free.Accelerators), float64(capacity.Accelerators))
 }
 
-// fraction returns amount / whole, or 0 for a resource that there is none of.
+// fraction returns amount / whole, or 0 if whole is 0.
 func fraction(amount, whole float64) float64 {
 	if whole == 0 {
 		return 0
--- a/core/dispatch/script_test.go
+++ b/core/dispatch/script_test.go
@@ -89,8 +89,8 @@
 	workers map[string]fleet.Listing
 	waves   []upkeep.Wave
 	// evacuated holds the failure domains that the operator has evacuated.
-	// informed is as of when the owner knows them; 0 if it has not been
-	// informed.
+	// informed is the time as of which the owner knows them; 0 if it doesn't
+	// know any.
 	evacuated []id.Domain
 	informed  unit.Instant
 
@@ -153,7 +153,7 @@
 	for _, name := range sorted(s.workers) {
 		s.d.List(s.now, s.workers[name])
 	}
-	s.d.Evacuate(s.evacuated)
+	s.d.SetEvacuated(s.evacuated)
 	s.d.ConfirmEvacuations(s.informed)
 	for _, w := range s.waves {
 		s.d.SetWave(s.now, s.now.Add(s.ahead), w)
--- a/core/dispatch/window.go
+++ b/core/dispatch/window.go
@@ -33,15 +33,15 @@
 	decreaseInterval = 100 * time.Millisecond
 )
 
-// window bounds how many starts are pending, that is decided but without a
-// verdict. Beyond the bound, tasks wait without an order, so that urgent work
-// that arrives later goes first and no order is old when it is sent. The zero
-// value is not ready for use; call newWindow.
+// window bounds how many starts are pending, which means that they are decided
+// and have no verdict yet. Beyond the bound, no order is issued for waiting
+// tasks, so that urgent work that arrives later goes first and no order is out
+// of date when it is sent. The zero value is not ready for use; call newWindow.
 type window struct {
 	// size is between minWindow and maxWindow.
 	size float64
-	// reduced is when the size was last reduced.
-	reduced unit.Instant
+	// reducedAt is when the size was last reduced.
+	reducedAt unit.Instant
 	// pendingStarts counts the starts that are pending in this pass.
 	pendingStarts int
 }
@@ -56,15 +56,16 @@
 		w.size = min(maxWindow, w.size+1)
 		return
 	}
-	if now.Sub(w.reduced) >= decreaseInterval {
-		w.reduced, w.size = now, max(minWindow, w.size*windowDecrease)
+	if now.Sub(w.reducedAt) >= decreaseInterval {
+		w.reducedAt, w.size = now, max(minWindow, w.size*windowDecrease)
 	}
 }
 
 // available returns how many more starts may be decided. A gang may start as a
 // whole whenever any part of the window is free. If it had to wait until all
-// its members fit into the window, or until no start was pending, it would
-// never start beside 20 urgent tasks a second, nor would anything behind it.
+// its members fit into the window, or until no start is pending, it would never
+// start while 20 urgent tasks a second arrive, and neither would the tasks
+// behind it in the order.
 func (w *window) available(tasks int, gang bool) int {
 	free := int(w.size) - w.pendingStarts
 	switch {
@@ -86,8 +87,8 @@
 }
 
 // pending reports whether a run counts as a pending start. If its order got no
-// answer, it counts while its worker answers others, since the order is
-// repeated.
+// answer, it counts as long as its worker answers other orders, since the order
+// is repeated.
 func (r *run) pending(now unit.Instant) bool {
 	return r.state == runOrdered || r.state == runStarting && (r.inFlight || now.Sub(r.worker.lastAnswerAt) < maxAnswerAgeForPending)
 }
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -10,8 +10,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// owner is the host that schedules. Its processor does one work item after the
-// other.
+// owner is the host that schedules. Its processor executes one work item at a
+// time.
 type owner struct {
 	world      *World
 	host       *host
@@ -52,7 +52,7 @@
 	w.owner = o
 	h.election.BecomeOwner(w.now)
 	for _, g := range w.setup.Guarantees {
-		o.dispatcher.Guarantee(g.Customer, g.Accelerators)
+		o.dispatcher.SetGuarantee(g.Customer, g.Accelerators)
 	}
 	for _, s := range w.submissions {
 		o.loadJob(s.Name)
@@ -105,8 +105,8 @@
 	}
 }
 
-// runNext begins the next work item. It completes items that take no time at
-// once, one after the other.
+// runNext begins the next work item that takes time. It completes the items
+// before it, which take none, in the same call.
 func (o *owner) runNext() {
 	w := o.world
 	o.busy = true
@@ -194,7 +194,7 @@
 // violations among them. An owner that a worker has fenced ends.
 func (o *owner) countNotes() {
 	w := o.world
-	for _, n := range o.dispatcher.Notes() {
+	for _, n := range o.dispatcher.TakeNotes() {
 		w.events[n.Event]++
 		if n.Event == dispatch.EventViolated {
 			w.recordViolation("the dispatcher reported a violation: " + n.Why)
@@ -263,10 +263,10 @@
 
 // sendOrders sends the orders that the dispatcher has released.
 func (o *owner) sendOrders() {
-	orders := o.dispatcher.Take()
+	orders := o.dispatcher.TakeOrders()
 	for _, x := range orders.Starts {
-		mayLeave := func() bool { return o.dispatcher.StartRules().DenialReason(o.world.now, x.Domain) == "" }
-		o.sendOrder(x.Target, mayLeave, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.ClockReading) {
+		maySend := func() bool { return o.dispatcher.StartRules().DenialReason(o.world.now, x.Domain) == "" }
+		o.sendOrder(x.Target, maySend, func(m *machine) fleet.Verdict { return m.startRun(x) }, func(v fleet.Verdict, c fleet.ClockReading) {
 			o.dispatcher.Started(o.world.now, dispatch.StartResult{Start: x, Verdict: v, Clock: c})
 		})
 	}
@@ -294,13 +294,13 @@
 	}})
 }
 
-// alwaysAllowed permits an order to leave at any time.
+// alwaysAllowed permits an order to be sent at any time.
 func alwaysAllowed() bool { return true }
 
-// sendOrder sends one order, unless mayLeave forbids that when its turn comes,
-// and passes the answer to the dispatcher. An order that waits past the timeout
-// is still executed, but its answer is lost.
-func (o *owner) sendOrder(t dispatch.Target, mayLeave func() bool, execute func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.ClockReading)) {
+// sendOrder sends one order once the processor and the link are free, unless
+// maySend forbids it then, and passes the answer to the dispatcher. An order
+// that waits past the timeout is still executed, but its answer is lost.
+func (o *owner) sendOrder(t dispatch.Target, maySend func() bool, execute func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.ClockReading)) {
 	w := o.world
 	decided := w.now
 	o.enqueueSend(func() {
@@ -308,7 +308,7 @@
 		answer := func(v fleet.Verdict, after time.Duration) {
 			w.Schedule(after, func() { o.enqueueEvent(func(*owner) { answered(v, m.clock()) }) })
 		}
-		if !mayLeave() {
+		if !maySend() {
 			answer(fleet.Unreachable, 0)
 			return
 		}
@@ -317,7 +317,8 @@
 	})
 }
 
-// deliver delivers on a connection an order that was decided at a given time.
+// deliver delivers an order, which was decided at a given time, on a
+// connection.
 func (o *owner) deliver(c connection, t dispatch.Target, decided unit.Instant, execute func(*machine) fleet.Verdict,
 	answer func(fleet.Verdict, time.Duration),
 ) {
@@ -404,8 +405,8 @@
 			answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
 			return
 		}
-		// This timeout answers if the incarnation ends while the renewal waits
-		// there, because no other answer comes then.
+		// If the incarnation ends while the renewal waits there, no other
+		// answer comes, and this timeout ends the renewal.
 		answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
 		w.Schedule(half, func() {
 			if !c.isOpen() {
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// maxFreshOrders limits the orders of one kind in flight that were sent less
-	// than freshOrderAge ago; older ones don't count. Workers answer within a
-	// few milliseconds, so 64 are enough for several thousand orders a second.
-	// If a new owner sent all renewals at once, their goroutines would starve
-	// the deciding goroutine.
+	// maxFreshOrders limits the orders of one kind in flight that were sent
+	// less than freshOrderAge ago; older ones don't count. Workers answer
+	// within a few milliseconds, so 64 are enough for several thousand orders a
+	// second. If a new owner sent all renewals at once, their goroutines would
+	// starve the deciding goroutine.
 	maxFreshOrders = 64
 	freshOrderAge  = 100 * time.Millisecond
 	// maxStarts and maxStops limit the number of goroutines for each kind of
@@ -82,7 +82,7 @@
 // to the advice service, and for each wave as many orders as it may take
 // machines down.
 func (o *owner) sendOrders(ctx context.Context) {
-	orders := o.core.Take()
+	orders := o.core.TakeOrders()
 	o.enqueueOrders(ctx, orders)
 	for _, x := range orders.Asks {
 		go o.send(ctx, "ask", func() (fleet.Verdict, event) { return o.askAdvice(ctx, x) })
@@ -127,8 +127,8 @@
 // sent any more.
 func (o *owner) start(ctx context.Context, s dispatch.Start) orderCall {
 	return func() (fleet.Verdict, event) {
-		res, held := o.held(s)
-		if !held {
+		res, denied := o.denyStart(s)
+		if !denied {
 			res = o.host.workers.Start(ctx, s)
 		}
 		return res.Verdict, o.started(res)
@@ -221,7 +221,7 @@
 
 // logDecisions logs and counts the dispatcher's decisions.
 func (o *owner) logDecisions() {
-	for _, n := range o.core.Notes() {
+	for _, n := range o.core.TakeNotes() {
 		if n.Event == dispatch.EventViolated {
 			o.host.metrics.faults.Inc()
 		}
