--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -42,9 +42,9 @@
 	workers []*worker
 	victims []*run
 	// cost is the work that is lost by stopping the victims, in core-seconds.
-	// leftover is the sum over the workers of what the function leftover
-	// returns and of their penalties. Among assignments of equal cost, the one
-	// with the least leftover wins.
+	// leftover adds up, for each worker, the result of the function leftover
+	// and the worker's penalty. Among assignments of equal cost, the one with
+	// the least leftover wins.
 	cost, leftover float64
 }
 
@@ -66,7 +66,7 @@
 // runs must be stopped for it at what cost.
 type roomFunc func(now unit.Instant, c candidate, w *worker, need job.Resources) (free job.Resources, victims []*run, cost float64)
 
-// freeRoom is the roomFunc of the capacity that is free now.
+// freeRoom is a roomFunc that counts only the capacity that is free now.
 func (d *Dispatcher) freeRoom(_ unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 	return w.free(), nil, 0
 }
--- a/core/dispatch/preempt.go
+++ b/core/dispatch/preempt.go
@@ -23,10 +23,11 @@
 	minHorizon       = time.Second
 	maxHorizon       = 8 * time.Second
 	maxWaitingClaims = 2
-	// fewerDivisor determines how the search for room for a part of the waiting
-	// tasks proceeds: while there can't be room, one task in fewerDivisor is
-	// left out, and the search is repeated for the others. fewerInterval is the
-	// least time between two such searches, which take longer than a pass.
+	// fewerDivisor determines how chooseFewer searches room for a part of the
+	// waiting tasks: until it finds room, it leaves out one task in fewerDivisor
+	// of those that remain, at least one, and searches for the others.
+	// fewerInterval is the minimum time between two such series of searches,
+	// which take longer than a pass.
 	fewerDivisor  = 4
 	fewerInterval = 200 * time.Millisecond
 )
@@ -70,7 +71,7 @@
 }
 
 // chooseFewer is choosePreempted for a part of the waiting tasks. It leaves out
-// more and more of them until there can be room for the rest.
+// more and more of them until it finds room for the rest.
 func (d *Dispatcher) chooseFewer(now unit.Instant, c candidate, fits []*worker) (assignment, bool) {
 	for n := len(c.waiting); n > 1; {
 		n -= max(1, n/fewerDivisor)
@@ -99,8 +100,8 @@
 	}
 }
 
-// roomWithin returns the roomFunc of the capacity that is free or expected to
-// be free within a time.
+// roomWithin returns a roomFunc that counts the capacity that is free or is
+// expected to be free within the time horizon. It stops no runs.
 func (d *Dispatcher) roomWithin(horizon time.Duration) roomFunc {
 	return func(now unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 		free := w.free()
@@ -113,9 +114,10 @@
 	}
 }
 
-// preemptibleRoom is the roomFunc of the capacity that is free or can be freed
-// for urgent work. Runs that are already being stopped count as free, since
-// their room needs no further stop.
+// preemptibleRoom is a roomFunc. It returns the capacity that is free or can be
+// freed for urgent work, the runs to stop for it, and the cost of stopping them.
+// The room of runs that are already being stopped counts as free, since it needs
+// no further stop.
 func (d *Dispatcher) preemptibleRoom(now unit.Instant, c candidate, w *worker, need job.Resources) (job.Resources, []*run, float64) {
 	free := w.free()
 	var others []*run
@@ -124,8 +126,9 @@
 		case r.state == runStopping:
 			free = free.Add(r.taken())
 		case r.step != nil && d.suspect(r.step, r.task.Index):
-			// If a suspect is stopped, its run gives no evidence and uses up
-			// one of the few starts that are left to its task.
+			// The task may have crashed workers. If its run were stopped, it
+			// wouldn't show whether the task crashes another, and would use up
+			// one of the few starts that are left to the task.
 		case r.step != nil && r.step.job.spec.Priority > c.step.job.spec.Priority && mayStopAll(r):
 			others = append(others, r)
 		}
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -54,9 +54,9 @@
 	CarriedOut
 	// Fenced orders had a fence below one that the worker has seen.
 	Fenced
-	// Stale orders name a run whose number is not above that of a run that was
-	// stopped or has ended on the worker, or a machine that doesn't belong to
-	// the maintenance wave.
+	// Stale orders are out of date. Either a run of the task with the same or a
+	// higher number was already stopped or has already ended on the worker, or
+	// the machine doesn't belong to the maintenance wave that the order names.
 	Stale
 	// LeaseExpired orders had a lease that had expired by the worker's clock.
 	LeaseExpired
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -82,7 +82,8 @@
 
 // Inventory is the map of all racks. It is not safe for concurrent use.
 type Inventory struct {
-	// Racks is in ascending order of IDs. The caller may read its elements.
+	// Racks holds the racks in ascending order of their IDs. Other packages may
+	// read the elements, but must not change them.
 	Racks []Rack
 
 	rackIndex     map[id.Rack]int
--- a/core/jobtable/progress.go
+++ b/core/jobtable/progress.go
@@ -16,10 +16,10 @@
 // can't exhaust the memory.
 const maxTasks = 1 << 20
 
-// packedProgress is the encoded form of a job's progress. Most tasks of a
-// repeated job are done or waiting, and many have the same worker or checkpoint.
-// Consecutive tasks in the same state are therefore written once with a count,
-// and each name is written once.
+// packedProgress is the encoded form of a job's progress. When a job has several
+// rounds, most of its tasks are done or waiting, and many have the same worker or
+// checkpoint. Consecutive tasks in the same state are therefore written once with
+// a count, and each name of a worker or checkpoint is written once.
 type packedProgress struct {
 	_       struct{} `cbor:",toarray"`
 	Outcome job.Outcome
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -83,8 +83,9 @@
 		case noRoom:
 			return false
 		case preempting:
-			// Blocks are set aside for one pass only, so every pass must try this
-			// group until the job starts.
+			// The block is set aside for this pass only. Every pass must therefore
+			// try the group again until the job starts, even if nothing was freed
+			// in between.
 			group.NoRoomAt = 0
 			return true
 		}
--- a/core/state/check.go
+++ b/core/state/check.go
@@ -36,9 +36,10 @@
 	return s.find(s.Config, &p)
 }
 
-// checkHome checks the cell of a placement, and that the accelerators that it
-// would hold without being preemptible overlap none that a non-preemptible job
-// holds already.
+// checkHome checks the cell of a placement, if it has one. If the placement can't
+// be preempted, checkHome also checks that what it would hold, its home or else
+// its block, doesn't overlap what another non-preemptible job holds. Jobs in the
+// same cell share its home, and must agree on it.
 func (s *State) checkHome(j *Job, p record.Place) error {
 	required := p.Block
 	if p.Cell.Guarantee != "" {
@@ -64,8 +65,11 @@
 	return nil
 }
 
-// checkCell checks that the cell of a placement belongs to a guarantee of the job's
-// customer, and that its home is usable and contains the block.
+// checkCell checks a placement that uses a guarantee. A cell is one block of a
+// guarantee, and its home is the place to which it is bound while jobs use it. The
+// cell must belong to a guarantee of the job's customer. The home must have the
+// size of the guarantee's blocks, contain the block of the placement, and consist
+// of accelerators on which new tasks may be placed.
 func (s *State) checkCell(j *Job, p record.Place) error {
 	g, ok := s.Config.Guarantees[p.Cell.Guarantee]
 	switch {
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -73,7 +73,7 @@
 	Epoch id.Epoch `cbor:"2,keyasint" json:"epoch"`
 }
 
-// Writer is the last batch of one incarnation of one host.
+// Writer says which batch of one incarnation of one host was applied last.
 type Writer struct {
 	// Seq is the sequence number of the last batch applied. A batch with the same
 	// or a lower number is a duplicate.
@@ -95,7 +95,7 @@
 	Key      string      `cbor:"2,keyasint"`
 }
 
-// KeyHolder is the holder of a Key.
+// KeyHolder says which request, on which host, has claimed a Key.
 type KeyHolder struct {
 	Host    id.Host    `cbor:"1,keyasint"`
 	Request id.Request `cbor:"2,keyasint"`
--- a/core/witness/witness.go
+++ b/core/witness/witness.go
@@ -47,7 +47,7 @@
 // Witness maps each cell that is not in use to its place.
 type Witness map[record.Cell]block.Block
 
-// Cells returns the cells of w in ascending order.
+// Cells returns the cells that have a place in w, sorted by guarantee and index.
 func (w Witness) Cells() []record.Cell {
 	return slices.SortedFunc(maps.Keys(w), func(a, b record.Cell) int {
 		return cmp.Or(cmp.Compare(a.Guarantee, b.Guarantee), cmp.Compare(a.Index, b.Index))
@@ -117,9 +117,9 @@
 	)
 }
 
-// bestFit takes size accelerators from the shortest run that is long enough. It
-// prefers a start that is a multiple of the size, so that the halves of a rack
-// stay unbroken for larger blocks.
+// bestFit takes size adjacent accelerators from the shortest sequence of free
+// accelerators that is long enough. It prefers a start that is a multiple of the
+// size, so that the halves of a rack stay unbroken for larger blocks.
 func bestFit(racks []RackSpace, size int) (block.Block, bool) {
 	best, start, shortest := -1, 0, block.MaxSize+1
 	for i, r := range racks {
@@ -139,7 +139,7 @@
 }
 
 // bestStart returns the best start for size accelerators in one rack, and the
-// length of the run that contains it.
+// length of the sequence of free accelerators that contains it.
 func bestStart(free uint64, size int) (start, run int, ok bool) {
 	run = block.MaxSize + 1
 	aligned := false
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -353,8 +353,9 @@
 	return rep
 }
 
-// endIncarnation ends the worker's incarnation. Its runs vanish without ends
-// that are reported. The worker comes back after a time, or never if that is 0.
+// endIncarnation ends the worker's incarnation. Its runs vanish, and their ends
+// are never reported. The next incarnation starts after the time down, under the
+// id that next selects, or never if down is 0.
 func (m *machine) endIncarnation(down time.Duration, next idChoice) {
 	if !m.up {
 		return
@@ -454,9 +455,9 @@
 	})
 }
 
-// drain announces that the worker leaves, ends its incarnation after the
-// remaining time, and starts the next one after the duration back, or never if
-// that is 0.
+// drain announces that the worker leaves after the time remaining, and ends its
+// incarnation then. The next incarnation starts after a further time, back, or
+// never if back is 0.
 func (m *machine) drain(remaining, back time.Duration) {
 	if !m.up {
 		return
--- a/core/world/setup.go
+++ b/core/world/setup.go
@@ -136,8 +136,9 @@
 	// MinPassInterval and MaxPassInterval are the minimum and the maximum time
 	// between two scheduling passes.
 	MinPassInterval, MaxPassInterval time.Duration
-	// EventTimeFactor times the duration of a pass is how long events are
-	// processed before the next pass.
+	// EventTimeFactor is the minimum time between the end of a pass and the
+	// next pass, as a multiple of the duration of the first. It leaves time to
+	// process events, and applies even where it exceeds MaxPassInterval.
 	EventTimeFactor float64
 	// ListingDelay is the delay until the owner learns of a change of the list
 	// of workers.
--- a/internal/conntrack/conntrack.go
+++ b/internal/conntrack/conntrack.go
@@ -37,13 +37,12 @@
 )
 
 const (
-	// provenWithin is the length of the period before a call is found
-	// unanswered in which other connections must have worked. A connection
-	// stays trusted if a call that was answered on it was sent in this period.
-	// Bytes that arrived on a connection in this period show that the path
-	// works. The shortest timeout of a call is 600 ms, so a path that was
-	// silent during a whole call was already silent 300 ms before the call's
-	// end.
+	// provenWithin is the length of a period that ends when a call is found
+	// unanswered. Another connection stays trusted if a call that was answered
+	// on it was sent in this period. Bytes that arrived on a connection in this
+	// period show that the path works. The shortest timeout of a call is 600 ms,
+	// so a path that was silent during a whole call was already silent 300 ms
+	// before the call's end.
 	provenWithin = 300 * time.Millisecond
 	// overdueAfter is how long an answer must be overdue when its call is
 	// canceled to make other connections suspect: slow stores and workers
@@ -198,10 +197,13 @@
 	t.onDead(f)
 }
 
-// markSuspects makes the connections to the address of a dead one suspect, and
-// returns those of them that are idle. It reports false and changes nothing if
-// bytes have arrived recently on the dead one, or on another that was open
-// before it went silent: answers are slow then, as over a saturated link.
+// markSuspects makes the connections to the address of a dead connection
+// suspect, except those that were proven within provenWithin. It returns the
+// suspects that are idle, without the dead connection itself. If the path turns
+// out to work, it changes nothing and returns false for silent: bytes have
+// arrived within provenWithin on the dead connection, or on another that was
+// already open when bytes last arrived on the dead one. Answers are only slow
+// then, as over a saturated link.
 func (t *Transport) markSuspects(dead *conn) (idle []*conn, silent bool) {
 	since := time.Now().Add(-provenWithin)
 	t.mu.Lock()
--- a/internal/entry/operator_internal_test.go
+++ b/internal/entry/operator_internal_test.go
@@ -11,10 +11,11 @@
 	"curlewsill.org/curlewsill/internal/settings"
 )
 
-// TestWaitOfOperator checks how long a read of the operator's log waits, by
-// testdata/waits/operator.txt. A line has the bound of a configuration, the
-// bound of an evacuation (0 for none), whether the host is the owner, and the
-// wait.
+// TestWaitOfOperator checks how long a read of the operator's log waits for new
+// records, by the lines of testdata/waits/operator.txt. A line has four fields:
+// the time within which a new configuration must be in force; how long a task may
+// still start in an evacuated failure domain, or 0 where operators don't evacuate;
+// whether the host is the owner; and the wait to expect.
 func TestWaitOfOperator(t *testing.T) {
 	scripttest.EachLine(t, "waits/operator.txt", func(f []string) {
 		times := make([]time.Duration, 0, 3)
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -219,7 +219,8 @@
 }
 
 // append assigns the sequence number of an append to a log and returns the
-// function that makes it. Without records, that function does nothing.
+// function that makes it. Without records, that function does nothing and returns
+// the greatest time as sent, because writeAll takes the minimum of these times.
 func (o *owner) append(ctx context.Context, l *ownerLog, recs []jobtable.Record) func() appendResult {
 	if len(recs) == 0 {
 		return func() appendResult { return appendResult{sent: math.MaxInt64} }
@@ -233,7 +234,8 @@
 }
 
 // persist repeats an append until it succeeds, can't succeed any more, or this
-// host is no longer the owner. It returns when the last attempt was sent.
+// host is no longer the owner. It returns the time at which the last attempt was
+// sent, or 0 if ctx is done first.
 func (o *owner) persist(ctx context.Context, topic platform.Topic, recs []jobtable.Record, w platform.Writer) (unit.Instant, error) {
 	var bk backoff
 	dep := dependency{log: o.host.log, name: "store append " + string(topic)}
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -106,7 +106,8 @@
 	return n
 }
 
-// do executes one command.
+// do executes one command of a script; TestPath describes the commands. It
+// leaves those that it doesn't handle itself to doNetwork and doQuery.
 func (s *site) do(f []string) {
 	switch f[0] {
 	case "hosts", "weak":
--- a/internal/relay/silence_internal_test.go
+++ b/internal/relay/silence_internal_test.go
@@ -116,9 +116,10 @@
 	return p.direct.silent
 }
 
-// TestSilentPeer checks that a peer that got no answer is avoided while there
-// are others, like one that was refused. Otherwise each call would be tried
-// through the one peer with an open link.
+// TestSilentPeer checks that a peer through which a call got no answer is
+// avoided while there are other peers, as is a peer through which a call was
+// refused. Otherwise each further call would be tried on the open link to the
+// silent peer.
 func TestSilentPeer(t *testing.T) {
 	p := newPeeredTransport(t, refusingTransport{}, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, p.base+"/x", nil)
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// do runs one command.
+// do executes one command of a script; TestSilent describes the commands.
 func (w *pair) do(t *testing.T, words []string) {
 	t.Helper()
 	n := 0
