--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -26,9 +26,9 @@
 	minYield     = 0.1
 	yieldWeight  = 0.2
 	// askPause is how long a host is not used after its question got no answer.
-	// It doubles with each failure in a row up to maxAskPause, since each
-	// question to a host that is cut off delays a step until the question has
-	// timed out.
+	// It doubles with each consecutive failure, up to maxAskPause, because each
+	// question sent through a host that is cut off delays a step until the
+	// question times out.
 	askPause    = 200 * time.Millisecond
 	maxAskPause = 3200 * time.Millisecond
 	// maxDoublings keeps the doubling from overflowing.
@@ -88,8 +88,9 @@
 // SetAdvisers sets the number of hosts that can ask the advice service.
 func (d *Dispatcher) SetAdvisers(n int) { d.advice.resize(n) }
 
-// consult asks the advice service about more workers for a step, if a host can
-// ask now. A permit that expires within the duration ahead counts as none.
+// consult asks the advice service about more workers for a step, if the step
+// needs its permission and a host can ask now. It also asks about workers whose
+// permit expires within the duration ahead.
 func (d *Dispatcher) consult(now unit.Instant, c candidate, ahead time.Duration) {
 	advice := c.step.job.spec.Advice
 	if !advice.Needed || c.step.adviceInFlight {
@@ -111,10 +112,10 @@
 }
 
 // workersToAsk returns the workers to ask about: as many as are likely to be
-// enough, and at least as many as can be asked about in twice the time of a
-// question that names none, up to askBatch. They may include workers without
-// room: a refusal is permanent, and a permit may still be valid when the worker
-// has room.
+// enough, up to askBatch. It returns at least as many as can be asked about in
+// twice the time of a question that names no workers. They may include workers
+// without room: a refusal is permanent, and a permit may still be valid when
+// the worker has room.
 func (c *candidate) workersToAsk(now unit.Instant, ahead time.Duration, advice job.Advice, yield float64) []id.Worker {
 	s := c.step
 	need := s.step.Reserved()
--- a/core/dispatch/assure_test.go
+++ b/core/dispatch/assure_test.go
@@ -57,8 +57,9 @@
 	for s.now.Sub(assured) < 9*time.Second {
 		s.now = s.now.Add(10 * time.Millisecond)
 		elapsed := s.now.Sub(assured)
-		// The last confirmation is 1 s after the start, the next one when the
-		// outage is over.
+		// For about 5 s the owner can't confirm that it is the only one: the
+		// last confirmation before that is 1 s after the start, the next one
+		// 6.05 s after it.
 		if elapsed <= time.Second || elapsed >= 6050*time.Millisecond {
 			s.d.ConfirmSoleOwner(s.now)
 		}
--- a/core/dispatch/check.go
+++ b/core/dispatch/check.go
@@ -40,7 +40,8 @@
 	return checkGang(s, r)
 }
 
-// checkGang checks that a gang starts as a whole and under one run number.
+// checkGang checks that a gang starts as a whole and under one run number. It
+// returns what is violated, or an empty string.
 func checkGang(s *stepState, r *run) string {
 	if !s.step.Gang {
 		return ""
--- a/core/dispatch/claim.go
+++ b/core/dispatch/claim.go
@@ -12,9 +12,9 @@
 // were stopped for it or are expected to end soon. It counts as reserved on its
 // workers until it is used, dropped or expired.
 type claim struct {
-	// workers has one entry for each waiting task, or for the first of them if
-	// there can't be room for all. A worker that is to take several tasks
-	// occurs as often.
+	// workers has one entry for each waiting task, or only for the first tasks
+	// if there can't be room for all. A worker that is to take several tasks
+	// has several entries.
 	workers []*worker
 	// until is when the claim expires if the room hasn't become free.
 	until unit.Instant
@@ -53,9 +53,10 @@
 	return true
 }
 
-// mayUseOtherRoom reports whether a step may give up its reserved room for
-// other room that is free. Urgent work then starts earlier by up to the time of
-// a stop, and the next waiting step gets the room that was freed.
+// mayUseOtherRoom reports whether a step may give up its reserved room and take
+// other room that is free now. Urgent work may do so only under the policy
+// switch TakeFreed: it then starts earlier by up to the time that the runs in
+// the reserved room need to stop, and the next waiting step gets that room.
 func (d *Dispatcher) mayUseOtherRoom(s *stepState) bool {
 	return s.job.spec.Priority > 0 || d.policy.TakeFreed
 }
--- a/core/dispatch/commoncause.go
+++ b/core/dispatch/commoncause.go
@@ -23,10 +23,10 @@
 	minUnexplained      = 3
 	minUnexplainedShare = 1.0 / 30
 	// minCrashes and minCrashShare are the same bounds for crashes with or
-	// without an explanation. Half of the workers start something within the
-	// 2 s that a renewal may wait at a worker, so that in a large outage nearly
-	// every crash seems to come soon after a start. Tasks that crash their
-	// workers never reach these numbers.
+	// without an explanation. A renewal may wait at a worker for 2 s, and half
+	// of the workers start something within that time. In a large outage nearly
+	// every crash therefore seems to come soon after a start. Tasks that crash
+	// their workers never reach these numbers.
 	minCrashes    = 5
 	minCrashShare = 1.0 / 8
 	// maxExcused is how many crashes soon after a start are excused for one
@@ -42,9 +42,10 @@
 	service id.Service
 	// counted holds the runs that the crash was counted against.
 	counted []*run
-	// explained is set if one of these runs may well be the cause because it
-	// had just begun. repeatedCrash is set if workers have crashed before under
-	// the task of one of them; such a crash is no evidence of a common cause.
+	// explained is set if one of these runs had just begun and is therefore a
+	// probable cause. repeatedCrash is set if workers have crashed before under
+	// the task of one of these runs; such a crash is no evidence of a common
+	// cause.
 	explained, repeatedCrash bool
 }
 
--- a/core/dispatch/crash.go
+++ b/core/dispatch/crash.go
@@ -18,10 +18,10 @@
 const (
 	// maxEarlyCrashes is how many workers in a row may crash soon after starts
 	// of a task before its job fails. The platform allows two more starts after
-	// the third crash, and allows giving up after the second. A task that
-	// merely ran beside the culprit reaches this count only if workers crash
-	// for other causes soon after its next two starts, which run apart from
-	// other tasks.
+	// the third crash, and allows the job to be failed after the second. A task
+	// that merely ran beside the cause is isolated from other tasks in its next
+	// two runs, so it reaches this count only if workers crash for other
+	// reasons soon after both starts.
 	maxEarlyCrashes = 3
 	// maxCrashes is the limit for crashes at any time after a start: the third
 	// crash plus the two more starts that the platform allows.
@@ -31,10 +31,10 @@
 	// start. Most tasks that crash workers do so immediately. A longer time
 	// would attribute more unrelated crashes to the task.
 	earlyCrashTime = 300 * time.Millisecond
-	// minRepeatedCrashes is the number of crashes under a task from which a
-	// further one is no evidence of a common cause. Without it, tasks that
-	// crash workers some time after their starts would excuse each other
-	// indefinitely.
+	// minRepeatedCrashes is the number of crashes under a task from which
+	// another crash under it is no evidence of a common cause. Without this
+	// bound, tasks that crash workers some time after their starts would excuse
+	// each other indefinitely.
 	minRepeatedCrashes = 2
 	// crashResetAfter is how long after a run's start its worker must have
 	// answered for the crash counts of its task to be reset, so that unrelated
@@ -62,9 +62,10 @@
 }
 
 // mustBeUpAt reports whether a draining worker must still be up at a time. The
-// worker announces the earliest time of its end on its own clock. An upper
-// bound of that clock is the reading in its last answer plus the time since the
-// renewal that it answered was sent.
+// worker announces the earliest time of its end, as a reading of its own clock.
+// The function compares that reading with an upper bound of the clock: the
+// reading in the worker's last answer, plus the time since the answered renewal
+// was sent.
 func (w *worker) mustBeUpAt(at unit.Instant) bool {
 	if w.syncedAsOf == 0 || w.syncedClock == 0 {
 		return false
--- a/core/dispatch/crashcount.go
+++ b/core/dispatch/crashcount.go
@@ -9,9 +9,9 @@
 // The crash counts are part of the job's progress record, keyed by the position
 // of the task.
 
-// anyCrashCount reports whether the crash count of a task satisfies a
-// predicate, or that of any member of its gang, since a gang starts and stops
-// as a whole.
+// anyCrashCount reports whether the crash count of a task, or of any member of
+// its gang, satisfies the predicate match. Members count because a gang starts
+// and stops as a whole.
 func (s *stepState) anyCrashCount(index int, match func(job.CrashCount) bool) bool {
 	for _, c := range s.job.progress.Crashes {
 		if s.startsWith(index, c.Task) && match(c) {
@@ -21,8 +21,10 @@
 	return false
 }
 
-// startsWith reports whether the task at a position of the job's progress is
-// the one at an index of the step, or a member of its gang.
+// startsWith reports whether two tasks always start together. index is the
+// first one's index in the step, position the second one's position in the
+// job's progress. They start together if they are the same task or members of
+// one gang.
 func (s *stepState) startsWith(index, position int) bool {
 	if s.step.Gang {
 		return position >= s.base && position < s.base+s.step.Count
--- a/core/dispatch/fence.go
+++ b/core/dispatch/fence.go
@@ -5,8 +5,8 @@
 	"curlewsill.org/curlewsill/core/id"
 )
 
-// A worker may restart under its name, and its next incarnation carries out
-// orders that were meant for the previous one unless it has seen a higher
+// A worker may restart under its name. Its next incarnation then carries out
+// orders that were meant for the previous one, unless it has seen a higher
 // fence. The fence is therefore raised (gets a higher revision) for each new
 // incarnation, and for each lost renewal while an order that changes something
 // may still be in flight. The first renewal that the next incarnation answers
@@ -28,19 +28,20 @@
 	w.fenceRevision, w.changeSent = d.lastFenceRevision, false
 }
 
-// raiseAfterLoss raises the fence after a renewal that got no answer, if an
-// order that must not reach the next incarnation may have been sent under the
-// present fence. Raising it for each lost renewal would use up the owner's
-// raises within minutes while a large failure domain is unreachable.
+// raiseAfterLoss raises the fence after a renewal that got no answer. It does
+// so only if an order that must not reach the next incarnation may have been
+// sent under the present fence; see worker.changeSent. Raising it for each lost
+// renewal would use up the owner's raises within minutes while a large failure
+// domain is unreachable.
 func (d *Dispatcher) raiseAfterLoss(w *worker) {
 	if w.changeSent {
 		d.raiseFence(w)
 	}
 }
 
-// raisedSince reports whether this owner has raised the fence of an order's
-// addressee, or of another incarnation under its name, after the order was
-// sent.
+// raisedSince reports whether this owner has raised the fence since it sent an
+// order. It considers the target of the order and all other incarnations under
+// the target's name.
 func (d *Dispatcher) raisedSince(t Target) bool {
 	name := fleet.NameOf(t.Worker)
 	for _, w := range d.workersByID {
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -8,7 +8,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// placeGang places all members of a gang or none.
+// placeGang places all members of a gang, or none. If there is no room for all,
+// it tries to free or reserve room.
 func (d *Dispatcher) placeGang(now unit.Instant, c candidate, fits []*worker) bool {
 	chosen := d.chooseGang(now, c, fits, d.freeRoom)
 	if chosen.workers == nil {
@@ -43,8 +44,8 @@
 	victims []*run
 	// cost is the work that is lost by stopping the victims, in core-seconds.
 	// leftover adds up, for each worker, the result of the function leftover
-	// and the worker's penalty. Among assignments of equal cost, the one with
-	// the least leftover wins.
+	// and the worker's penalty. Of several assignments with equal cost, the one
+	// with the least leftover is chosen.
 	cost, leftover float64
 }
 
@@ -137,15 +138,16 @@
 	penalty float64
 }
 
-// extension is a worker's share with one more member; ok is false if there is
-// no room for it.
+// extension is the share that a worker would have with one more member. ok is
+// false if the worker has no room for another member.
 type extension struct {
 	workerShare workerShare
 	ok          bool
 }
 
-// assign puts the members on workers one by one, each where it costs least.
-// Only the extension of the worker that got the member is computed again.
+// assign chooses workers for the members one by one, each time the worker where
+// one more member costs least. A choice changes only what the next member would
+// cost on the chosen worker, so only that extension is computed again.
 func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, roomOf roomFunc) assignment {
 	s := c.step
 	need := s.step.Reserved()
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -15,10 +15,11 @@
 	// gets no tasks. Healthy workers fail a run now and then, too.
 	suspendAfterFailures = 3
 	suspensionTime       = 5 * time.Second
-	// immediateFailureTime is the time after its start within which a run fails
-	// on a worker that fails everything it starts; on a healthy worker a run
-	// works for a while before it fails. One such failure is enough to suspend
-	// the worker, since each further one costs a gang.
+	// immediateFailureTime is the time after a run's start within which a
+	// failure is blamed on its worker: a faulty worker fails everything at its
+	// start, while on a healthy one a run works for a while before it fails.
+	// One such failure is enough to suspend the worker, since each further
+	// failure costs a whole gang.
 	immediateFailureTime = 200 * time.Millisecond
 	// maxBlamedWorkers limits how many workers are suspended for immediate
 	// failures of one job; beyond it, the job is assumed to be at fault. With
@@ -71,9 +72,9 @@
 }
 
 // withoutRecentFailures filters out the workers on which one of the waiting
-// tasks has just failed, unless no others are left. Without it, tasks would
-// return to a worker that fails everything it starts, since that one has the
-// most room.
+// tasks has just failed, unless no others are left. Without this filter, tasks
+// would return to a worker that fails everything it starts, since such a worker
+// has the most room.
 func (c *candidate) withoutRecentFailures(now unit.Instant, workers []*worker) []*worker {
 	if len(c.step.lastFailures) == 0 {
 		return workers
@@ -201,9 +202,10 @@
 	return n
 }
 
-// blameWorker records that a run of the job failed immediately on a worker, and
-// reports whether the worker is assumed to be at fault: if the job failed this
-// way on more than maxWorkers workers, the job is.
+// blameWorker records that a run of the job failed immediately on a worker. It
+// reports whether the worker is assumed to be at fault. If the job failed this
+// way on more than maxWorkers workers, the job itself is assumed to be at
+// fault.
 func (js *jobState) blameWorker(w id.Worker, maxWorkers int) bool {
 	if !slices.Contains(js.failedImmediatelyOn, w) {
 		js.failedImmediatelyOn = append(js.failedImmediatelyOn, w)
@@ -215,8 +217,9 @@
 // since. It gets one run at a time until then.
 func (w *worker) onProbation() bool { return w.failureStreak >= suspendAfterFailures }
 
-// endProbation ends a worker's probation if a run there has worked for a while
-// and made progress: a long-running task never ends with success.
+// endProbation ends a worker's probation if a run there has worked for
+// probationTime and made progress. A success ends the probation too, but a
+// long-running task never ends with one.
 func (w *worker) endProbation(now unit.Instant) {
 	if !w.onProbation() {
 		return
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -11,10 +11,10 @@
 )
 
 // A worker may restart under its name. Its next incarnation accepts orders that
-// were meant for the previous one. Everything that ran on the previous one has
-// ended, but the next one may have received the order to start a run. Such a
-// task is placed again only after the next one has reported whether it has the
-// run.
+// were meant for the previous one. Every run on the previous incarnation has
+// ended, but the next one may have received the start order of such a run. The
+// task is placed again only after the next incarnation has reported whether it
+// has the run.
 
 // maxOrderDelay is how long after it was sent an unanswered order may still be
 // carried out by the platform.
@@ -44,10 +44,10 @@
 func (w *worker) unreplacedNamesake(o *worker) bool { return w != o && w.name == o.name && !w.replaced }
 
 // successor returns the incarnation that answered in place of another one of
-// its name. Its own list entry may not have been read yet. If a third
-// incarnation has already replaced the successor, the successor gets another
-// renewal, and the runs that it inherits are passed on to the third one after
-// that.
+// its name. The successor's own list entry may not have been read yet. If a
+// third incarnation has already replaced the successor, the successor gets
+// another renewal, and the runs that it inherits are passed on to the third one
+// after that.
 func (d *Dispatcher) successor(now unit.Instant, w *worker, successorID id.Worker) *worker {
 	next := d.worker(now, successorID)
 	if next.Address == "" {
@@ -72,8 +72,9 @@
 }
 
 // inherit transfers runs, unanswered start orders and lease expiries from a
-// worker to next, the next incarnation under its name, which may have received
-// the orders that were meant for the worker, or may still receive them.
+// worker to next, the next incarnation under its name. That incarnation may
+// have received orders that were meant for the worker, or may still receive
+// them.
 func (d *Dispatcher) inherit(now unit.Instant, w, next *worker) {
 	if w.renewalLeaseExpiry != 0 {
 		d.noteUnansweredLease(w, now)
@@ -103,8 +104,11 @@
 	next.nextRenewal = min(next.nextRenewal, now)
 }
 
-// mayReachSuccessor reports whether an order to start the run may reach, or may
-// have reached, the next incarnation under its worker's name.
+// mayReachSuccessor reports whether the next incarnation under the worker's
+// name may receive, or may have received, an order to start the run. That is so
+// if a recent copy of the order got no answer, or if nothing proves that the
+// present incarnation started the run. An order that was never sent can't reach
+// it.
 func (r *run) mayReachSuccessor(now unit.Instant) bool {
 	unanswered := (r.startUnanswered || r.startLeaseExpiry != 0) && now.Sub(r.startSentAt) <= maxOrderDelay
 	answeredOnly := r.startedAt != 0 && r.worker.syncedAsOf <= r.startedAt
@@ -158,10 +162,10 @@
 }
 
 // inheritedMissing handles an answer of the next incarnation under a name that
-// doesn't list a run placed on the previous one. An order to start it that got
-// no answer may still arrive, so the run is stopped there. Otherwise the run
-// ended with the previous incarnation, or has ended here while the worker
-// collected its two lists.
+// doesn't list a run placed on the previous one. If a start order got no
+// answer, it may still arrive, so the run is stopped there. Otherwise the run
+// ended with the previous incarnation, or it ended on this one while the worker
+// collected its lists of running and ended tasks.
 func (d *Dispatcher) inheritedMissing(now unit.Instant, r *run, sent unit.Instant) {
 	if r.startUnanswered {
 		d.stopWithGang(now, r, whyLateStart)
@@ -171,9 +175,9 @@
 }
 
 // inheritedFound handles an answer of the next incarnation under a name that
-// reports a run placed on the previous one. If only one order to start was
-// sent, the previous one never had the run, so its crash isn't counted against
-// the run.
+// reports a run placed on the previous one. If only one start order was sent,
+// the previous incarnation never had the run, so the crash of that incarnation
+// isn't counted against the run.
 func (d *Dispatcher) inheritedFound(r *run) {
 	if r.inheritedFrom == "" {
 		return
@@ -184,8 +188,9 @@
 	r.inheritedFrom = ""
 }
 
-// recordLateStart records, when a run has ended, an order to start it that may
-// still be carried out.
+// recordLateStart keeps the start order of a run that has ended, if a copy of
+// it got no answer. The next incarnation under the worker's name may still
+// carry out that copy.
 func (r *run) recordLateStart() {
 	w := r.worker
 	if !r.startUnanswered && r.startLeaseExpiry == 0 || !fleet.HasStart(w.ID) {
@@ -197,11 +202,11 @@
 
 // endsToAck returns the number of the last end that a renewal acknowledges, so
 // that the worker forgets the ends up to it; 0 for none. The next incarnation
-// under the name may receive the renewal instead, and would forget ends of its
-// own that were never read, so that their tasks would run again. So each number
-// is sent only once, and only shortly after this incarnation has answered. If
-// its last answer is too old, another renewal without an acknowledgement is
-// sent first.
+// under the name may receive the renewal instead. It would then forget ends of
+// its own that the owner has never read, and their tasks would run again. To
+// prevent this, each number is sent only once, and only shortly after this
+// incarnation has answered. If its last answer is too old, another renewal
+// without an acknowledgement is sent first.
 func (w *worker) endsToAck(now unit.Instant) uint64 {
 	switch {
 	case !fleet.HasStart(w.ID):
--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -125,7 +125,10 @@
 // dropTasks drops the state of the tasks of a job that has ended.
 func (js *jobState) dropTasks() { js.progress.Tasks, js.progress.Crashes = nil, nil }
 
-// resume takes over the runs that an earlier owner has placed.
+// resume takes over the tasks of a job from its progress in the store, with the
+// runs that an earlier owner has placed. A waiting task of a gang that still
+// names a worker has a last run that was already counted as a failure; see
+// rememberFailedWorker.
 func (d *Dispatcher) resume(now unit.Instant, js *jobState) {
 	if len(js.progress.Tasks) == 0 {
 		return
--- a/core/dispatch/lasting.go
+++ b/core/dispatch/lasting.go
@@ -39,8 +39,8 @@
 func (s *stepState) bounded() bool { return s.step.LongRunning && s.step.MaxUnavailable > 0 }
 
 // mayStopAll reports whether the runs may be stopped together, each with its
-// gang, without making more tasks of a step unavailable than its customer
-// allows. A task that isn't operational counts as unavailable already.
+// gang. No step may then have more unavailable tasks than its customer allows.
+// A task that isn't operational counts as unavailable already.
 func mayStopAll(victims ...*run) bool {
 	stopped := map[*run]bool{}
 	for _, v := range victims {
@@ -73,10 +73,11 @@
 	return slices.Collect(maps.Values(r.step.runs))
 }
 
-// releaseGangRoom releases the room that is reserved without preemption for
-// work that isn't urgent, in services in which long-running tasks have waited
-// for longRunningMaxWait: those must run again soon if there is any room for
-// them. It returns these services.
+// releaseGangRoom releases reserved room when long-running tasks have waited
+// for longRunningMaxWait, because they must run again soon if there is any room
+// for them. It releases only room that is reserved for work that isn't urgent,
+// in the services of those tasks, and returns these services. No run was
+// stopped for such room.
 func (d *Dispatcher) releaseGangRoom(now unit.Instant, candidates []candidate) map[id.Service]bool {
 	waiting := map[id.Service]bool{}
 	for _, c := range candidates {
--- a/core/dispatch/lease.go
+++ b/core/dispatch/lease.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// clockDrift is how much faster than a worker's clock the owner's may run:
-	// the platform lets workers' clocks be 2 % slow.
+	// clockDrift is the largest ratio of the speed of the owner's clock to that
+	// of a worker's clock: the platform lets workers' clocks be 2 % slow.
 	clockDrift = 1.0 / 0.98
 	// leaseExpiryMargin is added to the end of each lease: an order takes a few
 	// milliseconds to reach the worker, and timers fire late.
 	leaseExpiryMargin = 200 * time.Millisecond
 	// soleOwnerValidity is how long an owner grants leases after the latest
-	// time for which it knows that no other host was the owner. It knows that
-	// from its reads of the jobs, of which the newest is 1 s old at most, or
-	// 2.6 s after a read that failed. The next owner waits soleOwnerValidity
-	// longer.
+	// time for which it knows that no other host was the owner. It learns this
+	// time from its reads of the jobs; the newest read is 1 s old at most, or
+	// 2.6 s after a failed one. For runs of an earlier owner, the next owner
+	// assumes leases that were granted up to soleOwnerValidity after it took
+	// them over.
 	soleOwnerValidity = 3 * time.Second
 )
 
@@ -47,7 +48,8 @@
 	d.note(Note{Event: event, Age: age})
 }
 
-// age returns how long ago something was known; 0 if it never was.
+// age returns the time from known until now; 0 if known is 0, which means
+// never.
 func age(now, known unit.Instant) time.Duration {
 	if known == 0 {
 		return 0
@@ -71,8 +73,9 @@
 }
 
 // recordGrant handles the verdict of an order that grants a lease until a time.
-// An order that was certainly not sent has granted none. Without this exception
-// the tasks of a crashed worker would wait for a lease that nobody holds.
+// An order that was certainly not sent has granted no lease. Without this
+// exception, the tasks of a crashed worker would wait for the expiry of a lease
+// that was never granted.
 func (w *worker) recordGrant(until unit.Instant, v fleet.Verdict) {
 	if v != fleet.Unreachable {
 		w.grantedLeaseExpiry = max(w.grantedLeaseExpiry, until)
@@ -85,7 +88,8 @@
 	return now.Add(scale(d.config.MaxLease, clockDrift)).Add(leaseExpiryMargin)
 }
 
-// clock returns a reading that the worker's clock has reached for certain.
+// clock returns a lower bound of the worker's clock: its last known reading
+// plus the time since then, on a clock that is slow by clockDrift.
 func (w *worker) clock(now unit.Instant) fleet.ClockReading {
 	passed := float64(now.Sub(w.clockAt)) / clockDrift
 	return w.Clock + fleet.ClockReading(passed)
--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -8,9 +8,9 @@
 )
 
 // A machine has one incarnation after the other, each a worker of its own. The
-// list may show two of them at a time, in an order that says nothing about
-// their age: most runs that were given up because of that order would still be
-// running. Only answers of workers show which incarnation is current.
+// platform's list may show two of them at a time, in an order that says nothing
+// about their age: most runs that were given up because of that order would
+// still be running. Only answers of workers show which incarnation is current.
 
 // evidence is the reason to conclude that nothing runs any more on a worker
 // that hasn't reported so itself.
@@ -33,9 +33,10 @@
 	laterAnswered evidence = "a later life has answered"
 )
 
-// loseAll gives up every run on a worker, and counts its crash if it is one. If
-// the evidence is leaseLapsed but a lease may still be valid, it reports a
-// violated invariant and gives up nothing.
+// loseAll gives up every run on a worker whose end the evidence shows. If the
+// worker has crashed, it counts the crash against the tasks. If the evidence is
+// leaseLapsed but a lease may still be valid, it reports a violated invariant
+// and gives up nothing.
 func (d *Dispatcher) loseAll(now unit.Instant, w *worker, e evidence) {
 	if w.crashed(now, e) {
 		d.countCrashes(now, w)
@@ -56,9 +57,10 @@
 	}
 }
 
-// replace gives up an incarnation of a worker in whose place another one has
-// answered; next is the successor if both have the same name, and nil
-// otherwise. If the incarnation is listed again later, it is asked again.
+// replace gives up an incarnation after another one has answered in its place.
+// next is that other incarnation if both have the same name, and nil otherwise.
+// If the replaced incarnation is listed again later, the owner sends it
+// renewals again.
 func (d *Dispatcher) replace(now unit.Instant, w *worker, e evidence, next *worker) {
 	n := Note{Event: EventWorkerReplaced, Worker: w.ID, Why: string(e), Age: w.silentFor(now)}
 	if next != nil {
@@ -92,10 +94,10 @@
 	return w.name == o.name || w.Address != "" && w.Address == o.Address || w.Machine != "" && w.Machine == o.Machine
 }
 
-// contest records that a worker conflicts with others that claim to be the same
-// machine. Each of them is asked at once, and gets no new tasks until it has
-// answered. An incarnation that was replaced before conflicts with no others
-// until it answers.
+// contest records that a worker conflicts with others that have the same name,
+// address or machine. Each of them gets a renewal at once, and no new tasks
+// until it has answered. If the worker was replaced before, only the worker
+// itself must answer again; the others are unaffected until it does.
 func (d *Dispatcher) contest(now unit.Instant, w *worker) {
 	if w.replaced {
 		w.replaced, w.rivalSeenAt = false, now
@@ -120,10 +122,11 @@
 // after a conflicting incarnation was last listed, if there was one.
 func (w *worker) confirmed() bool { return w.syncedAsOf > w.rivalSeenAt }
 
-// resolveContest processes an answer of a worker that has conflicts, to an
-// order that was sent at syncedAsOf. A conflicting worker is an earlier
-// incarnation if its last answer arrived before that, or if it has the same
-// name and this owner learned of it before that.
+// resolveContest processes an answer of a worker that conflicts with others.
+// The answered order was sent at the worker's syncedAsOf. A conflicting worker
+// is an earlier incarnation if its last answer arrived before syncedAsOf. It is
+// also an earlier one if it has the same name and this owner learned of it
+// before syncedAsOf.
 func (d *Dispatcher) resolveContest(now unit.Instant, w *worker) {
 	if w.rivalSeenAt == 0 {
 		return
--- a/core/dispatch/note.go
+++ b/core/dispatch/note.go
@@ -20,9 +20,10 @@
 	EventWorkerUnlisted Event = "worker-unlisted"
 	// EventWorkerDraining: a worker is draining; the age is how long it stays.
 	EventWorkerDraining Event = "worker-draining"
-	// EventWorkerContested: another incarnation at a worker's address, or of
-	// its machine, is known; each of them gets no new tasks until it answers.
-	// Why names the other one, the age is that of the worker's last answer.
+	// EventWorkerContested: a worker has the same name, address or machine as
+	// another incarnation. Neither gets new tasks until it answers. Why names
+	// the other incarnation; the age is the time since the worker's last
+	// answer.
 	EventWorkerContested Event = "worker-contested"
 	// EventWorkerReplaced: another incarnation has answered in a worker's
 	// place; why names the evidence.
@@ -61,7 +62,8 @@
 	EventTaskPaced Event = "task-paced"
 	// EventTaskEnded: a worker reports that a run has ended.
 	EventTaskEnded Event = "task-ended"
-	// EventUnknownEnd: a worker lists the end of a run that isn't known there.
+	// EventUnknownEnd: a worker lists the end of a run that the owner doesn't
+	// know on that worker.
 	EventUnknownEnd Event = "unknown-end"
 	// EventTaskLost: a run has ended for certain, but no worker reported how.
 	EventTaskLost Event = "task-lost"
@@ -69,9 +71,9 @@
 	// carried out the start order of a run, which is now expected there; why
 	// names the incarnation that it was placed on.
 	EventTaskInherited Event = "task-inherited"
-	// EventCrashCounted: a worker's incarnation has ended under a run without a
-	// report; why has the counts, the age is how long after the run's start the
-	// worker last answered.
+	// EventCrashCounted: a worker's incarnation has ended without a report
+	// while a run was on it. Why has the crash counts of the task; the age is
+	// how long after the run's start the worker last answered.
 	EventCrashCounted Event = "crash-counted"
 	// EventCrashRetracted: a crash that was counted for a run is taken back;
 	// why has the evidence against it.
@@ -79,9 +81,9 @@
 	// EventCrashExcused: so many workers crashed together that their tasks are
 	// assumed not to be the cause.
 	EventCrashExcused Event = "crash-excused"
-	// EventTaskIsolated: a task under which a worker has crashed is placed
-	// where nothing else starts until the task has run for a while; why says
-	// what else runs there.
+	// EventTaskIsolated: a task under which a worker has crashed is placed on a
+	// worker where nothing else starts until the task has run for a while. Why
+	// says what else runs there.
 	EventTaskIsolated Event = "task-isolated"
 	// EventTaskVanished: a worker no longer lists a run; the age is the time
 	// since the answered renewal was sent.
@@ -95,7 +97,7 @@
 	// EventAdviceMissed: a question got no answer, or was refused.
 	EventAdviceMissed Event = "advice-missed"
 	// EventWaveSeen: the operator requests a wave of maintenance; the estimate
-	// is the time that is left for it.
+	// is the longest time that the wave may take.
 	EventWaveSeen Event = "wave-seen"
 	// EventUpkeepBegins: the maintenance of a machine begins: it gets no new
 	// tasks, and is emptied.
@@ -148,7 +150,8 @@
 	d.note(Note{Event: ev, Job: r.task.Job, Task: r.task, Worker: r.worker.ID, Run: r.number, Why: why, Age: age})
 }
 
-// noteJob records a decision on a job; its age is that of the job.
+// noteJob records a decision on a job. The note's age is the time since the job
+// was accepted.
 func (d *Dispatcher) noteJob(ev Event, now unit.Instant, js *jobState, why string, estimate time.Duration) {
 	d.note(Note{Event: ev, Job: js.id, Why: why, Estimate: estimate, Age: now.Sub(js.spec.Accepted)})
 }
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -137,10 +137,11 @@
 	}
 }
 
-// rememberFailedWorker keeps the worker in the task's record, which marks the
-// failure of the task's last run as counted. Otherwise the next owner would
-// count the failure of another member in the same run of a gang as a second
-// one.
+// rememberFailedWorker keeps the worker in the record of a task that waits
+// again. If the next owner finds a waiting task of a gang that names a worker,
+// it treats the last run of the gang as already counted as failed. Without
+// this, it would count the failures of two members in the same run of a gang as
+// two failures.
 func (r *run) rememberFailedWorker() {
 	t := &r.step.job.progress.Tasks[r.step.base+r.task.Index]
 	if t.Phase == job.Waiting {
@@ -186,10 +187,11 @@
 	}
 }
 
-// mustBeReported reports whether the answer to a renewal sent at a time must
-// list the run if it is there or can still come: the worker had confirmed its
-// start or its stop before, or every copy of the order to start it is too late
-// to be accepted.
+// mustBeReported reports whether the answer to a renewal sent at the given time
+// must list the run if the run is on the worker or can still start there. That
+// is so if the worker had confirmed the run's start or stop before that time,
+// or if every copy of the start order would by then have arrived too late to be
+// accepted.
 func (d *Dispatcher) mustBeReported(r *run, sent unit.Instant) bool {
 	started := r.startedAt != 0 && sent > r.startedAt
 	stopped := r.state == runStopping && r.stopConfirmedAt != 0 && sent > r.stopConfirmedAt
@@ -199,9 +201,10 @@
 
 // recordMissing processes an answer that lists a run neither as running nor as
 // ended. A worker that collects the two lists one after the other may miss a
-// run that ends in between. So the run is given up only when a second answer in
-// a row, requested after the first one arrived, lacks it too; otherwise a task
-// could be started again after it was done.
+// run that ends in between. The first such answer is therefore only noted. The
+// run is given up when another answer, requested after the first one arrived,
+// doesn't list it either. Otherwise a task could be started again after it was
+// done.
 func (d *Dispatcher) recordMissing(now unit.Instant, r *run, sent unit.Instant) {
 	if r.missingAt == 0 || sent <= r.missingAt {
 		r.missingAt = max(r.missingAt, now)
--- a/core/dispatch/pace.go
+++ b/core/dispatch/pace.go
@@ -9,10 +9,10 @@
 )
 
 // Speed control of best-effort runs (Step.UsesIdleCPU), which use the capacity
-// that serving tasks on the same worker leave idle. Each worker that has both is
-// a control loop of its own: its input is the worst tail latency of its serving
-// tasks as a fraction of their target, its output the speed of all its
-// best-effort runs.
+// that serving tasks on the same worker leave idle. Each worker that has both
+// kinds is a control loop of its own. Its input is the worst tail latency of
+// its serving tasks, as a fraction of their target. Its output is the speed of
+// all its best-effort runs.
 const (
 	// highLatencyRatio is the fraction of its target above which a serving
 	// task's tail latency counts as too high. It leaves a margin for noise,
@@ -34,9 +34,9 @@
 	paceInterval = 700 * time.Millisecond
 	// fullSpeed is the speed in percent of a run that is not slowed down.
 	fullSpeed = 100
-	// interferenceWeight is added for each run on a worker that a task would
-	// interfere with, or that would interfere with it. It outweighs all other
-	// penalties but that for failed runs.
+	// interferenceWeight is the penalty for each run on a worker with which a
+	// task would interfere, in either direction. It outweighs all other
+	// penalties except the one for failed runs.
 	interferenceWeight = 8
 )
 
@@ -58,8 +58,8 @@
 }
 
 // interferencePenalty returns the penalty, in addition to the leftover, for a
-// placement on a worker: interferenceWeight for each run there that a task of
-// the step would interfere with, or that would interfere with it.
+// placement on a worker: interferenceWeight for each run there with which a
+// task of the step would interfere, in either direction.
 func (s *stepState) interferencePenalty(w *worker) float64 {
 	if !s.step.UsesIdleCPU && s.step.TargetLatency == 0 {
 		return 0
@@ -114,8 +114,9 @@
 	}
 }
 
-// nextSpeed returns the speed, in percent, that follows on the present one at a
-// latency ratio.
+// nextSpeed returns the next speed of best-effort runs, in percent of full
+// speed. If the latency ratio is high, it halves the speed, or returns 0 if
+// half the speed is below minSpeed. If the ratio is low, it adds speedStep.
 func nextSpeed(speed int, ratio float64) int {
 	switch {
 	case ratio > highLatencyRatio && speed/2 < minSpeed:
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -15,10 +15,10 @@
 	// resendAfter is when an order without an answer is repeated. Workers
 	// answer within a few milliseconds.
 	resendAfter = 300 * time.Millisecond
-	// startTimeout is how long a run may wait for an answer to its orders to
-	// start, of which there must have been at least minStartOrders, from a
-	// worker that answers renewals meanwhile. Without this limit, tasks stay
-	// forever with a worker that ignores orders to start.
+	// startTimeout is how long a run may wait for an answer to its start orders
+	// from a worker that answers renewals meanwhile. At least minStartOrders
+	// orders must have been sent. Without this limit, tasks would stay forever
+	// with a worker that ignores start orders.
 	startTimeout   = 4 * time.Second
 	minStartOrders = 5
 	// renewWait is how long a worker may delay its answer to a renewal until a
@@ -40,9 +40,9 @@
 	// mixedRenewWait is renewWait for a worker that has both best-effort and
 	// serving runs: the worker's latency figures cover the last half second.
 	mixedRenewWait = 500 * time.Millisecond
-	// unresponsiveAfter is how long after its last answer a worker gets no new
-	// tasks. It is the time of one renewal that waited in full and one that was
-	// lost.
+	// unresponsiveAfter is the time after a worker's last answer from which it
+	// gets no new tasks. One renewal that waits for its full time and one lost
+	// renewal together take that long.
 	unresponsiveAfter = 3500 * time.Millisecond
 	// stopOverhead is the time that an order to stop needs to reach the worker
 	// and its result to be recorded.
@@ -84,9 +84,10 @@
 
 // loseLapsed gives up the runs of a worker whose lease has certainly expired.
 // It is not enough that the worker is off the list and refuses connections: it
-// may be partitioned and still run its tasks. Nor is it enough that the time
-// has passed: while this host was frozen it sent no renewals, and the worker's
-// answer says how the runs have ended. A worker whose address is unknown can't
+// may be partitioned and still run its tasks. Nor is it enough that the lease
+// has expired: this host may have been frozen and have sent no renewals, and
+// the worker's next answer then says how the runs have ended. So a renewal must
+// have failed as well, unless the worker's address is unknown, so that it can't
 // be asked.
 func (d *Dispatcher) loseLapsed(now unit.Instant, w *worker) {
 	if w.leased() && now > w.leaseExpiry() && (w.renewalFailed || w.Address == "") {
@@ -160,9 +161,9 @@
 	return false
 }
 
-// evictDraining stops tasks on a draining worker that can't complete there in
-// time. Tasks with checkpoints run on for as long as there is time to stop
-// them.
+// evictDraining stops the tasks on a draining worker that can't complete before
+// it ends. Tasks with checkpoints continue until there is only just enough time
+// to stop them.
 func (d *Dispatcher) evictDraining(now unit.Instant, w *worker) {
 	if !w.Draining || len(w.runs) == 0 {
 		return
@@ -183,7 +184,10 @@
 	}
 }
 
-// remaining estimates how long a run still takes.
+// remaining estimates how much longer a run takes: from its progress if that is
+// at least minTrustedPercent, otherwise from the customer's estimate. A
+// long-running task has no end; for it, remaining returns the length of a
+// lease.
 func (d *Dispatcher) remaining(now unit.Instant, r *run) time.Duration {
 	if r.step.step.LongRunning {
 		return d.config.MaxLease
@@ -240,9 +244,9 @@
 }
 
 // responsive reports whether the worker has answered, or this owner's first
-// renewal was sent to it, within unresponsiveAfter. Only then do orders extend
-// its lease: a worker that never answers would otherwise keep its lease
-// indefinitely.
+// renewal was sent to it, within unresponsiveAfter. Orders extend the lease
+// only of a responsive worker. Otherwise a worker that never answers would keep
+// its lease indefinitely.
 func (w *worker) responsive(now unit.Instant) bool {
 	return now.Sub(max(w.lastAnswerAt, w.firstRenewalAt)) < unresponsiveAfter
 }
@@ -257,8 +261,8 @@
 }
 
 // renewalWait returns how long a renewal may wait at the worker under leases of
-// this length. The wait is short enough that a lease doesn't expire if the two
-// renewals after an answered one are lost, the second of which doesn't wait.
+// this length. The wait is short enough for two consecutive renewals to be lost
+// without the lease expiring. Only the first of the two waits at the worker.
 func renewalWait(lease time.Duration) time.Duration {
 	spare := scale(lease, leaseShare) - 2*renewTimeout
 	return max(minRenewWait, min(renewWait, spare/2))
@@ -273,8 +277,11 @@
 	return fleet.HasStart(w.ID) && w.lastEndStored > w.lastEndAcked
 }
 
-// needsPromptAnswer reports whether a renewal to the worker must be answered
-// at once.
+// needsPromptAnswer reports whether a renewal to the worker must be answered at
+// once, because decisions depend on it. The owner may need a first answer since
+// the worker was suspended or a rival incarnation was listed, a report whether
+// an inherited run is there, a second answer about a missing run, or the first
+// report since a stop was confirmed.
 func (w *worker) needsPromptAnswer() bool {
 	if w.syncedAsOf < w.suspendedAt || !w.confirmed() {
 		return true
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -13,8 +13,9 @@
 	// in one rack before it takes room elsewhere. Urgent work must have begun
 	// after about 3 s.
 	urgentRelaxWait = 1200 * time.Millisecond
-	// relaxWait is the same for other work while there is ample room. The
-	// platform counts a job as lost if it waits 3 s in that case.
+	// relaxWait is the same wait for work that isn't urgent, while there is
+	// ample room. The platform counts a job as lost if it waits 3 s in that
+	// case.
 	relaxWait = 2 * time.Second
 	// maxRelaxUsage is the fraction of a service's capacity in use below which
 	// work that isn't urgent may be placed where it is slow. The platform asks
@@ -22,7 +23,8 @@
 	maxRelaxUsage = 0.5
 )
 
-// placeAll places the tasks that may start, most urgent first.
+// placeAll places the tasks that may start, most urgent first. It ends early
+// when too many starts are pending.
 func (d *Dispatcher) placeAll(now unit.Instant) {
 	d.makePools(now)
 	if len(d.pools) == 0 {
@@ -47,9 +49,9 @@
 
 // noteWaiting records since when a step's tasks have found no room. If nothing
 // of the job was placed yet, they have waited since they became due, whichever
-// host was the owner. The platform counts any 3 s of waiting while there is
-// room; if each owner counted only from its own first attempt, the wait could
-// be nearly 2 s under one and 2 s under the next.
+// host was the owner. The platform counts a job as lost after 3 s of waiting
+// while there is room. If each owner counted only from its own first attempt, a
+// job could wait nearly 2 s under one owner and 2 s under the next.
 func (d *Dispatcher) noteWaiting(now unit.Instant, s *stepState) {
 	if s.waitingSince != 0 {
 		return
@@ -210,9 +212,11 @@
 
 // mayRelax reports whether n tasks of a step may be placed where they are slow,
 // or on workers that are reserved for urgent work. Slow tasks occupy their room
-// for longer, so this is allowed for urgent work, and for other work while
-// there is ample room. Long-running tasks must run again whenever there is room
-// for two, however much is in use.
+// for longer, so work that isn't urgent may be placed so only while there is
+// ample room: less than maxRelaxUsage is in use, and twice the tasks would fit.
+// Long-running tasks must run again whenever there is room for two of them,
+// however much is in use. In each case the step must have waited for
+// urgentRelaxWait or relaxWait.
 func (d *Dispatcher) mayRelax(now unit.Instant, s *stepState, fits []*worker, n int) bool {
 	if s.job.spec.Priority == 0 {
 		return s.waitedFor(now, urgentRelaxWait)
--- a/core/dispatch/pool.go
+++ b/core/dispatch/pool.go
@@ -23,7 +23,7 @@
 	// pass.
 	spare int
 	// usage is the fraction of the service's capacity in use when the pass
-	// begins, for the resource of which most is free.
+	// begins: the smallest of the fractions of the resources.
 	usage float64
 }
 
--- a/core/dispatch/preempt.go
+++ b/core/dispatch/preempt.go
@@ -16,16 +16,17 @@
 	// stopCost is added for each run that is stopped, in core-seconds, so that
 	// among choices that lose little work the one with the fewest stops wins.
 	stopCost = 1
-	// minHorizon and maxHorizon bound how far ahead room is reserved for a step,
-	// such as a gang, that no run is stopped for; the time doubles in between.
-	// maxWaitingClaims bounds how many steps have such a reservation at a time,
-	// because reserved room lies idle.
+	// minHorizon and maxHorizon bound how far ahead room is reserved for a
+	// step, such as a gang, without stopping any run for it. The search tries
+	// minHorizon first and doubles it up to maxHorizon. maxWaitingClaims bounds
+	// how many steps have such a reservation at a time, because reserved room
+	// lies idle.
 	minHorizon       = time.Second
 	maxHorizon       = 8 * time.Second
 	maxWaitingClaims = 2
 	// fewerDivisor determines how chooseFewer searches room for a part of the
-	// waiting tasks: until it finds room, it leaves out one task in fewerDivisor
-	// of those that remain, at least one, and searches for the others.
+	// waiting tasks: until it finds room, it leaves out one in fewerDivisor of
+	// the remaining tasks, but at least one, and searches room for the others.
 	// fewerInterval is the minimum time between two such series of searches,
 	// which take longer than a pass.
 	fewerDivisor  = 4
@@ -34,7 +35,8 @@
 
 // preempt stops work of lower priority for urgent work that finds no room, and
 // reserves the room until the stopped runs have ended. For other work that must
-// start now, it reserves room where enough will be free soonest.
+// start now, it stops nothing, but reserves room on the workers where enough is
+// expected to be free soonest.
 func (d *Dispatcher) preempt(now unit.Instant, c candidate, fits []*worker) {
 	s := c.step
 	urgent := s.job.spec.Priority == 0
@@ -84,8 +86,9 @@
 }
 
 // claimSoonestRoom reserves room for all waiting tasks of a step, such as a
-// gang, where enough of it will be free soonest, so that smaller tasks don't
-// take that room one after the other.
+// gang. It chooses the workers where enough room is expected to be free
+// soonest. Without the reservation, smaller tasks would take that room one
+// after the other.
 func (d *Dispatcher) claimSoonestRoom(now unit.Instant, c candidate, fits []*worker) {
 	if !d.policy.KeepGangRoom || d.longRunningWaits[c.step.job.spec.Service] {
 		return
@@ -148,9 +151,9 @@
 	return free, victims, cost
 }
 
-// pickVictims returns runs whose room is sufficient together with what is free.
-// Runs that turn out to be unnecessary are dropped again, the most expensive
-// first.
+// pickVictims returns runs whose room, together with the free room, is
+// sufficient. Runs that turn out to be unnecessary are dropped again, the most
+// expensive first.
 func pickVictims(others []*run, costs map[*run]float64, free, need job.Resources) ([]*run, float64) {
 	var victims []*run
 	for _, r := range others {
--- a/core/dispatch/rack.go
+++ b/core/dispatch/rack.go
@@ -1,8 +1,9 @@
 package dispatch
 
 // rackWeight is the penalty for using an empty worker of a wholly empty rack;
-// it is less for a partly empty rack. It outweighs the most that leftover
-// returns, so that whole racks are kept for gangs that ask for one.
+// in a partly empty rack the penalty is less. It is more than the function
+// leftover ever returns, so that whole racks are kept for gangs that ask for
+// one.
 const rackWeight = 4
 
 // emptyWorkerPenalty returns the penalty, in addition to the leftover, for
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// reserveHorizon is the period for which urgent work is expected: the
-	// reserve has room for what arrives within it. Room for urgent work can be
-	// freed in about half of that time.
+	// reserveHorizon is the length of the period whose urgent work the reserve
+	// is to hold. Freeing room for urgent work by stopping other work takes
+	// about half as long.
 	reserveHorizon = 3000 * time.Millisecond
 	// rateTimeConstant is the time constant of the arrival rate's exponential
 	// average.
@@ -30,7 +30,8 @@
 	at   unit.Instant
 }
 
-// add raises the rate by the accelerators that an arrived job asks for.
+// add counts the accelerators that an arrived job asks for. The rate is an
+// average that decays exponentially with rateTimeConstant.
 func (a *arrivals) add(now unit.Instant, accelerators int) {
 	a.rate = a.rateAt(now) + float64(accelerators)/rateTimeConstant.Seconds()
 	a.at = now
@@ -70,11 +71,11 @@
 }
 
 // heldBack reports whether a candidate has to wait because fewer workers are
-// empty than are reserved. Single tasks fill the remaining capacity of workers
-// in use, so that under load no worker becomes empty again: urgent work then
-// stops such tasks, often within a second of their start, and gangs find no
-// room. Work that must start now, and work that finds ample room, isn't held
-// back.
+// empty than are reserved. If single tasks filled the remaining capacity of
+// workers in use, no worker would become empty again under load. Urgent work
+// would then stop such tasks, often within a second of their start, and gangs
+// would find no room. Work that must start now, and work that finds ample room,
+// isn't held back.
 func (d *Dispatcher) heldBack(now unit.Instant, c candidate, p *pool, fits []*worker) bool {
 	step := c.step.step
 	if !d.policy.HoldBack || p.spare >= 0 || step.Gang || step.LongRunning {
--- a/core/dispatch/room.go
+++ b/core/dispatch/room.go
@@ -52,8 +52,9 @@
 // kept free beside it.
 func (r *run) taken() job.Resources { return r.need.Add(r.isolationReserve) }
 
-// usage returns the fraction of a service's capacity in use, for the resource
-// of which most is free. Listed workers that accept no new tasks count.
+// usage returns the fraction of a service's capacity in use: the smallest of
+// the fractions of the resources. Listed workers that accept no new tasks
+// count.
 func (d *Dispatcher) usage(name id.Service) float64 {
 	var used, all job.Resources
 	for _, w := range d.workersByID {
@@ -128,9 +129,9 @@
 	return n <= 0
 }
 
-// overcommitted reports whether runs take more than a worker's capacity,
-// because it has shrunk since they were placed. The capacity of a worker that
-// isn't listed is unknown.
+// overcommitted reports whether the runs on a worker take more than its
+// capacity, because the capacity has shrunk since they were placed. The
+// capacity of a worker that isn't listed is unknown.
 func (w *worker) overcommitted() bool { return w.listed && !w.used.Fits(w.Capacity) }
 
 // free returns the capacity that neither runs nor reservations take. It is
--- a/core/dispatch/script_test.go
+++ b/core/dispatch/script_test.go
@@ -100,8 +100,8 @@
 	paces   map[string]dispatch.Pace
 	renews  map[string]dispatch.Renew
 	upkeeps map[string]dispatch.Upkeep
-	// sent is when the last renewal of a worker was sent, waits how long it may
-	// wait there.
+	// sent has the time at which the last renewal of each worker was sent, and
+	// waits the time for which that renewal may wait at the worker.
 	sent  map[string]unit.Instant
 	waits map[string]time.Duration
 	// asks are the open questions to the advice service, asked is when the
@@ -109,8 +109,9 @@
 	asks  []dispatch.Ask
 	asked unit.Instant
 
-	// lease is the longest lease if it differs from that of config, evacuation
-	// how long after an evacuation a task may still start.
+	// lease replaces config.MaxLease unless it is 0. evacuation replaces
+	// config.EvacuationLimit, which is how long after an evacuation a task may
+	// still start.
 	lease, evacuation time.Duration
 	// mostWaits is how many renewals may wait at workers at a time; 0 for any
 	// number.
--- a/core/dispatch/stall.go
+++ b/core/dispatch/stall.go
@@ -8,8 +8,8 @@
 
 // Tasks on a worker may stall while it still answers all orders. One stalled
 // member holds up its whole gang, and an urgent job with it, for as long as
-// that lasts. So a run that makes no progress while others do is stopped and
-// started elsewhere.
+// that lasts. A run that makes no progress while others do is therefore stopped
+// and started elsewhere.
 
 const (
 	// urgentStallTime is how long an urgent run must at least be without
@@ -42,8 +42,9 @@
 // whyStalled is the reason logged when a run without progress is stopped.
 const whyStalled = "it makes no progress"
 
-// recordProgress records the progress that a worker reports for a run. Before
-// the first progress, the time without it counts from the run's start.
+// recordProgress records the progress that a worker reports for a run. The time
+// without progress counts from the last increase; if there was none yet, from
+// the run's start.
 func (r *run) recordProgress(now unit.Instant, percent int) {
 	switch {
 	case r.progressAt == 0 && percent == 0 && r.startedAt != 0:
--- a/core/dispatch/starved_test.go
+++ b/core/dispatch/starved_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// urgentSecond runs the world for a second in which n urgent tasks arrive,
-// evenly spread.
+// urgentSecond runs the simulation for a second. In that second n urgent tasks
+// arrive at equal intervals.
 func (l *loadWorld) urgentSecond(n int) {
 	for i := range n {
 		l.Schedule(time.Duration(i)*time.Second/time.Duration(n), func() { l.submit(0, 1, 1, 500*time.Millisecond) })
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -173,9 +173,9 @@
 	// fromEarlierOwner is set for a run that an earlier owner ordered; its
 	// start time isn't known.
 	fromEarlierOwner bool
-	// inheritedFrom is the incarnation that the run was placed on, while it
-	// isn't known whether the next incarnation under the name has the run; else
-	// empty.
+	// inheritedFrom is the incarnation on which the run was placed. It is set
+	// while it is unknown whether the next incarnation under the same name has
+	// the run, and otherwise empty.
 	inheritedFrom id.Worker
 	// stopReason is the reason, for the log, why the run is stopped.
 	stopReason string
@@ -219,9 +219,9 @@
 	knownSince unit.Instant
 	// listed is set while the platform's list contains the worker.
 	listed bool
-	// drainEndsAt is when a draining worker may be gone. drainEndClock is the
-	// least reading of the worker's own clock at that time, or 0 if its entry
-	// has no clock.
+	// drainEndsAt is the earliest time at which a draining worker may end.
+	// drainEndClock is a lower bound of the worker's own clock at that time; 0
+	// if the worker's list entry has no clock reading.
 	drainEndsAt   unit.Instant
 	drainEndClock fleet.ClockReading
 	// used is the part of the capacity that runs take, reserved the part that
@@ -257,8 +257,8 @@
 	renewalWaits    bool
 	nextRenewal     unit.Instant
 	// renewalFailed is set if the last completed renewal got no answer and its
-	// failure was handled in time. One that is handled late proves nothing:
-	// this host may have been frozen meanwhile.
+	// failure was handled in time. A failure that is handled late proves
+	// nothing, because this host may have been frozen meanwhile.
 	renewalFailed bool
 	// firstLossAt is when a renewal first got no answer after the worker's last
 	// answer; 0 if none did.
@@ -267,12 +267,12 @@
 	// but got no answer. The next one doesn't wait at the worker, so that its
 	// loss is noticed 2 s earlier.
 	renewalUnanswered bool
-	// lateStarts holds the start orders of runs that are over, of which a copy
-	// recently got no answer. lateAckAt is when the last unanswered renewal was
-	// sent that let the worker forget ends; 0 for never. The next incarnation
-	// under the name may carry out any of these orders and that renewal.
-	// lateLeaseExpiry is when every lease that an unanswered order may grant
-	// there has expired for certain.
+	// lateStarts holds start orders of runs that have ended; a copy of each
+	// recently got no answer. lateAckAt is when the last unanswered renewal
+	// that acknowledged ends was sent; 0 for never. The next incarnation under
+	// the name may carry out any of these orders and that renewal.
+	// lateLeaseExpiry is when every lease has expired for certain that an
+	// unanswered order may grant to the next incarnation.
 	lateStarts                 []lateStart
 	lateAckAt, lateLeaseExpiry unit.Instant
 	// suspendedUntil is until when the worker gets no new tasks, suspendedAt when
--- a/core/dispatch/suspect.go
+++ b/core/dispatch/suspect.go
@@ -8,14 +8,15 @@
 )
 
 // A task under which a worker has crashed may be the cause, or may only have
-// run beside the cause. To tell the two apart it is restarted as the only
-// recently started task on a worker: the tasks that have run there for a while
-// aren't blamed if the worker crashes again.
+// run beside the cause. To tell the two cases apart, it is restarted on a
+// worker where no other task has recently started. Tasks that have run there
+// for a while aren't blamed if the worker crashes again.
 
 const (
-	// isolateAfterCrashes is the number of crashes from which a task keeps its
-	// worker to itself for as long as it runs: it seems to crash workers after
-	// some time of work, and only two starts are left to it.
+	// isolateAfterCrashes is the number of crashes from which no other task
+	// starts on a task's worker for as long as the task runs. Such a task seems
+	// to crash workers after some time of work, and it has only two starts
+	// left.
 	isolateAfterCrashes = 3
 	// emptyWorkerWait is how long a suspect waits for an empty worker before it
 	// is placed beside others.
--- a/core/dispatch/upkeep.go
+++ b/core/dispatch/upkeep.go
@@ -14,13 +14,13 @@
 )
 
 // upkeepRetry is the delay before an unanswered order to take a machine down is
-// repeated. The platform gives a repeated order the same answer as the one that
-// it carried out.
+// repeated. If the platform has already carried out the order, it gives the
+// repetition the same answer and doesn't take the machine down again.
 const upkeepRetry = time.Second
 
-// unansweredFor is the time after an unanswered order within which that order
-// may be why its machine is down: an order may be carried out up to 12 s late,
-// and the machine is then down for 2 s.
+// unansweredFor is the time for which an unanswered order may be the reason
+// that its machine is down: the order may be carried out up to 12 s late, and
+// the machine is then down for 2 s.
 const unansweredFor = 15 * time.Second
 
 // wave is one wave of maintenance and its state in the store.
@@ -93,7 +93,8 @@
 	return false
 }
 
-// advanceWave selects machines to empty, and orders down those that are empty.
+// advanceWave selects machines to empty, issues the orders to take empty
+// machines down, and reports when the wave has finished.
 func (d *Dispatcher) advanceWave(now unit.Instant, x *wave) {
 	x.plan.CompleteOverdue(now)
 	chosen := x.plan.StartEmptying(now, func(m id.Machine) (float64, bool) { return d.emptyingCost(now, m) })
@@ -117,7 +118,7 @@
 }
 
 // emptyingCost returns the core-seconds of work that emptying a machine now
-// would throw away. It returns false if the machine isn't up, or runs tasks
+// would lose. It returns false if the machine isn't up, or if it runs tasks
 // that may not be stopped now.
 func (d *Dispatcher) emptyingCost(now unit.Instant, m id.Machine) (float64, bool) {
 	w := d.incarnationOn(m)
@@ -137,8 +138,9 @@
 	return slices.DeleteFunc(runs, func(r *run) bool { return r.step == nil })
 }
 
-// emptyMachine orders a machine down if nothing runs there, and stops its runs
-// when the wave can't wait any longer.
+// emptyMachine issues the order to take a machine down if nothing runs there.
+// It stops the machine's runs if emptying it has taken too long for the wave's
+// deadline.
 func (d *Dispatcher) emptyMachine(now unit.Instant, x *wave, m id.Machine) {
 	w := d.incarnationOn(m)
 	if w == nil {
--- a/core/dispatch/window.go
+++ b/core/dispatch/window.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// slowAnswer is how long the answer to an order to start takes at least
-	// when the owner's host or link is overloaded: workers answer within a few
+	// slowAnswer is the answer time of a start order from which the owner's
+	// host or link counts as overloaded. Workers themselves answer within a few
 	// milliseconds.
 	slowAnswer = 250 * time.Millisecond
 	// minWindow and maxWindow bound the size of the window. The minimum still
@@ -25,11 +25,11 @@
 	windowDecrease = 0.8
 	// maxAnswerAgeForPending is how old a worker's last answer may be for an
 	// unanswered start order to it to count as pending: if the answer is older,
-	// the order waits for a worker that may be partitioned.
+	// the worker may be partitioned, and the order doesn't count.
 	maxAnswerAgeForPending = time.Second
-	// decreaseInterval is the least time between two reductions: the answers
-	// that arrive within it belong to orders that were sent under the same
-	// window.
+	// decreaseInterval is the minimum time between two reductions of the
+	// window. Answers that arrive sooner belong to orders that were sent before
+	// the last reduction.
 	decreaseInterval = 100 * time.Millisecond
 )
 
@@ -49,8 +49,8 @@
 func newWindow() window { return window{size: initialWindow} }
 
 // noteAnswer adapts the window when a worker has started a task on an order of
-// this age. Orders without an answer don't count, since their worker may be
-// partitioned.
+// this age. Orders without an answer don't change the window, since their
+// worker may be partitioned.
 func (w *window) noteAnswer(now unit.Instant, age time.Duration) {
 	if age < slowAnswer {
 		w.size = min(maxWindow, w.size+1)
