--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -112,10 +112,10 @@
 }
 
 // workersToAsk returns the workers to ask about: as many as are likely to be
-// enough, up to askBatch. It returns at least as many as can be asked about in
-// twice the time of a question that names no workers. They may include workers
-// without room: a refusal is permanent, and a permit may still be valid when
-// the worker has room.
+// enough, but at least as many as can be asked about in twice the time of a
+// question that names no workers. It never returns more than askBatch. The
+// workers may include some without room: a refusal is permanent, and a permit
+// may still be valid when the worker has room.
 func (c *candidate) workersToAsk(now unit.Instant, ahead time.Duration, advice job.Advice, yield float64) []id.Worker {
 	s := c.step
 	need := s.step.Reserved()
--- a/core/dispatch/assure_test.go
+++ b/core/dispatch/assure_test.go
@@ -43,9 +43,9 @@
 // renewal.
 //
 // A renewal that was sent during these 2 s granted nothing, and waited 2 s at
-// the worker for something to report, like any other. The next one that granted
-// a lease was sent only after it, 6.03 s after the last one that had granted,
-// when every lease on the worker had expired.
+// the worker for something to report, like any other. The next renewal that
+// granted a lease was sent only after that wait. This was 6.03 s after the
+// previous grant, when every lease on the worker had expired.
 func TestGrantsSoonAfterAssurance(t *testing.T) {
 	s := newScript(t)
 	s.run("lease 6s")
@@ -85,9 +85,9 @@
 // order, which got no answer, until 4 s later, nothing confirms that no other
 // host is the owner.
 //
-// The order wasn't repeated meanwhile, because it would have granted a lease.
-// Then the run was stopped because its worker answered renewals but not orders
-// to start, and the failure was counted against the worker.
+// The order wasn't repeated in these 4 s, because it would have granted a
+// lease. After them the run was stopped as if its worker answered renewals but
+// ignored start orders, and the failure was counted against the worker.
 func TestPatienceCountsOrders(t *testing.T) {
 	s := newScript(t)
 	s.d.ConfirmSoleOwner(s.now)
--- a/core/election/election.go
+++ b/core/election/election.go
@@ -32,9 +32,9 @@
 	// maxViewAge is the maximum age of the newest poll for a host to claim. The
 	// highest-ranked hosts poll every 500 ms, so two polls may be lost.
 	maxViewAge = 1500 * time.Millisecond
-	// standbyHosts is the number of hosts, by rank, that are ready to claim at
-	// once. One of them usually is the owner itself, and another may fail together
-	// with it.
+	// standbyHosts is the number of highest-ranked hosts that keep themselves
+	// ready to claim at once. The owner usually is one of them, and another may
+	// fail together with the owner.
 	standbyHosts = 3
 	// pollInterval is the pause between two polls of a high-ranked host, and
 	// fastPollInterval that of any host while the owner is missing.
@@ -50,8 +50,9 @@
 	// group lacks the new owner. The store shows a host in the group only once
 	// it has assigned a partition to it. While many hosts join at once, it
 	// reassigns the partitions repeatedly, so that without a grace period
-	// owners would replace each other in quick succession. A failed owner stays
-	// in the group for a second anyway.
+	// owners would replace each other in quick succession. The grace period
+	// delays no replacement of a failed owner, because the store keeps a failed
+	// owner in the group for a second anyway.
 	newOwnerGrace = time.Second
 	// handoverFactor is the minimum ratio of another host's ability to the owner's
 	// for a handover, and handoverAfter is how long that host must have been in
@@ -144,9 +145,9 @@
 	}
 }
 
-// ObserveClaim records that some host has claimed. The claimant counts as live until
-// polls miss it; otherwise every host that has missed the former owner would claim
-// as well.
+// ObserveClaim records that some host has claimed. The claimant counts as live
+// until polls miss it; otherwise every host whose polls lacked the former owner
+// would claim as well.
 func (e *Election) ObserveClaim(now unit.Instant) {
 	e.misses, e.missingSince, e.claimedAt = 0, now, now
 	e.probes = probeResults{}
@@ -161,7 +162,9 @@
 	return e.candidateSince != 0 && now.Sub(e.candidateSince) >= handoverAfter && now.Sub(e.ownedAt) >= minTenure && now.Sub(e.polledAt) <= maxViewAge
 }
 
-// ObserveRelease records that the owner has released ownership.
+// ObserveRelease records that the owner has released ownership. The owner then
+// counts as missing from enough polls for a claim, so that the hosts needn't
+// wait for more polls.
 func (e *Election) ObserveRelease(now unit.Instant) {
 	e.claimedAt = 0
 	if e.misses < missesBeforeClaim {
@@ -203,7 +206,9 @@
 // claim. It also reports true before the first poll of the group.
 func (e *Election) Standby() bool { return len(e.members) == 0 || e.position() < standbyHosts }
 
-// PollInterval returns the pause until the next poll of the group.
+// PollInterval returns the pause until the next poll of the group. Every host
+// polls fast while the owner is missing; otherwise hosts that would claim late
+// poll slowly.
 func (e *Election) PollInterval() time.Duration {
 	switch {
 	case e.OwnerMissing():
--- a/core/election/silence.go
+++ b/core/election/silence.go
@@ -17,24 +17,27 @@
 	// of them. Of the other four, three are a majority, so two sets of hosts that
 	// are partitioned from each other can't take ownership from each other in turn.
 	watchers = 5
-	// missAfter is how long the owner must have answered no probe for a host to
-	// report it as unresponsive: two probes, which are sent every 120 ms, and some
-	// time for the answer to the second one.
+	// missAfter is the minimum time without an answer to a probe after which a
+	// host reports the owner as unresponsive. It is the time of two probes,
+	// which are sent every 120 ms, plus some time for the answer to the second
+	// one.
 	missAfter = 250 * time.Millisecond
 	// minUnanswered is the number of consecutive probes that must be unanswered
-	// as well, 0.8 s in all. The first one may have been sent on a connection that
-	// broke without a reset; the following ones use new connections. With two, an
-	// owner that has only a fraction of a core and is busy for some tenths of a
-	// second loses ownership repeatedly.
+	// in addition to missAfter; this takes 0.8 s in all. The first probe may
+	// have been sent on a connection that broke without a reset; the following
+	// ones use new connections. If two probes were enough, an owner that has
+	// only a fraction of a core and is busy for some tenths of a second would
+	// lose ownership repeatedly.
 	minUnanswered = 4
 	// confirmAfter takes the place of missAfter when another watcher asks this
 	// one to confirm that the owner is unresponsive. It is shorter because this
 	// watcher may have sent its probe a little later.
 	confirmAfter = 150 * time.Millisecond
 	// probesCountFrom is how long a host must have been the owner before
-	// unanswered probes count. Until then only the store decides that it is gone,
-	// so that ownership can't change in quick succession: workers count orders from
-	// two hosts within 3 s as a fault.
+	// unanswered probes count. Before that, an owner counts as failed only if
+	// the store removes it from the group. This prevents ownership from
+	// changing in quick succession: workers count orders from two hosts within
+	// 3 s as a fault.
 	probesCountFrom = 3 * time.Second
 )
 
@@ -112,9 +115,11 @@
 }
 
 // RecordAgreement records how many other watchers find the owner unresponsive
-// as well. It reports true when the owner is first considered failed: it must
-// be unresponsive to a majority of the watchers, this host and at least one
-// other among them.
+// as well. The owner is considered failed if it is unresponsive to a majority
+// of the watchers, which must include this host and at least one other. A new
+// owner can't be considered failed before probesCountFrom has passed.
+// RecordAgreement reports true only the first time that it considers the owner
+// failed.
 func (e *Election) RecordAgreement(now unit.Instant, owner id.Host, others int) bool {
 	if others == 0 || 2*(others+1) <= len(e.Watchers(owner)) || !e.OwnerUnresponsive(now, owner) {
 		return false
@@ -131,7 +136,7 @@
 
 // claimsByProbes reports whether this host should claim because the owner is
 // unresponsive to a majority of the watchers. The watchers claim one after the
-// other.
+// other, claimStagger apart.
 func (e *Election) claimsByProbes(now unit.Instant) bool {
 	if e.probes.agreedAt == 0 {
 		return false
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -2,13 +2,14 @@
 // tasks, and their answers to the owner's orders.
 //
 // A worker's id identifies one incarnation. After a crash the worker continues
-// as a new incarnation, which runs no tasks and restarts its counters. It has
-// another name, or the same name and another start time. Orders are addressed
-// to the worker's name and not to an incarnation, so an incarnation may receive
-// orders that were meant for the one before. A worker keeps the highest fence
-// that it has seen in an order, and rejects orders with a lower one. One lease
-// covers all runs on a worker. It expires at a time on the worker's own
-// monotonic clock, which may run slow; a renewal extends it for all runs.
+// as a new incarnation, which runs no tasks and restarts its counters. The new
+// incarnation has another name, or the same name and another start time. Orders
+// are addressed to the worker's name and not to an incarnation, so an
+// incarnation may receive orders that were meant for the one before. A worker
+// keeps the highest fence that it has seen in an order, and rejects orders with
+// a lower one. One lease covers all runs on a worker. It expires at a time on
+// the worker's own monotonic clock, which may run slow; a renewal extends it
+// for all runs.
 package fleet
 
 import (
@@ -118,9 +119,9 @@
 	// Percent is the completed part of the work in percent. For a long-running
 	// task it is 100 while the task is fully operational.
 	Percent int
-	// Load is an approximate measurement over the last half second: the tail
-	// latency in milliseconds of a task that serves requests, for other tasks the
-	// used CPU time.
+	// Load is an approximate measurement over the last half second. For a task
+	// that serves requests it is the tail latency in milliseconds, for other
+	// tasks the used CPU time.
 	Load int64
 }
 
@@ -141,8 +142,8 @@
 	Incarnation id.Worker
 	Clock       ClockReading
 	Running     []Running
-	// Ended holds, in order of Seq, the ends that the owner has not acknowledged
-	// yet; only the first of them if MoreEnds is set.
+	// Ended holds, in order of Seq, the ends that the owner has not
+	// acknowledged yet. If MoreEnds is set, it holds only the first of them.
 	Ended []End
 	// MoreEnds is set if there may be ends that Ended doesn't contain.
 	MoreEnds bool
--- a/core/job/job.go
+++ b/core/job/job.go
@@ -252,8 +252,9 @@
 	// owners detect it or one owner detects it repeatedly.
 	Run    RunNumber
 	Worker id.Worker
-	// Early is the number of newest consecutive crashes that each happened
-	// soon after the start of the run. It is at most Total.
+	// Early is the number of consecutive crashes, counted back from the newest
+	// one, that each happened soon after the start of the run. It is at most
+	// Total.
 	Early int
 	// Total is the number of crashes since a run last worked for a long time.
 	Total int
@@ -283,8 +284,8 @@
 	Crashes []CrashCount
 }
 
-// Started reports whether a start of any task of the job was ever ordered, or the
-// job has ended.
+// Started reports whether a start of any task of the job was ever ordered, or
+// whether the job has ended.
 func (p *Progress) Started() bool {
 	for i := range p.Tasks {
 		if p.Tasks[i].Run > 0 {
--- a/core/jobtable/jobtable.go
+++ b/core/jobtable/jobtable.go
@@ -38,7 +38,8 @@
 	// Spec is nil if the table has only other records of the job.
 	Spec      *job.Spec
 	Cancelled bool
-	// Summary is nil if the owner has written none: no task was placed yet.
+	// Summary is nil until the owner writes a summary, which it does when a
+	// task of the job is first placed or the job ends.
 	Summary *Summary
 	// Progress is the job's record in the progress log. The outcome of an ended
 	// job is in Summary.
@@ -95,8 +96,8 @@
 // applied.
 func (t *Table) NextOffset() id.Offset { return t.next }
 
-// Advance records that all records before the offset next were applied. A lower
-// offset than NextOffset has no effect.
+// Advance records that all records of the job log before the offset next were
+// applied. An offset below NextOffset has no effect.
 func (t *Table) Advance(next id.Offset) { t.next = max(t.next, next) }
 
 // Owner returns the newest ownership claim.
@@ -179,8 +180,9 @@
 	return "", fmt.Errorf("%w: %q", ErrUnknownKey, r.Key)
 }
 
-// applyLegacyProgress records whether an earlier version has written or dropped
-// progress of a job in the job log.
+// applyLegacyProgress records whether the job log has progress of a job, which
+// only earlier versions write there. An empty value means that the progress was
+// dropped.
 func (t *Table) applyLegacyProgress(j id.Job, value []byte) {
 	if len(value) == 0 {
 		delete(t.legacyProgress, j)
@@ -288,9 +290,9 @@
 	return nil
 }
 
-// ClearProgress removes the progress of all jobs. It keeps the state of waves,
-// because an owner may learn of a wave that an earlier owner has started only
-// some time after its takeover.
+// ClearProgress removes the progress of all jobs. It keeps the state of waves:
+// a new owner may learn only some time after its takeover of a wave that an
+// earlier owner has started.
 func (t *Table) ClearProgress() {
 	for _, j := range t.Jobs() {
 		t.jobs[j].Progress = job.Progress{}
--- a/core/jobtable/progress_test.go
+++ b/core/jobtable/progress_test.go
@@ -12,15 +12,15 @@
 	"curlewsill.org/curlewsill/core/scripttest"
 )
 
-// TestProgress encodes and decodes the progress in testdata/progress/sizes.txt and
-// checks the size of the records. A line has the largest size of the record in
-// bytes, and groups of tasks: COUNTxPHASE, and for placed tasks /N for N tasks to
-// a worker.
+// TestProgress encodes and decodes the progress in testdata/progress/sizes.txt
+// and checks the size of the records. A line has the largest size of the record
+// in bytes, and groups of tasks in the form COUNTxPHASE. For placed tasks, /N
+// is appended if each worker has N of them.
 //
 // It guards against large records: each start and end of a task writes the
-// progress of its job anew. With one entry for each task a site of 1,100 workers
-// wrote 1.4 MB of progress a second when its load began, 2.6 kB a record, mostly
-// tasks of later rounds and repeated names.
+// progress of its job anew. With one entry for each task a site of 1,100
+// workers wrote 1.4 MB of progress a second when its load began, 2.6 kB a
+// record, most of it for tasks of later rounds and for repeated names.
 func TestProgress(t *testing.T) {
 	scripttest.EachLine(t, "progress/sizes.txt", func(f []string) {
 		t.Run(strings.Join(f[1:], "+"), func(t *testing.T) {
@@ -84,7 +84,8 @@
 		"unknown name":     "\x85\x00\x00\x80\x81\x86\x01\x01\x01\x00\x01\x00\x80",
 		"a negative count": "\x85\x00\x00\x80\x81\x86\x20\x01\x01\x00\x00\x00\x80",
 		"a huge count":     "\x85\x00\x00\x80\x81\x86\x1a\xff\xff\xff\xff\x01\x01\x00\x00\x00\x80",
-		// A valid group, and one whose count overflows the sum of both.
+		// The first group is valid. The count of the second one makes the sum
+		// of both overflow.
 		"counts that overflow": "\x85\x00\x00\x80\x82\x86\x01\x01\x01\x00\x00\x00\x86\x1b\x7f\xff\xff\xff\xff\xff\xff\xff\x01\x01\x00\x00\x00\x80",
 		"unknown format":       "\x83\x00\x00\x80",
 		"truncated record":     "\x85\x00\x00",
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -50,12 +50,13 @@
 	// maxLogAge is the maximum time since the last successful read of the log for
 	// the log to count as available.
 	maxLogAge = 3 * time.Second
-	// isolatedAfter is the time without a read of the log and without a frame of a
-	// peer after which a host isn't ready and, as the owner, stops renewing leases.
+	// isolatedAfter is the time after which a host that has neither read the
+	// log nor received a frame of a peer counts as isolated. An isolated host
+	// isn't ready, and stops renewing leases if it is the owner.
 	isolatedAfter = 30 * time.Second
-	// snapshotRecords and snapshotMaxAge bound the distance between the owner's
-	// snapshots: it writes one after that many records, or after that time if
-	// there was any record.
+	// snapshotRecords and snapshotMaxAge bound the distance between two
+	// snapshots. The owner writes a snapshot after snapshotRecords records, or
+	// after snapshotMaxAge if there was any record since the last one.
 	snapshotRecords = 2000
 	snapshotMaxAge  = 5 * time.Minute
 	// digestEvery is the number of records between two state digests that hosts
@@ -84,8 +85,10 @@
 	// ErrDiverged reports a peer that computed a different state from the same
 	// records.
 	ErrDiverged = errors.New("node: state differs from a peer's")
-	// ErrNoWitness reports that the replayed state has no place for a guaranteed
-	// block, so that the guarantee can't be reclaimed.
+	// ErrNoWitness reports that the replayed state has no place for a block
+	// that is guaranteed to a customer, even if all preemptible tasks were
+	// stopped. The customer then can't reclaim the guarantee; see package
+	// witness.
 	ErrNoWitness = errors.New("node: a guarantee can't be reclaimed")
 )
 
@@ -208,8 +211,8 @@
 	return n.out
 }
 
-// finish collects the actions and faults of the router and the record that the
-// journal wants to append.
+// finish collects the actions and faults of the router, and the next record of
+// the journal that is due to be appended to the log.
 func (n *Node) finish(now unit.Instant) {
 	acts, faults := n.router.Take()
 	n.out.Sends = append(n.out.Sends, acts.Sends...)
--- a/core/node/own.go
+++ b/core/node/own.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// settle delivers the verdict on an entry of this host to the part that wrote it.
+// settle delivers the verdict on an entry of this host to the component that
+// wrote the entry.
 func (n *Node) settle(now unit.Instant, t journal.Ticket, off id.Offset, verdict error) {
 	o := n.origins[t]
 	delete(n.origins, t)
--- a/core/node/replay.go
+++ b/core/node/replay.go
@@ -16,6 +16,7 @@
 	if n.halted != nil {
 		return
 	}
+	// Records from a peer have no Head and are no read of the log.
 	if ev.Head != 0 || len(ev.Raw) == 0 {
 		n.readAt, n.readFailed = now, false
 		n.head = max(n.head, ev.Head)
@@ -43,9 +44,10 @@
 	n.schedule(now)
 }
 
-// loadSnapshot passes a record to the loader, which is needed if records are
-// missing. Once the loader has a complete snapshot, the state is restored from it
-// and the records after it are applied.
+// loadSnapshot passes a record to the snapshot loader. It is called when
+// records between the applied ones and this one are missing, so that the record
+// can't be applied. Once the loader has a complete snapshot, loadSnapshot
+// restores the state from it and applies the records after it.
 func (n *Node) loadSnapshot(now unit.Instant, off id.Offset, raw []byte) {
 	n.loader.Add(off, raw)
 	rest, ok := n.loader.Load(n.state)
--- a/core/upkeep/upkeep.go
+++ b/core/upkeep/upkeep.go
@@ -42,12 +42,13 @@
 var machineChart = chart.MustParse[state, event]("upkeep.chart", charts.Read("upkeep"))
 
 const (
-	// retryDelay is the delay after a refused order before the machine is chosen
-	// or ordered down again.
+	// retryDelay is the delay after a refused order to take a machine down.
+	// Until it has passed, the machine isn't chosen for emptying and gets no
+	// such order.
 	retryDelay = time.Second
-	// listingDelay is added to the downtime of a machine for its new incarnation's
-	// entry in the platform's list, which is written every 1.5 s and read with a
-	// delay.
+	// listingDelay is added to the downtime of a machine. It is the time until
+	// the machine's new incarnation is seen in the platform's list, which is
+	// written every 1.5 s and read with a delay.
 	listingDelay = 5 * time.Second
 )
 
@@ -119,17 +120,17 @@
 	return slices.Concat(p.inState(waiting), p.inState(emptying), p.inState(ordered), p.inState(down))
 }
 
-// BlocksNewTasks reports whether a machine must accept no new tasks: it is being
-// emptied, ordered down or down.
+// BlocksNewTasks reports whether a machine must get no new tasks, because it is
+// being emptied, is ordered to be taken down, or is down.
 func (p *Plan) BlocksNewTasks(m id.Machine) bool {
 	x := p.machines[m]
 	return x != nil && (x.state == emptying || x.state == ordered || x.state == down)
 }
 
-// StartEmptying starts to empty machines, those with the lowest cost first, until
-// the number of machines in maintenance reaches the wave's limit. It returns
-// them. The function cost returns the work that is lost if a machine is emptied,
-// or false if it can't be emptied now.
+// StartEmptying starts to empty machines, those with the lowest cost first,
+// until the number of machines in maintenance reaches the wave's limit. It
+// returns the machines that it has chosen. The function cost returns the work
+// that is lost if a machine is emptied, or false if it can't be emptied now.
 func (p *Plan) StartEmptying(now unit.Instant, cost func(id.Machine) (float64, bool)) []id.Machine {
 	var out []id.Machine
 	for p.inMaintenance() < max(1, p.wave.MaxDown) {
@@ -169,8 +170,9 @@
 	return now >= p.machines[m].retryAt && p.apply(m, evOrder)
 }
 
-// MarkDown records that an order was carried out. The machine counts as down until
-// it is back.
+// MarkDown records that the order to take a machine down was carried out. The
+// machine counts as down until MarkDone, CompleteOverdue or Exclude ends that
+// state.
 func (p *Plan) MarkDown(now unit.Instant, m id.Machine) {
 	if p.apply(m, evCarried) {
 		p.machines[m].since = now
@@ -197,17 +199,18 @@
 	}
 }
 
-// MarkDone records that a machine has a new incarnation since its order, or had its
-// maintenance before.
+// MarkDone records that the maintenance of a machine is completed: a new
+// incarnation of the machine has appeared since the order to take it down, or
+// the machine had its maintenance before.
 func (p *Plan) MarkDone(m id.Machine) { p.apply(m, evBack) }
 
 // Exclude records that a machine needs no maintenance by this plan: it is
-// permanently gone, doesn't belong to the wave, or was ordered down by an earlier
-// owner.
+// permanently gone, it doesn't belong to the wave, or an earlier owner has
+// ordered it to be taken down.
 func (p *Plan) Exclude(m id.Machine) { p.apply(m, evDrop) }
 
-// inMaintenance returns the number of machines that are being emptied, ordered
-// down or down.
+// inMaintenance returns the number of machines that are being emptied, are
+// ordered to be taken down, or are down.
 func (p *Plan) inMaintenance() int { return p.count(emptying) + p.count(ordered) + p.count(down) }
 
 // count returns the number of machines in a state.
