--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -19,9 +19,10 @@
 	// which room is asked about, because other steps may take some of it
 	// meanwhile.
 	askSpare = 2
-	// initialYield is the fraction of workers that the service is assumed to
-	// allow before its first answer, minYield the least that is assumed.
-	// yieldWeight is the weight of one answer in the moving average.
+	// The yield is the fraction of workers that the service allows.
+	// initialYield is assumed before its first answer, and minYield is the
+	// least that is ever assumed. yieldWeight is the weight of one answer in
+	// the moving average.
 	initialYield = 0.5
 	minYield     = 0.1
 	yieldWeight  = 0.2
@@ -47,8 +48,8 @@
 // adviser is a host that can ask the advice service.
 type adviser struct {
 	busy bool
-	// next is when the next question may be sent, failures how many in a row
-	// got no answer.
+	// next is when the next question may be sent. failures is the number of
+	// consecutive questions that got no answer.
 	next     unit.Instant
 	failures int
 }
@@ -69,8 +70,9 @@
 	return 0, false
 }
 
-// resize sets the number of hosts that can ask. A busy one is kept until its
-// answer arrives.
+// resize sets the number of hosts that can ask. It removes hosts from the end,
+// but none that still waits for an answer and none before such a host; a later
+// call removes those.
 func (c *adviceState) resize(n int) {
 	for len(c.advisers) < n {
 		c.advisers = append(c.advisers, adviser{})
--- a/core/dispatch/answers.go
+++ b/core/dispatch/answers.go
@@ -10,9 +10,9 @@
 
 const (
 	// renewPause is the pause after a renewal that was refused or got no
-	// answer, and the longest pause after one that reported new ends: the next
-	// one is sent once they are in the store. Any other answer is followed by
-	// the next renewal at once.
+	// answer. After a renewal that reported new ends, the next one is sent when
+	// the ends are in the store, or after renewPause at the latest. After any
+	// other answer the next renewal is sent at once.
 	renewPause = 500 * time.Millisecond
 	// busyPause is how long a worker that refused a start gets no new tasks. A
 	// renewal that is sent at once reports its runs meanwhile.
@@ -76,8 +76,8 @@
 	if w == nil {
 		return nil
 	}
-	// If there may be several incarnations of the name, no other verdict shows
-	// which of them sent it.
+	// If the worker's name may have several incarnations, a verdict other than
+	// these two doesn't show which incarnation sent it.
 	if v == fleet.Replaced || v == fleet.Fenced || !fleet.HasStart(w.ID) {
 		d.applyVerdict(now, w, t, v, c)
 	}
@@ -163,8 +163,8 @@
 	done := res.Verdict == fleet.CarriedOut || res.Verdict == fleet.Stale
 	if done && r.stopConfirmedAt == 0 {
 		r.stopConfirmedAt = now
-		// A renewal that doesn't wait then shows whether the run was ever
-		// there.
+		// A renewal after StopTime, which doesn't wait at the worker, shows
+		// whether the worker ever had the run.
 		r.worker.nextRenewal = min(r.worker.nextRenewal, now.Add(d.config.StopTime))
 	}
 }
@@ -236,8 +236,8 @@
 		return // it answered before the next incarnation did: the runs that it lists are over
 	}
 	d.reconcile(now, w, res, ended)
-	// An answer that took longer than this was delayed in this host, and the
-	// progress that it reports is out of date.
+	// An answer that took longer than the wait plus the timeout was delayed in
+	// this host, and the progress that it reports is out of date.
 	if now.Sub(res.Sent) <= res.Renew.Wait+renewTimeout {
 		d.stopStalled(now, w)
 	}
--- a/core/dispatch/candidate.go
+++ b/core/dispatch/candidate.go
@@ -9,8 +9,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// lateFactor times a job's allowed time, counted from its due time, is the time
-// after which its completion earns nothing.
+// lateFactor times a job's allowed time is the time after its due time from
+// which its completion earns nothing.
 const lateFactor = 3
 
 // candidate is a step that has tasks which may start now.
@@ -137,8 +137,9 @@
 }
 
 // due returns when a step's round becomes due, on the monotonic clock, and
-// whether that time has come. A job without rounds is due at once: the clock of
-// the host that accepted it may be ahead of this host's.
+// whether that time has come. A job without rounds is due at once, even if its
+// acceptance time is in the future: the clock of the host that accepted it may
+// be ahead of this host's.
 func (d *Dispatcher) due(now unit.Instant, s *stepState) (unit.Instant, bool) {
 	spec := s.job.spec
 	if spec.Rounds == 0 {
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -46,8 +46,8 @@
 	// numbers of usable and of empty workers of each rack.
 	pools map[id.Service]*pool
 	racks map[rackName]*rackUse
-	// incarnationEnds holds the latest worker crashes, as far back as the
-	// duration commonCause.
+	// incarnationEnds holds the worker crashes of the most recent period of
+	// length commonCause.
 	incarnationEnds []*incarnationEnd
 	// window bounds the number of start orders in flight.
 	window window
--- a/core/dispatch/evacuation.go
+++ b/core/dispatch/evacuation.go
@@ -58,8 +58,8 @@
 	return StartRules{Evacuated: d.evacuated, ValidUntil: until}
 }
 
-// DenialReason returns why an order to start may not be sent to a failure
-// domain, or an empty string if it may.
+// DenialReason returns why a start order may not be sent to a worker of a
+// failure domain, or an empty string if it may be sent.
 func (r StartRules) DenialReason(now unit.Instant, domain id.Domain) string {
 	switch {
 	case now > r.ValidUntil:
@@ -121,9 +121,10 @@
 // isn't repeated, because of an evacuation.
 const whyEvacuated = "its failure domain is evacuated"
 
-// blockedByEvacuation reports whether a run can no longer start because its
-// domain, or that of a member of its gang that hasn't started, is evacuated:
-// the other members would wait for that one. A run that has started continues.
+// blockedByEvacuation reports whether a run, or a member of its gang, hasn't
+// started yet and can't start because its failure domain is evacuated. One such
+// member blocks its whole gang, since the others would wait for it. A run that
+// has started continues.
 func (r *run) blockedByEvacuation() bool {
 	return r.anyMember(func(m *run) bool { return m.startedAt == 0 && m.worker.evacuated })
 }
--- a/core/dispatch/flush.go
+++ b/core/dispatch/flush.go
@@ -198,7 +198,7 @@
 }
 
 // place assigns a task to a worker and returns the run. The start order is sent
-// after the next batch.
+// once the next batch, which records the placement, is in the store.
 func (d *Dispatcher) place(s *stepState, index int, w *worker, number job.RunNumber) *run {
 	js := s.job
 	if len(js.progress.Tasks) == 0 {
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// countUnansweredStart counts a run whose worker answered none of the orders to
-// start it as a failed one.
+// countUnansweredStart counts a run as failed because its worker answered none
+// of its start orders.
 func (d *Dispatcher) countUnansweredStart(now unit.Instant, r *run) {
 	if r.step != nil {
 		r.step.noteFailure(now, r.task.Index, r.worker)
@@ -213,8 +213,8 @@
 	return len(js.failedImmediatelyOn) <= maxWorkers
 }
 
-// onProbation reports whether a worker was suspended and has completed nothing
-// since. It gets one run at a time until then.
+// onProbation reports whether a worker was suspended and no run has succeeded
+// there since. A worker on probation gets one run at a time.
 func (w *worker) onProbation() bool { return w.failureStreak >= suspendAfterFailures }
 
 // endProbation ends a worker's probation if a run there has worked for
--- a/core/dispatch/inherit.go
+++ b/core/dispatch/inherit.go
@@ -16,8 +16,8 @@
 // task is placed again only after the next incarnation has reported whether it
 // has the run.
 
-// maxOrderDelay is how long after it was sent an unanswered order may still be
-// carried out by the platform.
+// maxOrderDelay is the time after its sending within which the platform may
+// still carry out an unanswered order.
 const maxOrderDelay = 12 * time.Second
 
 // maxAnswerAgeForAck is how recent a worker's last answer must be for a renewal
@@ -146,8 +146,9 @@
 	}
 }
 
-// blockStart keeps an unanswered order from starting a run that has ended: a
-// worker refuses to start a run that it was ordered to stop before.
+// blockStart prevents an unanswered start order from starting a run that has
+// ended. It orders the worker to stop the run, because a worker refuses to
+// start a run that it was ordered to stop before.
 func (d *Dispatcher) blockStart(now unit.Instant, next *worker, s lateStart) {
 	if r := next.runs.get(s.task); r != nil {
 		r.startUnanswered = true // stopping the later run also keeps the earlier one from starting
--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -17,16 +17,16 @@
 type evidence string
 
 const (
-	// leaseLapsed: every lease there has expired, by the worst case of the
-	// worker's clock.
+	// leaseLapsed: every lease on the worker has expired, even if its clock is
+	// as slow as the platform allows.
 	leaseLapsed evidence = "its lease has lapsed"
 	// anotherAnswers: an order to the worker was answered by another
 	// incarnation at its address.
 	anotherAnswers evidence = "another life at its address"
-	// sameName: another incarnation answered an order sent after this one had
-	// begun under their name. Incarnations under one name never overlap, so the
-	// one that answered is the later one, whatever the start times in their
-	// ids.
+	// sameName: another incarnation of the same name answered an order that was
+	// sent after the owner learned of this incarnation. Incarnations of one
+	// name never overlap, so the one that answered is the later one, whatever
+	// the start times in their ids.
 	sameName evidence = "another life under its name"
 	// laterAnswered: another incarnation at its address, or on its machine, has
 	// answered an order sent after the worker's last answer had arrived.
--- a/core/dispatch/loss.go
+++ b/core/dispatch/loss.go
@@ -10,8 +10,9 @@
 	// acceleratorCores is how many cores an accelerator is worth, by the
 	// platform's prices.
 	acceleratorCores = 8
-	// longRunningLoss is the cost of stopping a long-running task, as working
-	// time lost: the platform requires it to be back within 6 s.
+	// longRunningLoss is the working time that counts as lost when a
+	// long-running task is stopped: the platform requires the task to run again
+	// within 6 s.
 	longRunningLoss = 6 * time.Second
 )
 
@@ -21,8 +22,8 @@
 	return float64(r.need.CPU)/1000 + acceleratorCores*float64(r.need.Accelerators)
 }
 
-// unsaved returns the core-seconds of work that stopping the run now would
-// throw away.
+// unsaved returns the core-seconds of work that would be lost if the run were
+// stopped now.
 func (r *run) unsaved(now unit.Instant, saveEvery time.Duration) float64 {
 	if r.startedAt == 0 {
 		return 0
--- a/core/dispatch/machine.go
+++ b/core/dispatch/machine.go
@@ -48,10 +48,10 @@
 }
 
 // incarnationOn returns the worker that is the present incarnation of a
-// machine, or nil. Of the listed ones it is the one that answered last, since
-// the list may still have the entry of an earlier incarnation. One that has
-// answered once but no longer does is the present one as well, if it has no
-// rival.
+// machine, or nil. Several incarnations may be listed, since the list may still
+// have the entry of an earlier one. The present one is the one that answered
+// the latest renewal. A listed incarnation that has answered before but not
+// recently also qualifies, if it has no rival.
 func (d *Dispatcher) incarnationOn(m id.Machine) *worker {
 	var present *worker
 	for _, w := range d.workersByID {
@@ -74,8 +74,9 @@
 	}
 }
 
-// noteMachineBack handles an answer of a worker: its machine is back if the
-// renewal was sent after the machine was taken down.
+// noteMachineBack handles a worker's answer to a renewal. The worker's machine
+// is back from maintenance if that renewal was sent after the owner learned
+// that the machine was taken down.
 func (d *Dispatcher) noteMachineBack(w *worker) {
 	if w.Machine == "" || !w.confirmed() {
 		return
--- a/core/dispatch/note.go
+++ b/core/dispatch/note.go
@@ -44,9 +44,9 @@
 	// revoked.
 	EventDomainEvacuated Event = "domain-evacuated"
 	EventDomainOpened    Event = "domain-opened"
-	// EventStartsWithheld: nothing starts, because the known evacuations are
-	// out of date; the age is theirs. EventStartsResumed: they are up to date
-	// again.
+	// EventStartsWithheld: nothing starts, because the owner's knowledge of
+	// evacuations is out of date; the age is that of the knowledge.
+	// EventStartsResumed: they are up to date again.
 	EventStartsWithheld Event = "starts-withheld"
 	EventStartsResumed  Event = "starts-resumed"
 	// EventTaskPlaced: a task is placed on a worker; why is its rack.
--- a/core/dispatch/pass.go
+++ b/core/dispatch/pass.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// stopResendFactor times Config.StopTime is how long after its worker
-	// confirmed the stop a run that is still listed is ordered to stop again.
+	// stopResendFactor times Config.StopTime is the time after a confirmed stop
+	// from which the stop order is repeated if the worker still lists the run.
 	stopResendFactor = 3
 	// resendAfter is when an order without an answer is repeated. Workers
 	// answer within a few milliseconds.
@@ -30,9 +30,10 @@
 	// maxResultDelay is how long after its timeout the result of a renewal may
 	// arrive and still count as evidence about the worker.
 	maxResultDelay = 500 * time.Millisecond
-	// leaseShare is the share of a lease within which a renewal must succeed
-	// after two were lost. The worker's clock may drift by 2 %; the rest is for
-	// the transit time.
+	// leaseShare is the fraction of a lease within which two lost renewals must
+	// be over, so that the next one still extends the lease. Of the rest, 2 %
+	// is for the drift of the worker's clock, and the remainder for the transit
+	// time.
 	leaseShare = 0.95
 	// minRenewWait is how long a renewal may wait in deployments with the
 	// shortest leases.
@@ -92,8 +93,8 @@
 func (d *Dispatcher) loseLapsed(now unit.Instant, w *worker) {
 	if w.leased() && now > w.leaseExpiry() && (w.renewalFailed || w.Address == "") {
 		d.loseAll(now, w, leaseLapsed)
-		// The worker now seems to be empty. Without a new answer it would be
-		// given the same tasks again.
+		// The worker now seems to be empty. It must answer again before it gets
+		// tasks; otherwise it would be given the same tasks again.
 		w.syncedAsOf = 0
 	}
 }
@@ -218,8 +219,9 @@
 	if w.syncedAsOf != 0 && w.lastEndSeen == w.lastEndStored && len(w.runs) > 0 && w.responsive(now) &&
 		!w.renewalUnanswered && !w.needsPromptAnswer() && !w.hasForgettableEnds() {
 		o.Wait = renewalWait(d.config.MaxLease)
-		// After a renewal that grants no lease, the next one may grant one, and
-		// must be sent before a lease of 6 s has expired.
+		// A renewal that grants no lease must not wait long: the next one may
+		// grant a lease, and must be sent before an earlier lease of 6 s
+		// expires.
 		if w.hasMixedLoad() || o.Until == 0 {
 			o.Wait = min(o.Wait, mixedRenewWait)
 		}
--- a/core/dispatch/permit.go
+++ b/core/dispatch/permit.go
@@ -26,8 +26,8 @@
 	until   unit.Instant
 }
 
-// takePermits stores an answer of the service. Workers without a permit in it
-// are refused.
+// takePermits stores an answer of the advice service. A worker that was asked
+// about and has no permit in the answer is refused.
 func (s *stepState) takePermits(now unit.Instant, res AskResult) {
 	if s.permits == nil {
 		s.permits = map[id.Worker]permit{}
--- a/core/dispatch/reserve.go
+++ b/core/dispatch/reserve.go
@@ -18,8 +18,9 @@
 	rateTimeConstant = 6 * time.Second
 	// maxReserveShare bounds the reserve as a fraction of a service's workers.
 	maxReserveShare = 0.2
-	// estimateFactor times the estimated work is the time before its deadline
-	// from which a job may use the reserve: estimates are often too short.
+	// estimateFactor times a job's estimated critical path is the time before
+	// its deadline from which the job may use the reserve. The factor is above
+	// 1 because estimates are often too short.
 	estimateFactor = 1.5
 )
 
--- a/core/dispatch/stall.go
+++ b/core/dispatch/stall.go
@@ -16,8 +16,8 @@
 	// progress to be stopped. A run of 2.5 s gains a percent every 25 ms, one
 	// of a minute every 0.6 s.
 	urgentStallTime = 900 * time.Millisecond
-	// nonUrgentStallTime is the same for other runs. They can wait for their
-	// workers to recover, and stopping them throws more work away.
+	// nonUrgentStallTime is the same time for runs that aren't urgent. They can
+	// wait for their workers to recover, and stopping them loses more work.
 	nonUrgentStallTime = 6 * time.Second
 	// minLeadPercent is how many percentage points another member of the gang
 	// must be ahead. The speeds of members' workers differ by a factor of up to
@@ -27,12 +27,14 @@
 	// almostDone is the progress, in percent, from which a run never counts as
 	// stalled: it may be waiting for the other members of its gang.
 	almostDone = 98
-	// maxEstimateFactor times the customer's estimate is how long a task may
-	// take, since estimates may be far too short. Within each hundredth of that
-	// time its progress must grow by a percent.
+	// maxEstimateFactor times the customer's estimate is the longest time that
+	// a task is assumed to take, since estimates may be far too short. A run
+	// that isn't part of a gang counts as stalled only if it gains no percent
+	// within a hundredth of that time.
 	maxEstimateFactor = 10
 	// maxStallStops is how many runs of one task, or gang, are stopped for lack
-	// of progress. After that, the lack is assumed to be normal for the task.
+	// of progress. After that, long times without progress are assumed to be
+	// normal for the task.
 	maxStallStops = 2
 	// urgentRenewWait replaces renewWait on a worker with an urgent run:
 	// progress becomes known only when answers arrive.
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -146,8 +146,8 @@
 	// load is the worker's load figure of the run: the tail latency of a
 	// serving task in milliseconds, the processor time in use of any other.
 	load int64
-	// slowdownPercent is the share of its full speed, in percent, that the run
-	// was last ordered to give up to others; 0 at full speed.
+	// slowdownPercent is the percentage of its full speed by which the run was
+	// last ordered to slow down; 0 at full speed.
 	slowdownPercent int
 	// stopSentAt is when the last stop order was sent, stopConfirmedAt when the
 	// worker confirmed a stop; 0 if it hasn't, or if the order is due again.
