--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -187,10 +187,10 @@
 	}
 }
 
-// mustBeReported reports whether the answer to a renewal sent at the given time
-// must list the run if the run is on the worker or can still start there. That
-// is so if the worker had confirmed the run's start or stop before that time,
-// or if every copy of the start order would by then have arrived too late to be
+// mustBeReported reports whether a run counts as missing if the answer to a
+// renewal sent at the given time doesn't list it. That is so if the run can't
+// start on the worker after that time: the worker had already confirmed its
+// start or its stop, or every copy of its start order is by then too late to be
 // accepted.
 func (d *Dispatcher) mustBeReported(r *run, sent unit.Instant) bool {
 	started := r.startedAt != 0 && sent > r.startedAt
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -153,8 +153,8 @@
 	// worker confirmed a stop; 0 if it hasn't, or if the order is due again.
 	stopSentAt      unit.Instant
 	stopConfirmedAt unit.Instant
-	// missingAt is when a report arrived that didn't list the run; 0 if the
-	// latest report lists it.
+	// missingAt is when a report that should have listed the run, but didn't,
+	// arrived; 0 if the latest report lists the run.
 	missingAt unit.Instant
 	// startSentAt is when the last start order was sent, startOrders how many
 	// were sent.
@@ -192,11 +192,11 @@
 	return true
 }
 
-// worker is one incarnation of a worker. Four terms say what is known of its
-// answers, from the weakest on: answered, it sent any answer; synced, it
-// reported its runs; confirmed, it did so after a rival incarnation became
-// known; responsive, it answered recently enough for orders to extend its
-// lease.
+// worker is one incarnation of a worker. Four terms describe its answers, from
+// the weakest to the strongest. Answered: it has sent any answer. Synced: it
+// has reported its runs. Confirmed: it has done so since a rival incarnation
+// became known. Responsive: it has answered recently enough for orders to
+// extend its lease.
 type worker struct {
 	fleet.Listing
 	// name is the name that this incarnation began under. Other incarnations
@@ -228,8 +228,8 @@
 	// claims take.
 	used, reserved job.Resources
 	runs           runSet
-	// clockAt is the earliest time at which the worker's clock can have shown
-	// Clock.
+	// clockAt is when the reading Clock of the worker's clock arrived; from
+	// then on the clock shows at least Clock.
 	clockAt unit.Instant
 	// lastAnswerAt is when its last answer arrived, firstRenewalAt when this
 	// owner's first renewal was sent; 0 for never.
@@ -275,8 +275,8 @@
 	// unanswered order may grant to the next incarnation.
 	lateStarts                 []lateStart
 	lateAckAt, lateLeaseExpiry unit.Instant
-	// suspendedUntil is until when the worker gets no new tasks, suspendedAt when
-	// that was decided.
+	// suspendedUntil is the time until which the worker gets no new tasks.
+	// suspendedAt is when it was suspended.
 	suspendedAt, suspendedUntil unit.Instant
 	// rivalSeenAt is when a rival incarnation, at the worker's address or of its
 	// machine, was last listed; 0 if there is none. replaced is set once a
