--- a/core/dispatch/assure_test.go
+++ b/core/dispatch/assure_test.go
@@ -37,9 +37,9 @@
 	s.run("pass 10ms\n> upkeep m1 of wave 1")
 }
 
-// TestGrantsSoonAfterAssurance guards against leases that expire because for
-// 5 s nothing confirms that no other host is the owner; during the last 2 s of
-// these no lease is granted. Leases last 6 s, and the worker answers every
+// TestGrantsSoonAfterAssurance guards against leases that expire after an owner
+// could not confirm for 5 s that no other host is the owner. In the last 2 s of
+// that time it grants no lease. Leases last 6 s, and the worker answers every
 // renewal.
 //
 // A renewal that was sent during these 2 s granted nothing, and waited 2 s at
--- a/core/dispatch/candidate.go
+++ b/core/dispatch/candidate.go
@@ -94,7 +94,8 @@
 }
 
 // candidate returns a step with its tasks that may start, and false if there
-// are none.
+// are none. Tasks that have reached the limit of crashes may not start. A gang
+// may start only as a whole, when none of its members has a run.
 func (d *Dispatcher) candidate(now unit.Instant, s *stepState) (candidate, bool) {
 	js := s.job
 	due, ok := d.due(now, s)
--- a/core/dispatch/fence.go
+++ b/core/dispatch/fence.go
@@ -14,7 +14,8 @@
 // carried out until then.
 
 // raiseFence raises the fence of orders to a worker. An owner that has used up
-// all fence revisions gives way to the next epoch.
+// all fence revisions counts as fenced, so that another owner with a higher
+// epoch replaces it.
 func (d *Dispatcher) raiseFence(w *worker) {
 	if !fleet.HasStart(w.ID) {
 		return
--- a/core/dispatch/fence_internal_test.go
+++ b/core/dispatch/fence_internal_test.go
@@ -80,7 +80,7 @@
 }
 
 // answer reports the verdict of orders. A worker that carries out a renewal
-// lists all that was placed there.
+// lists all runs that were placed there.
 func (f *failingFleet) answer(o Orders) {
 	for _, x := range o.Starts {
 		f.d.Started(f.now, StartResult{Start: x, Verdict: f.verdict})
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -198,6 +198,8 @@
 }
 
 // withOneMore returns a worker's share with one more member, if there is room.
+// A worker on probation takes only one run, and the step may limit its tasks on
+// one worker.
 func (d *Dispatcher) withOneMore(now unit.Instant, c candidate, share workerShare, need job.Resources, roomOf roomFunc) extension {
 	if c.step.full(share.worker, share.members) || share.worker.onProbation() && len(share.worker.runs)+share.members > 0 {
 		return extension{}
--- a/core/dispatch/jobs.go
+++ b/core/dispatch/jobs.go
@@ -39,8 +39,8 @@
 	}
 	d.insertOpen(js)
 	if !matches {
-		// It is unknown which of its tasks are done, and none may be done
-		// twice.
+		// It is unknown which tasks of the job are done, and no task may be
+		// done twice, so the job fails.
 		d.finish(now, js, job.Failed, "its spec and its progress have different tasks")
 		return
 	}
--- a/core/dispatch/lives.go
+++ b/core/dispatch/lives.go
@@ -33,10 +33,10 @@
 	laterAnswered evidence = "a later life has answered"
 )
 
-// loseAll gives up every run on a worker whose end the evidence shows. If the
-// worker has crashed, it counts the crash against the tasks. If the evidence is
-// leaseLapsed but a lease may still be valid, it reports a violated invariant
-// and gives up nothing.
+// loseAll gives up every run on a worker because of evidence that nothing runs
+// there any more. If the evidence suggests a crash, it counts the crash against
+// the tasks. If the evidence is leaseLapsed but a lease may still be valid, it
+// reports a violated invariant and gives up nothing.
 func (d *Dispatcher) loseAll(now unit.Instant, w *worker, e evidence) {
 	if w.crashed(now, e) {
 		d.countCrashes(now, w)
--- a/core/dispatch/note.go
+++ b/core/dispatch/note.go
@@ -46,7 +46,8 @@
 	EventDomainOpened    Event = "domain-opened"
 	// EventStartsWithheld: nothing starts, because the owner's knowledge of
 	// evacuations is out of date; the age is that of the knowledge.
-	// EventStartsResumed: they are up to date again.
+	// EventStartsResumed: the knowledge is up to date again, and tasks may
+	// start.
 	EventStartsWithheld Event = "starts-withheld"
 	EventStartsResumed  Event = "starts-resumed"
 	// EventTaskPlaced: a task is placed on a worker; why is its rack.
--- a/core/dispatch/outcome.go
+++ b/core/dispatch/outcome.go
@@ -150,7 +150,9 @@
 }
 
 // reconcile compares the runs that a worker reports with those that are placed
-// on it.
+// on it. It stops reported runs that nothing has placed there, updates the
+// others, and handles the placed runs that the report lists neither as running
+// nor as ended.
 func (d *Dispatcher) reconcile(now unit.Instant, w *worker, res RenewResult, ended map[job.TaskID]bool) {
 	listed := map[job.TaskID]bool{}
 	for _, x := range res.Report.Running {
