--- a/core/world/check.go
+++ b/core/world/check.go
@@ -27,15 +27,16 @@
 type taskHistory struct {
 	// liveRuns counts the runs on workers that are up.
 	liveRuns int
-	// done is set once a run has ended with success, acknowledged once the
-	// owner has acknowledged that end to the worker.
+	// done is set once a run has ended with success. acknowledged is set once
+	// the owner has acknowledged that end to the worker.
 	done, acknowledged bool
-	// ackedFailures counts the failures that the owner has acknowledged,
-	// failures all of them.
+	// failures counts all failures of the task. ackedFailures counts those that
+	// the owner has acknowledged.
 	ackedFailures, failures int
 	lastStart               unit.Instant
-	// crashes counts the incarnations of workers that the task has crashed,
-	// startsAfter its starts after maxCrashes crashes.
+	// crashes counts the incarnations of workers that the task has crashed.
+	// startsAfter counts the starts of the task since crashes reached
+	// maxCrashes.
 	crashes, startsAfter int
 }
 
@@ -124,8 +125,9 @@
 	}
 }
 
-// checkFinish checks that the recorded outcome of a job is justified if it is
-// completed or failed.
+// checkFinish checks the recorded outcome of a job. A failed job must have a
+// task or gang that has used up its attempts, or a task that crashes workers.
+// In a completed job, all steps must be done.
 func (w *World) checkFinish(s *submittedJob, outcome State) {
 	if outcome == Failed && !s.outOfAttempts() && !s.crashesWorkers() {
 		w.recordViolation(fmt.Sprintf("%s is shown as failed, but has attempts left", s.Name))
@@ -142,8 +144,8 @@
 	}
 }
 
-// outOfAttempts reports whether some task, or gang, has failed as often as it
-// may.
+// outOfAttempts reports whether some task, or some gang, has used up its
+// attempts.
 func (s *submittedJob) outOfAttempts() bool {
 	for round := range s.Spec.RoundCount() {
 		for step := range s.Spec.Steps {
@@ -166,8 +168,9 @@
 	return false
 }
 
-// mostFailures returns the failures of the task of a step that has failed most
-// often. A gang fails as a whole, so the failures of its members are added up.
+// mostFailures returns the highest number of failures of any one task of a
+// step. A gang fails as a whole, so for a gang mostFailures returns the sum of
+// its members' failures.
 func (s *submittedJob) mostFailures(round, step int) int {
 	highest, sum := 0, 0
 	for i := range s.Spec.Steps[step].Count {
--- a/core/world/connection.go
+++ b/core/world/connection.go
@@ -10,8 +10,9 @@
 // connection is a connection to a worker on which orders are sent.
 type connection struct {
 	machine *machine
-	// incarnation is the one that accepted the connection; 0 if an order
-	// reaches any incarnation.
+	// incarnation is the worker's incarnation that accepted the connection. It
+	// is 0 if connections aren't simulated; an order then reaches any
+	// incarnation.
 	incarnation int
 }
 
@@ -25,14 +26,17 @@
 type refusal struct {
 	verdict fleet.Verdict
 	after   time.Duration
-	// otherReport is the report of another incarnation with the target's name;
-	// nil if none answered.
+	// otherReport is the report of another incarnation that answered under the
+	// target's name; nil if none did.
 	otherReport *fleet.Report
 }
 
-// connect calls send with a connection to a worker: at once with an open one to
-// the target incarnation, else after a handshake on a new one. It calls refused
-// if the order can't be sent.
+// connect calls send with a connection to a worker. With the delivery
+// OnConnection, it reuses an open connection to the target incarnation, or
+// first makes a handshake on a new connection. If the handshake fails or
+// another incarnation answers it, connect calls refused instead. With the other
+// deliveries, and for a worker that doesn't report its start, connections
+// aren't simulated and connect calls send at once.
 func (o *owner) connect(m *machine, t dispatch.Target, refused func(refusal), send func(connection)) {
 	w := o.world
 	if w.setup.Delivery != OnConnection || !fleet.HasStart(t.Worker) {
--- a/core/world/evacuation.go
+++ b/core/world/evacuation.go
@@ -13,13 +13,13 @@
 // evacuation is the state of an evacuated failure domain, in which nothing may
 // start.
 type evacuation struct {
-	// since is when the domain was evacuated, until when the evacuation is
+	// since is when the domain was evacuated. until is when the evacuation is
 	// revoked.
 	since, until unit.Instant
 }
 
-// evacuate evacuates the failure domains that a fault affects. The evacuation
-// of a domain that is evacuated already is extended.
+// evacuate evacuates the failure domains that a fault affects, at least one. If
+// a domain is evacuated already, its evacuation is extended.
 func (w *World) evacuate(f Fault) {
 	domains := w.domains()
 	chosen := w.chosen(f, len(domains))
@@ -52,7 +52,7 @@
 }
 
 // checkDomain checks that a run may start in its worker's failure domain. Late
-// orders are exempt, because no owner can take them back.
+// orders are exempt, because no owner can recall an order that it has sent.
 func (w *World) checkDomain(m *machine, o dispatch.Start) {
 	e, evacuated := w.evacuations[m.Domain]
 	if evacuated && !w.lateOrders.executing && w.now > e.since.Add(w.setup.EvacuationBound) {
--- a/core/world/fault.go
+++ b/core/world/fault.go
@@ -61,8 +61,9 @@
 	// Evacuate evacuates failure domains, at least one, until Duration has
 	// passed; a later fault extends it. It requires Setup.EvacuationBound.
 	Evacuate FaultKind = "evacuate"
-	// Late leaves a share of the orders unanswered. Each is executed Factor
-	// seconds later, but at most maxOrderDelay with Setup.ReportStart.
+	// Late leaves a share of the orders unanswered. Each of them is executed
+	// Factor seconds later. With Setup.ReportStart, the delay is at most
+	// maxOrderDelay.
 	Late FaultKind = "late"
 	// StoreDown makes the store unavailable.
 	StoreDown FaultKind = "store-down"
@@ -95,7 +96,7 @@
 	Share    float64
 	Duration time.Duration
 	// Factor is the delay in seconds for Late. For Shrink, Slow and StoreSlow
-	// it is a divisor or a multiplier, and counts as 1 if it is below.
+	// it is a divisor or a multiplier, and a value below 1 counts as 1.
 	Factor float64
 }
 
@@ -218,8 +219,9 @@
 	}
 }
 
-// chosen returns the indexes, in order, of those among n that a fault affects.
-// They depend only on the seed, the kind and the time.
+// chosen returns the indexes of the elements, out of n, that a fault affects,
+// in ascending order. The choice depends only on the seed, the kind and the
+// time of the fault.
 func (w *World) chosen(f Fault, n int) []int {
 	count := min(n, int(math.Round(f.Share*float64(n))))
 	stream := uint64(w.draw("fault", f.Kind, w.now) * math.MaxUint32)
--- a/core/world/gang.go
+++ b/core/world/gang.go
@@ -19,8 +19,8 @@
 type gang struct {
 	number  job.RunNumber
 	members []*run
-	// complete is set once all members have started, broken once one of them
-	// has ended without success.
+	// complete is set once all members have started. broken is set once one of
+	// them has ended without success.
 	complete, broken bool
 }
 
@@ -42,7 +42,8 @@
 		g.startWork(w)
 		return
 	}
-	// The timeout also applies in a broken gang, whose other members have ended.
+	// The timeout also applies to a run that joins a broken gang. The other
+	// members of that gang have ended, so it never starts its work.
 	w.Schedule(w.setup.Times.GangTimeout, func() {
 		if !r.ended && r.workStart == 0 {
 			r.finish(fleet.EndGangTimeout)
@@ -87,9 +88,9 @@
 	}
 }
 
-// finishAll ends all members with success. The first member whose end is due
-// ends them all, because they end at the same time unless one has failed
-// before.
+// finishAll ends all members with success when the end of the first one is due.
+// Members end at the same time unless one has failed before, so all of them are
+// due then.
 func (g *gang) finishAll() {
 	for _, r := range g.members {
 		if !r.ended {
@@ -98,8 +99,9 @@
 	}
 }
 
-// breakUp ends the other members of a gang that has lost one. In a gang that
-// was not complete, they wait on until the gang timeout ends them.
+// breakUp ends the other members of a gang after one has ended without success.
+// If the gang was not complete, the other members keep waiting until the gang
+// timeout ends them.
 func (g *gang) breakUp() {
 	if g.broken {
 		return
--- a/core/world/host.go
+++ b/core/world/host.go
@@ -27,13 +27,15 @@
 	// has scheduled has no effect.
 	incarnation int
 	up          bool
-	// listedUntil is until when the store lists the host although it is down.
+	// listedUntil is the time until which the store still lists the host after
+	// the host went down.
 	listedUntil unit.Instant
 	// claiming is set while a claim is in flight.
 	claiming bool
-	// lostEpoch is the epoch under which the host was the owner but no longer
-	// is; 0 for none. While the store still names that epoch, the host claims
-	// again, because no other host does: the host is alive.
+	// lostEpoch is the epoch of the ownership that this host has lost; 0 for
+	// none. While the store still names that epoch, the ownership is vacant. No
+	// other host claims it then, because this host is alive, so this host
+	// claims it again.
 	lostEpoch id.Epoch
 }
 
@@ -102,8 +104,8 @@
 	return vacant || h.election.ShouldClaim(h.world.now)
 }
 
-// claimIfDue claims the ownership if it is the host's turn. While the owner is
-// missing, it schedules another check shortly after.
+// claimIfDue claims the ownership if it is the host's turn. If it isn't and the
+// owner is missing, claimIfDue schedules another check after handoverDelay.
 func (h *host) claimIfDue(incarnation int) {
 	w := h.world
 	if h.incarnation != incarnation || !h.up || h.claiming || w.owner != nil && w.owner.host == h {
@@ -126,8 +128,10 @@
 	w.store.append(jobsLog, epoch, []jobtable.Record{r}, func(bool) { h.claimStored(incarnation, epoch) })
 }
 
-// claimStored handles a host's claim that is in the store: all hosts read it,
-// and it fences earlier owners in the progress log.
+// claimStored continues a claim that has been written to the store. All hosts
+// read the claim. If it is still the newest one, claimStored appends to the
+// progress log under the new epoch, which fences earlier owners there, and then
+// makes the host the owner.
 func (h *host) claimStored(incarnation int, epoch id.Epoch) {
 	w := h.world
 	for _, o := range w.hosts {
@@ -154,6 +158,8 @@
 }
 
 // handOver releases the ownership, so that a host with more ability claims it.
+// It clears lostEpoch, so that this host doesn't claim the ownership again
+// before the release is in the store.
 func (h *host) handOver() {
 	w := h.world
 	w.owner.end()
@@ -174,8 +180,8 @@
 	})
 }
 
-// kill ends a host's processes. They come back after a time, or never if that
-// is 0.
+// kill ends a host's processes. They restart after the time down, or never if
+// down is 0.
 func (h *host) kill(down time.Duration) {
 	w := h.world
 	if !h.up {
--- a/core/world/long_test.go
+++ b/core/world/long_test.go
@@ -79,8 +79,9 @@
 	}
 }
 
-// crashingJobs returns a function that draws random jobs, of which one in
-// crashOneIn crashes its workers and gets more arguments.
+// crashingJobs returns a function that draws random jobs. On average, one in
+// crashOneIn of them crashes its workers. The arguments in more are added to
+// those jobs.
 func crashingJobs(seed uint64, more ...string) func(*rand.Rand) args {
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func(r *rand.Rand) args {
@@ -95,8 +96,9 @@
 // crashOneIn is the number of jobs of which one, on average, crashes workers.
 const crashOneIn = 8
 
-// longKinds are the kinds of faults of TestLong, and the others those of its
-// variants. Their order is part of what a seed determines.
+// longKinds are the kinds of faults of TestLong. The other variables have those
+// of its variants. The order of the kinds matters: with another order, a seed
+// gives another run.
 var (
 	longKinds = []world.FaultKind{
 		world.Kill, world.Silence, world.Drain, world.Fail, world.Busy, world.Mute, world.Slow, world.Late, world.StoreDown,
--- a/core/world/machine.go
+++ b/core/world/machine.go
@@ -18,7 +18,8 @@
 const capacityGrace = 4500 * time.Millisecond
 
 // initialClock is the reading of a worker's clock when the simulation begins.
-// It must not be 0, which a dispatcher takes for a clock that it has not read.
+// It must not be 0, because a dispatcher interprets a reading of 0 as a clock
+// that it has not read.
 const initialClock = 100 * time.Second
 
 // machine is one worker of the site through all its incarnations.
@@ -30,8 +31,9 @@
 	incarnation, idCount int
 	currentID            id.Worker
 	up                   bool
-	// clockOffset is how far the clock is ahead of one that has run since the
-	// simulation began; 0 if the clock has never restarted.
+	// clockOffset is the difference between the clock and one that has run
+	// since the simulation began. It is positive if the clock is ahead, and 0
+	// if the clock has never restarted.
 	clockOffset time.Duration
 	// runs holds the current runs in the order of their starts.
 	runs []*run
@@ -44,14 +46,15 @@
 	clockRate  float64
 	leaseUntil fleet.ClockReading
 	fence      fleet.Fence
-	// answerHeld answers the renewal that waits for an end; nil if none waits.
+	// answerHeld answers the renewal that is waiting at the worker for a run to
+	// end; nil if none waits.
 	answerHeld func()
-	// partitionedUntil is until when hosts can't connect to the worker and the
-	// list of workers gets no updates from it. silentUntil is until when it
-	// neither receives nor answers orders, failsUntil until when all runs that
-	// it starts fail, busyUntil until when it refuses start orders, muteUntil
-	// until when it neither executes nor answers start orders, and slowUntil
-	// until when runs start at a speed that is divided by slowBy.
+	// The following times are the ends of faults. Until partitionedUntil, hosts
+	// can't connect to the worker and the list of workers gets no updates from
+	// it. Until silentUntil, it neither receives nor answers orders. Until
+	// failsUntil, all runs that it starts fail. Until busyUntil, it refuses
+	// start orders. Until muteUntil, it neither executes nor answers start
+	// orders. Until slowUntil, runs start at a speed that is divided by slowBy.
 	partitionedUntil, silentUntil, failsUntil, busyUntil, muteUntil, slowUntil unit.Instant
 	slowBy                                                                     float64
 	// stalls holds the intervals in which the runs made no progress, in order
@@ -88,8 +91,8 @@
 	job     *submittedJob
 	endedAt unit.Instant
 	// leaseLapsed is set once the worker's lease has expired after the end. The
-	// owner may then have given up the run already, so that a later
-	// acknowledgement isn't checked.
+	// owner may have given up the run by then, so a later acknowledgement of
+	// the end isn't checked.
 	leaseLapsed bool
 }
 
@@ -169,7 +172,8 @@
 		}
 		w.owner.enqueueEvent(func(o *owner) {
 			if previousID != l.ID {
-				// The list has one entry for each name.
+				// The list has one entry for each name, so the new entry
+				// replaces that of the other incarnation.
 				o.dispatcher.Unlist(w.now, previousID)
 			}
 			o.dispatcher.List(w.now, l)
@@ -286,7 +290,8 @@
 	return nil
 }
 
-// extendLease extends the lease of all runs, and ends the runs when it lapses.
+// extendLease extends the lease of all runs. When the lease expires, it ends
+// the runs.
 func (m *machine) extendLease(until fleet.ClockReading) {
 	if maxLease := m.world.setup.Times.MaxLease; maxLease > 0 {
 		until = min(until, m.clock()+fleet.ClockReading(maxLease))
@@ -314,13 +319,15 @@
 	}
 }
 
-// renew processes a renewal. It answers when there is an end to report, or
-// after the time for which the renewal may wait.
+// renew extends the lease, drops the acknowledged ends and answers with a
+// report. It answers at once if an unacknowledged end remains or the renewal
+// must not wait. Otherwise it answers when a run ends, or after o.Wait at the
+// latest.
 func (m *machine) renew(o dispatch.Renew, answer func(fleet.Report)) {
 	m.extendLease(o.Until)
-	// A sequence number that this incarnation has not issued yet comes from
-	// another one and acknowledges no ends here. Real workers behave in the
-	// same way.
+	// If AckedEnd is higher than any sequence number that this incarnation has
+	// issued, it refers to ends of another incarnation. It then acknowledges no
+	// ends here. Real workers behave in the same way.
 	for o.AckedEnd <= m.lastSeq && len(m.ends) > 0 && m.ends[0].Seq <= o.AckedEnd {
 		m.world.checkAcknowledged(m.ends[0])
 		m.ends = m.ends[1:]
@@ -354,8 +361,8 @@
 }
 
 // endIncarnation ends the worker's incarnation. Its runs vanish, and their ends
-// are never reported. The next incarnation starts after the time down, under the
-// id that next selects, or never if down is 0.
+// are never reported. The next incarnation starts after the time down, under
+// the id that next selects. If down is 0, there is no next incarnation.
 func (m *machine) endIncarnation(down time.Duration, next idChoice) {
 	if !m.up {
 		return
@@ -436,7 +443,8 @@
 	m.world.list(old)
 	m.world.Schedule(m.world.setup.Times.MemberTTL, func() {
 		m.world.unlist(old.ID)
-		// This restores the present entry if both incarnations have one name.
+		// If both incarnations have the same name, the previous entry has
+		// replaced the present one. This call restores the present entry.
 		m.publishListing()
 	})
 }
@@ -455,9 +463,9 @@
 	})
 }
 
-// drain announces that the worker leaves after the time remaining, and ends its
-// incarnation then. The next incarnation starts after a further time, back, or
-// never if back is 0.
+// drain announces that the worker will leave, and ends its incarnation after
+// the time remaining. The next incarnation starts after another time, back. If
+// back is 0, there is no next incarnation.
 func (m *machine) drain(remaining, back time.Duration) {
 	if !m.up {
 		return
--- a/core/world/owner.go
+++ b/core/world/owner.go
@@ -23,8 +23,8 @@
 	// it works on one.
 	queue []workItem
 	busy  bool
-	// nextPass is the earliest time of the next scheduling pass, plannedPass
-	// the time for which one is scheduled; 0 for none.
+	// nextPass is the earliest time of the next scheduling pass. plannedPass is
+	// the time for which a pass is scheduled; 0 for none.
 	nextPass, plannedPass unit.Instant
 	writing               bool
 	// connected holds the incarnation of each worker to which a connection is
@@ -34,7 +34,7 @@
 
 // workItem is a unit of work of the owner's processor.
 type workItem struct {
-	// onBegin acts on the state at the beginning and returns an additional
+	// onBegin runs when the processor begins the item. It returns an additional
 	// cost, as processor time on a whole core. onEnd runs at the end. Either
 	// may be nil.
 	onBegin  func() time.Duration
@@ -105,8 +105,8 @@
 	}
 }
 
-// runNext begins the next work item that takes time. It completes the items
-// before it, which take none, in the same call.
+// runNext begins the next work item that takes processor time. Items before it
+// that take no time are completed in the same call.
 func (o *owner) runNext() {
 	w := o.world
 	o.busy = true
@@ -191,7 +191,8 @@
 }
 
 // countNotes counts the events that the dispatcher noted, and records the
-// violations among them. An owner that a worker has fenced ends.
+// violations among them. If a worker has fenced the dispatcher, or the fence
+// can't be raised any more, countNotes ends the owner.
 func (o *owner) countNotes() {
 	w := o.world
 	for _, n := range o.dispatcher.TakeNotes() {
@@ -235,7 +236,7 @@
 }
 
 // write appends a batch to both logs at the same time, and calls done once both
-// appends are complete. An owner whose append is refused by a log ends.
+// appends are complete. If a log refuses an append, write ends the owner.
 func (o *owner) write(b dispatch.Batch, done func()) {
 	pending := 0
 	onAppend := func(stored bool) {
@@ -297,9 +298,10 @@
 // alwaysAllowed permits an order to be sent at any time.
 func alwaysAllowed() bool { return true }
 
-// sendOrder sends one order once the processor and the link are free, unless
-// maySend forbids it then, and passes the answer to the dispatcher. An order
-// that waits past the timeout is still executed, but its answer is lost.
+// sendOrder sends one order once the processor and the link are free, and
+// passes the answer to the dispatcher. If maySend returns false at that time,
+// the order is not sent and counts as unreachable. An order that waits longer
+// than the timeout is still sent and executed, but its answer is lost.
 func (o *owner) sendOrder(t dispatch.Target, maySend func() bool, execute func(*machine) fleet.Verdict, answered func(fleet.Verdict, fleet.ClockReading)) {
 	w := o.world
 	decided := w.now
@@ -317,8 +319,11 @@
 	})
 }
 
-// deliver delivers an order, which was decided at a given time, on a
-// connection.
+// deliver transmits an order on a connection. execute carries the order out at
+// the worker, and answer passes the verdict to the owner after a delay. decided
+// is when the owner decided to send the order. The verdict is Unknown if the
+// order is late, the connection is closed or the worker is silent, and also if
+// the answer would arrive more than the timeout after decided.
 func (o *owner) deliver(c connection, t dispatch.Target, decided unit.Instant, execute func(*machine) fleet.Verdict,
 	answer func(fleet.Verdict, time.Duration),
 ) {
@@ -355,7 +360,11 @@
 	}
 }
 
-// deliverLate executes an order late, as the setup's Delivery says.
+// deliverLate executes an order after delay. With the delivery AtWorker, the
+// order spends at most Times.Timeout of the delay in transit and waits at the
+// worker for the rest. With the other deliveries, it is in transit for the
+// whole delay. The order is dropped if it can't reach the worker on arrival, or
+// if the worker's incarnation ends while the order waits there.
 func (w *World) deliverLate(c connection, t dispatch.Target, delay time.Duration, execute func(*machine) fleet.Verdict) {
 	m, transit := c.machine, delay
 	if w.setup.Delivery == AtWorker {
@@ -405,8 +414,8 @@
 			answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
 			return
 		}
-		// If the incarnation ends while the renewal waits there, no other
-		// answer comes, and this timeout ends the renewal.
+		// If the incarnation ends while the renewal waits at the worker, no
+		// other answer arrives. This timeout then ends the renewal.
 		answer(fleet.Unknown, fleet.Report{}, x.Wait+w.setup.Times.Timeout)
 		w.Schedule(half, func() {
 			if !c.isOpen() {
--- a/core/world/reborn_test.go
+++ b/core/world/reborn_test.go
@@ -55,14 +55,15 @@
 	}
 }
 
-// rebornKinds are the kinds of faults of TestLongReborn. Their order is part of
-// what a seed determines.
+// rebornKinds are the kinds of faults of TestLongReborn. Their order matters:
+// with another order, a seed gives another run.
 var rebornKinds = []world.FaultKind{
 	world.Reborn, world.Late, world.Reborn, world.Silence, world.Reborn, world.KillOwner, world.Reborn, world.StoreDown, world.Apart, world.Reborn,
 }
 
-// TestLongTold is TestLong and TestLongLives with workers that report their
-// starts, although all come back under other names.
+// TestLongTold runs the simulations of TestLong and TestLongLives with workers
+// that report when they started. No worker restarts under a name that it had
+// before.
 func TestLongTold(t *testing.T) {
 	for seed := *longSeed; seed < *longSeed+*longSeeds; seed++ {
 		for name, kinds := range map[string][]world.FaultKind{"long": longKinds, "lives": incarnationKinds} {
--- a/core/world/run.go
+++ b/core/world/run.go
@@ -22,9 +22,9 @@
 	need    job.Resources
 	// gang is nil for a task outside gangs.
 	gang *gang
-	// savedWork is the work in the checkpoint that the run resumes from,
-	// totalWork the work of the whole task. Both are run times on a worker of
-	// speed 1.
+	// savedWork is the work in the checkpoint from which the run resumes.
+	// totalWork is the work of the whole task. Both are measured as run times
+	// on a worker of speed 1.
 	savedWork, totalWork time.Duration
 	// speed is the work done per second from when the run began to work.
 	speed float64
@@ -104,8 +104,8 @@
 	return r.machine.world.setup.Times.RestoreTime
 }
 
-// scheduleEnd schedules the success of the run after a time, or a failure
-// before that.
+// scheduleEnd schedules the end of the run: success after the given time, or a
+// failure at an earlier time.
 func (r *run) scheduleEnd(after time.Duration) {
 	w := r.machine.world
 	reason := fleet.EndDone
@@ -200,8 +200,8 @@
 	}
 }
 
-// stop ends the run after the time that a stop takes. The run works on until
-// then.
+// stop ends the run after the time that a stop takes. Until then, the run
+// continues to work.
 func (r *run) stop() {
 	w := r.machine.world
 	switch {
@@ -241,8 +241,8 @@
 	r.machine.endIncarnation(r.machine.world.setup.Times.RestartDelay, next)
 }
 
-// release releases the run's resources and counts the work that is useful or
-// lost.
+// release releases the run's resources and adds its work to the useful or the
+// wasted work in the Tally.
 func (r *run) release(done bool) {
 	m, w := r.machine, r.machine.world
 	for i, other := range m.runs {
--- a/core/world/script_test.go
+++ b/core/world/script_test.go
@@ -35,15 +35,17 @@
 //	strike KIND [share=X] [lasts=D] [factor=X]
 //	    injects a fault
 //	run D
-//	    virtual time passes
+//	    advances the virtual time
 //	state NAME STATE [by=D]
-//	    the job has that outcome, within a time
+//	    checks the job's outcome and, with "by", that the job reached it at
+//	    most that long after its submission
 //	count FIELD [least=N] [most=N]
-//	    a field of the Tally is within bounds
+//	    checks that a field of the Tally is within bounds
 //	decided EVENT [least=N] [most=N]
-//	    the number of events that the owners noted is within bounds
+//	    checks that the owners noted the event a number of times that is
+//	    within bounds
 //	violations N
-//	    the number of violations
+//	    checks the number of violations
 func TestScripts(t *testing.T) {
 	scripttest.EachIn(t, "script", func(t *testing.T, text string) {
 		(&scriptRunner{t: t}).run(text)
--- a/core/world/setup.go
+++ b/core/world/setup.go
@@ -57,11 +57,11 @@
 	// OnTheWay lets a late order spend the whole delay in the network.
 	// Whichever incarnation the worker has on arrival executes it.
 	OnTheWay
-	// OnConnection sends an order on a connection to one incarnation, which has
-	// answered a handshake on it. The order reaches this incarnation or none.
-	// Workers that don't report their start are treated as with OnTheWay. The
-	// other deliveries simulate no connections: an order reaches any
-	// incarnation.
+	// OnConnection sends each order on a connection to one incarnation, which
+	// has answered a handshake on this connection. The order reaches this
+	// incarnation or none. For workers that don't report their start, it is the
+	// same as OnTheWay. AtWorker and OnTheWay simulate no connections, so an
+	// order reaches any incarnation.
 	OnConnection
 )
 
@@ -136,9 +136,9 @@
 	// MinPassInterval and MaxPassInterval are the minimum and the maximum time
 	// between two scheduling passes.
 	MinPassInterval, MaxPassInterval time.Duration
-	// EventTimeFactor is the minimum time between the end of a pass and the
-	// next pass, as a multiple of the duration of the first. It leaves time to
-	// process events, and applies even where it exceeds MaxPassInterval.
+	// EventTimeFactor determines the minimum pause after a scheduling pass: it
+	// is the pause divided by the duration of the pass. The pause leaves time
+	// to process events, and applies even where it exceeds MaxPassInterval.
 	EventTimeFactor float64
 	// ListingDelay is the delay until the owner learns of a change of the list
 	// of workers.
--- a/core/world/store.go
+++ b/core/world/store.go
@@ -10,8 +10,8 @@
 // store is the platform's metadata store. It serializes appends.
 type store struct {
 	world *World
-	// freeAt is when the store can begin the next append, upAt when it is
-	// available again.
+	// freeAt is when the store can begin the next append. upAt is when the
+	// store is available again.
 	freeAt, upAt unit.Instant
 	// slowdown is the factor by which an append takes longer than usual.
 	slowdown float64
@@ -29,9 +29,11 @@
 	logs
 )
 
-// append appends records to a log of the store and calls done, with false if
-// the log has seen a higher epoch. Epoch 0 is for records of clients' calls. An
-// append to an unavailable store is retried until it succeeds.
+// append appends records to a log of the store and calls done when the append
+// has ended. If the log has seen a higher epoch, the append is refused and done
+// is called with false. Epoch 0 stands for records of clients' calls, which are
+// never refused. An append to an unavailable store takes effect once the store
+// is available, as if it had been retried.
 func (s *store) append(l logName, e id.Epoch, recs []jobtable.Record, done func(bool)) {
 	w := s.world
 	t := w.setup.Times
@@ -50,7 +52,8 @@
 	})
 }
 
-// apply applies one record and records the outcome of a job that it ends.
+// apply applies one record. If the record ends a job, apply also records the
+// job's outcome.
 func (w *World) apply(l logName, r jobtable.Record) {
 	if l == progressLog {
 		if err := w.table.ApplyProgress(r); err != nil {
--- a/core/world/storm_test.go
+++ b/core/world/storm_test.go
@@ -19,20 +19,21 @@
 	width  int
 	share  float64
 	period time.Duration
-	// One of crashOneIn jobs, on average, crashes its workers, each crashAfter
-	// the start of its run; no job does if crashOneIn is 0.
+	// On average, one of crashOneIn jobs crashes its workers. Each of its runs
+	// does so crashAfter its start. If crashOneIn is 0, no job crashes workers.
 	crashOneIn int
 	crashAfter time.Duration
 }
 
 // stormTally counts the results of the jobs of a case.
 type stormTally struct {
-	// jobs counts the jobs that crash no worker, wronglyFailed those of them
-	// that were given up, completed those that completed.
+	// jobs counts the jobs that crash no worker. Of these, wronglyFailed counts
+	// the jobs that were given up, and completed those that completed.
 	jobs, wronglyFailed, completed int
-	// crashing counts the jobs that crash workers, crashes the crashes that
-	// they caused. violations counts the invariants that did not hold, such as
-	// more starts than allowed, and jobs that were wrongly given up.
+	// crashing counts the jobs that crash workers, and crashes the crashes that
+	// they caused. violations counts the invariants that did not hold, for
+	// example if a task was started more often than allowed or a job was
+	// wrongly given up.
 	crashing, crashes, violations int
 }
 
@@ -46,12 +47,12 @@
 //
 //	go test ./core/world -run Storms -v -args -stormseeds 20
 //
-// It guards against two faults in counting crashes. A gang had one counter of
-// crashes, which each worker of any member raised, so that wide gangs were
-// given up that crash nothing: on a site of 350 workers, a gang of 38 members
-// at "3 of 3 at once", because of the workers of its members 2, 3 and 1. And
-// crashes were counted for start orders that the worker's next incarnation had
-// refused.
+// It guards against two faults in counting crashes. First, a gang had a single
+// crash counter, which increased with each crash of a worker of any member.
+// Wide gangs that crash nothing were therefore given up: on a site of 350
+// workers, a gang of 38 members was given up at "3 of 3 at once" after crashes
+// of the workers of its members 2, 3 and 1. Second, crashes were counted for
+// start orders that the worker's next incarnation had refused.
 func TestStorms(t *testing.T) {
 	cases := []stormCase{
 		{width: 16, share: 0.33, period: 2 * time.Second},
