--- a/core/backlog/backlog.go
+++ b/core/backlog/backlog.go
@@ -25,8 +25,8 @@
 	Cores        int
 	Memory       unit.Bytes
 	Once, Urgent bool
-	// DurationClass is the bit length of the declared running time in seconds,
-	// its order of magnitude in powers of two.
+	// DurationClass is the order of magnitude, in powers of two, of the
+	// declared running time: the bit length of this time in seconds.
 	DurationClass int
 	// SoleJob is the job's ID if the job has a group of its own, because it has
 	// crashed on some workers; else empty.
@@ -38,8 +38,9 @@
 	Class Class
 	// Jobs is never empty while the group is in a backlog.
 	Jobs []record.Job
-	// NoRoomAt is the value of inventory.Inventory.FreedCount at which the
-	// first job couldn't be placed, plus one; 0 if none failed.
+	// NoRoomAt is set when the first job couldn't be placed: to the value of
+	// inventory.Inventory.FreedCount at that time, plus one. It is 0 if no
+	// placement failed.
 	NoRoomAt uint64
 	// RunnableAt is the offset of the configuration for which the class was
 	// last found able to run, plus one; 0 if none.
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -26,8 +26,9 @@
 	// Priority 0 is the most urgent.
 	Priority    int
 	MaxAttempts int
-	// DeadlineFactor and DeadlineExtra set the time in which a job should be
-	// completed: they become the fields of the same names of its job.Spec.
+	// DeadlineFactor and DeadlineExtra determine by when a job should be
+	// completed. They become the fields of the same names of the job's
+	// job.Spec.
 	DeadlineFactor float64
 	DeadlineExtra  time.Duration
 	// Anonymous is set if jobs need no key.
--- a/core/gang/gang.go
+++ b/core/gang/gang.go
@@ -1,13 +1,15 @@
 // Package gang manages the leases of one placement of one job.
 //
 // A gang is the set of tasks of a job, one on each worker of its block. Its
-// states are those of lease.chart: the owner asks every worker to create a
-// gated task, which holds its accelerators but doesn't run yet. Once all
-// workers have granted that, the owner commits the placement to the log, and it
-// opens the gates only when it has read the commit back. Leases are renewed for
-// all members or for none: as soon as one member has not answered for a grace
-// period, no lease of the gang is renewed, so all tasks stop within one term
-// even if the owner can't reach their workers.
+// states are those of lease.chart. First, the owner asks every worker to create
+// a gated task, which holds its accelerators but doesn't run yet. A worker that
+// creates the task grants a lease. Once all workers have done so, the owner
+// commits the placement to the log. It opens the gates only when it has read the
+// commit back.
+//
+// Leases are renewed for all members or for none: as soon as one member has not
+// answered for a grace period, no lease of the gang is renewed. All tasks then
+// stop within one term, even if the owner can't reach their workers.
 package gang
 
 import (
@@ -29,8 +31,8 @@
 	// Renewal is the interval at which the owner syncs with a worker that holds
 	// a task.
 	Renewal = 3 * time.Second
-	// Grace is the maximum age of a member's last answer: if any member's is
-	// older, the gang is not renewed.
+	// Grace is the maximum age of a member's last answer. If the last answer of
+	// any member is older, no lease of the gang is renewed.
 	Grace = 8 * time.Second
 	// AskTimeout bounds the time until all members have granted their leases.
 	AskTimeout = 6 * time.Second
@@ -38,8 +40,9 @@
 	// covers the drift between two clocks over one term.
 	Margin = time.Second
 	// Takeover bounds how long an earlier owner may continue to renew leases
-	// after a new owner was accepted: an owner stops renewing when it has
-	// received nothing from either the log or a peer for this long.
+	// after a new owner was accepted. The bound holds because an owner stops
+	// renewing when it has received nothing for this long, neither from the log
+	// nor from a peer.
 	Takeover = 30 * time.Second
 )
 
@@ -117,8 +120,8 @@
 	committed bool
 }
 
-// New returns a gang in the state Asking, in which each worker is asked to create
-// a gated task and so to grant a lease.
+// New returns a gang in the state Asking. In this state, the owner asks each
+// worker to create a gated task. A worker that creates the task grants a lease.
 func New(now unit.Instant, p record.Place, j record.Job, members []Member) *Gang {
 	g := &Gang{
 		Job: j, Attempt: p.Attempt, Lease: p.Lease, Block: p.Block, Cell: p.Cell, Home: p.Home,
@@ -132,7 +135,8 @@
 }
 
 // Adopt returns an open gang for a placement that an earlier owner committed.
-// Its leases count as running for as long as that owner may have renewed them.
+// That owner may have renewed the leases until recently, so Adopt assumes the
+// latest time until which they can last.
 func Adopt(now unit.Instant, p record.Place, j record.Job, members []Member) *Gang {
 	g := New(now, p, j, members)
 	g.State, g.committed = Open, true
@@ -163,8 +167,8 @@
 	}
 }
 
-// End applies the event, which stops the gang, and sets the outcome and the
-// reason unless an outcome is set already.
+// End applies an event that stops the gang. It also sets the outcome and the
+// reason, unless an outcome is set already.
 func (g *Gang) End(now unit.Instant, ev Event, outcome record.Outcome, reason string) {
 	if g.Outcome == "" {
 		g.Outcome, g.Reason = outcome, reason
@@ -277,9 +281,9 @@
 }
 
 // Want returns the task that the worker should hold for this gang, and false if
-// it should hold none. A renewal counts from the worker's last answer, by the
-// worker's own clock, so a delay of the message that carries it doesn't extend
-// the lease.
+// it should hold none. A renewal extends the lease until Term after the
+// worker's last answer, by the worker's own clock. A delay of the message that
+// carries the renewal therefore doesn't extend the lease.
 func (g *Gang) Want(now unit.Instant, w id.Worker) (worker.WantedTask, bool) {
 	if g.State == Stopping || g.State == Released {
 		return worker.WantedTask{}, false
@@ -319,8 +323,9 @@
 	return false
 }
 
-// renewable reports whether every member that still runs has answered this
-// owner, the last time within Grace.
+// renewable reports whether the gang's leases may be renewed. Each member that
+// has not exited must have answered this owner, and the last answer must not be
+// older than Grace.
 func (g *Gang) renewable(now unit.Instant) bool {
 	for _, m := range g.Members {
 		if m.State != worker.Exited && (m.workerClock == 0 || now.Sub(m.lastAnswer) > Grace) {
--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -43,8 +43,8 @@
 type Rack struct {
 	ID     id.Rack
 	Config config.Rack
-	// Usable has the accelerators that exist and are not drained; Live has
-	// those of them whose worker answers.
+	// Usable has the accelerators that exist and are not drained. Live has the
+	// usable accelerators whose worker answers.
 	Usable, Live uint64
 	// Busy has the accelerators held by gangs. Of these, Stopping has those
 	// whose gang is stopping, NonPreemptible those whose gang can't be
@@ -70,7 +70,7 @@
 func (r *Rack) Staying() uint64 { return r.Busy&^r.Stopping | r.reserved }
 
 // Guarded returns the accelerators that guaranteed blocks need: the places of
-// the unused cells and everything firm.
+// the unused cells, and all accelerators that are firm or reserved as firm.
 func (r *Rack) Guarded() uint64 { return r.UnusedCells | r.Firm | r.reservedFirm }
 
 // cellHome is the home of a cell in use.
@@ -248,9 +248,9 @@
 	}
 }
 
-// Reserve reserves block b for a gang that waits until other gangs have stopped
-// there. If the gang uses a guarantee, Reserve also reserves h as the home of its
-// cell. BeginPass drops both reservations.
+// Reserve reserves block b for a gang that waits until the gangs running there
+// have stopped. If the waiting gang uses a guarantee, Reserve also reserves
+// block h as the home of its cell. BeginPass drops both reservations.
 func (inv *Inventory) Reserve(b block.Block, cell record.Cell, h block.Block) {
 	if r := inv.Rack(b.Rack); r != nil {
 		r.reserved |= b.Mask()
@@ -364,7 +364,8 @@
 	}
 	for i := range empty.Racks {
 		r := &empty.Racks[i]
-		// The first possible start leaves the longest run of free accelerators.
+		// It is enough to try the first possible start of each rack, because it
+		// leaves the longest run of free accelerators.
 		starts := block.Starts(r.Usable, size)
 		if starts == 0 {
 			continue
--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -137,10 +137,10 @@
 	return settled
 }
 
-// SnapshotRestored records that a restored snapshot includes the batches of this
-// incarnation up to seq. If the batch in flight is among them, SnapshotRestored
-// returns the tickets of its entries; the verdicts on them can't be determined
-// any more.
+// SnapshotRestored records that a restored snapshot includes the batches of
+// this incarnation up to seq. If the batch in flight is among them,
+// SnapshotRestored returns the tickets of its entries. The verdicts on these
+// entries can't be determined any more.
 func (j *Journal) SnapshotRestored(seq id.Seq) []Ticket {
 	if j.inFlight == nil || seq < j.seq {
 		return nil
--- a/core/owner/owner.go
+++ b/core/owner/owner.go
@@ -4,8 +4,9 @@
 // package decides when to write a claim: when the owner's heartbeat, which peers
 // forward to each other, has not advanced for HeartbeatTimeout. An unnecessary
 // claim is harmless, because a claim names the epoch that it replaces and at most
-// one claim for each epoch is accepted. Hosts wait longer the lower they rank for
-// the epoch, so that usually only one claims.
+// one claim for each epoch is accepted. Hosts are ranked for each epoch, and each
+// rank waits ClaimStagger longer than the one before it, so that usually only one
+// host claims.
 package owner
 
 import (
@@ -50,7 +51,8 @@
 	// last is the latest heartbeat received, lastAt when it arrived.
 	last   Heartbeat
 	lastAt unit.Instant
-	// claimedAt is when this host last claimed, replacing epoch replacedEpoch.
+	// claimedAt is when this host last made a claim. replacedEpoch is the epoch
+	// that the claim was to replace.
 	claimedAt     unit.Instant
 	replacedEpoch id.Epoch
 }
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -26,8 +26,8 @@
 
 // Policy proposes blocks. Choose returns the block for a gang of the given
 // size, and false if no rack has enough adjacent free accelerators. Racks must
-// always be in the same order. Demand lists the sizes of the gangs that wait or
-// are guaranteed.
+// be in the same order in each call, because ties are decided by the order.
+// Demand lists the sizes of the gangs that are waiting or guaranteed.
 type Policy interface {
 	Name() string
 	Choose(racks []RackSpace, size int, demand []int) (block.Block, bool)
@@ -75,10 +75,10 @@
 	})
 }
 
-// Buddy places a gang at a multiple of its size, rounded up to a power of two,
-// and of these positions prefers one for which the largest entirely free buddy
-// block around it is smallest. It takes a start that isn't such a multiple only if
-// no rack has room at one.
+// Buddy places a gang at a multiple of its size, rounded up to a power of two.
+// Among these positions, it looks at the largest buddy block around the position
+// that is entirely free, and takes the position where this block is smallest.
+// Other starts are used only if no rack has room at such a multiple.
 func Buddy() Policy {
 	return New("buddy", func(r RackSpace, start, size int, _ []int) int {
 		blockSize := 1 << bits.Len(uint(size-1))
@@ -96,23 +96,28 @@
 	})
 }
 
-// Weights of Packing. A buddy block is a run of a power of two of accelerators
-// whose start is a multiple of its size. The weights are: for each accelerator to
-// be avoided, for each accelerator of an entirely free buddy block of which the
-// gang would take only a part, and for each accelerator of a gang whose start isn't
-// a multiple of its size, rounded up to a power of two. See docs/design.
+// Weights of Packing. A buddy block is a run of accelerators whose length is a
+// power of two and whose start is a multiple of its length. costAvoid counts
+// for each accelerator to be avoided. costBreak counts for each accelerator of
+// an entirely free buddy block of which the gang would take only a part.
+// costUnaligned counts for each accelerator of a gang whose start isn't a
+// multiple of its size, rounded up to a power of two. See docs/design.
 const (
 	costAvoid     = 12
 	costBreak     = 6
 	costUnaligned = 1
 )
 
-// Packing is the policy used in production. The cost of a position counts the
-// entirely free buddy blocks of which the gang would take only a part, the
-// accelerators to be avoided, a start that isn't a multiple of the size rounded up
-// to a power of two and, with little weight, the length of the run of free
-// accelerators. Small gangs are therefore placed in racks that are already
-// fragmented.
+// Packing is the policy used in production. It places small gangs in racks that
+// are already fragmented. The cost of a position is the weighted sum of
+//
+//   - the accelerators of entirely free buddy blocks of which the gang would take
+//     only a part,
+//   - the accelerators to be avoided,
+//   - the size of the gang, if its start isn't a multiple of this size rounded up
+//     to a power of two, and,
+//   - with little weight, the length of the run of free accelerators around the
+//     position.
 func Packing() Policy {
 	return New("curlewsill", func(r RackSpace, start, size int, _ []int) int {
 		m := block.Run(start, size)
@@ -127,10 +132,10 @@
 	})
 }
 
-// brokenAccelerators counts the accelerators of the buddy blocks of blockSize
-// accelerators that are entirely free and that a gang of size accelerators at
-// start would take only in part. Only the blocks at the two ends of the gang can be
-// such blocks.
+// brokenAccelerators counts the accelerators of free buddy blocks that a gang
+// of size accelerators at start would break. A buddy block of blockSize
+// accelerators counts if it is entirely free and the gang would take only a
+// part of it. This is possible only for the blocks at the two ends of the gang.
 func brokenAccelerators(free uint64, start, size, blockSize int) int {
 	m := block.Run(start, size)
 	first := start / blockSize * blockSize
@@ -148,8 +153,9 @@
 	return n
 }
 
-// Weights of Expected: for each accelerator that a gang size in demand can no
-// longer use, averaged over the sizes, and for each accelerator to be avoided.
+// Weights of Expected. expectedUnit counts for each accelerator that a gang
+// size in demand can no longer use, averaged over the sizes. expectedAvoid
+// counts for each accelerator to be avoided.
 const (
 	expectedUnit  = 64
 	expectedAvoid = 8
@@ -169,9 +175,10 @@
 
 // Expected takes the position that leaves the most usable accelerators to the
 // gang sizes in demand (after FGD, ATC 2023). For each size, it counts the
-// accelerators that gangs of the size could use before the placement but not after
-// it; the cost is based on the average. The accelerators to be avoided and the
-// length of the run of free accelerators add to the cost.
+// accelerators that gangs of this size could use before the placement but not
+// after it. The average over the sizes is the main part of the cost. The
+// accelerators to be avoided and the length of the run of free accelerators are
+// added to it.
 func Expected() Policy {
 	return New("expected", func(r RackSpace, start, size int, demand []int) int {
 		m := block.Run(start, size)
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -96,9 +96,10 @@
 	return id.Plan(fmt.Sprintf("%016x", xxhash.Sum64(b))), nil
 }
 
-// preemptibleJobs returns the running jobs that can be preempted if the next
-// configuration adds or enlarges a guarantee, because its customer may reclaim
-// the accelerators. Otherwise it returns nil.
+// preemptibleJobs returns the running jobs that may be preempted because of the
+// next configuration. If it adds or enlarges a guarantee, these are all running
+// jobs that can be preempted, because the customer may reclaim the
+// accelerators. Otherwise it returns nil.
 func preemptibleJobs(st *state.State, next config.Config) []id.Job {
 	guaranteeGrows := false
 	for k, g := range next.Guarantees {
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -12,15 +12,15 @@
 	// Preempt: urgent work for which there is no room preempts less urgent
 	// work.
 	Preempt bool
-	// TakeFreed: urgent work for which other work is being preempted takes room
-	// that becomes free elsewhere before that other work has ended. It has no
-	// effect without Preempt.
+	// TakeFreed: while other work is being preempted for urgent work, the
+	// urgent work takes room elsewhere if it becomes free before the other work
+	// has ended. It has no effect without Preempt.
 	TakeFreed bool
 	// KeepEmpty: some empty workers are reserved for urgent work that is
 	// expected.
 	KeepEmpty bool
-	// HoldBack: single tasks of work that isn't urgent and has time to wait
-	// don't start while fewer workers are empty than KeepEmpty reserves. It has
+	// HoldBack: while fewer workers are empty than KeepEmpty reserves, no
+	// single task starts whose work isn't urgent and has time to wait. It has
 	// no effect without KeepEmpty.
 	HoldBack bool
 	// ByDeadline: of equally urgent steps, the one with the earlier deadline
--- a/core/proof/long_test.go
+++ b/core/proof/long_test.go
@@ -176,8 +176,9 @@
 	}
 }
 
-// requests sends up to four equal requests, each to a random host. If they must
-// run at most once, they may have a key, which they share. Some callers go away.
+// requests sends up to four copies of one request, each to a random host. If
+// the request must run at most once, it may have an idempotency key, which the
+// copies share. Some callers go away before the answer.
 func (c *chaos) requests() {
 	key := ""
 	once := c.rng.IntN(3) == 0
@@ -381,8 +382,8 @@
 	}
 }
 
-// summary counts the actions, the jobs by state, the answers and the records,
-// so that a run that exercises nothing is noticed.
+// summary counts the actions, the jobs by state, the answers and the records.
+// The counts show whether a run has exercised the system at all.
 func (c *chaos) summary() string {
 	states, answers := map[string]int{}, map[string]int{}
 	for _, j := range c.ref.Jobs {
--- a/core/proof/world_test.go
+++ b/core/proof/world_test.go
@@ -102,8 +102,8 @@
 	resumedAt unit.Instant
 }
 
-// world holds the hosts and everything around their cores, and records what
-// happens.
+// world holds the simulated hosts and their environment, such as the log, the
+// workers and the backend servers. It records what happens.
 type world struct {
 	now    unit.Instant
 	rng    *rand.Rand
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -32,11 +32,11 @@
 }
 
 // Neighbors returns up to n hosts to which self sends updates. The hosts form a
-// ring in the order of a hash; the neighbors are those 1, 2, 4 and so on
-// positions after self, and then any others. Every host has the same number of
-// neighbors, which doesn't depend on the number of hosts, and an update that is
-// passed on reaches all hosts within a number of hops that grows with the
-// logarithm of the number of hosts.
+// ring in the order of a hash. The neighbors are the hosts 1, 2, 4 and so on
+// positions after self. If these are fewer than n, hosts at other positions are
+// added. Every host has the same number of neighbors, which doesn't depend on
+// the number of hosts. An update that is passed on reaches all hosts within a
+// number of hops that grows with the logarithm of the number of hosts.
 func Neighbors(self id.Host, hosts []id.Host, n int) []id.Host {
 	ring := slices.Clone(hosts)
 	slices.SortFunc(ring, func(a, b id.Host) int {
--- a/core/recovery/recovery.go
+++ b/core/recovery/recovery.go
@@ -77,9 +77,9 @@
 }
 
 // Load restores the newest usable snapshot into st and returns the records that
-// are to be replayed after it. It returns false if there is none yet. A snapshot is
-// usable if it is complete, not older than st, and the loader has every record
-// after it.
+// are to be replayed after it. It returns false if there is no usable snapshot
+// yet. A snapshot is usable if it is complete and not older than st, and if the
+// loader has every record that follows the snapshot.
 func (l *Loader) Load(st *state.State) ([]Record, bool) {
 	if len(l.records) == 0 {
 		return nil, false
--- a/core/route/backend.go
+++ b/core/route/backend.go
@@ -14,8 +14,9 @@
 	// ejectAfter is the number of failures in a row that eject a backend
 	// server.
 	ejectAfter = 3
-	// minEjection is how long a backend server is ejected at first. The time
-	// doubles each time the next request there fails too, up to maxEjection.
+	// minEjection is the duration of the first ejection of a backend server.
+	// Each time the first request after an ejection fails too, the next
+	// ejection lasts twice as long, up to maxEjection.
 	minEjection = time.Second
 	maxEjection = 30 * time.Second
 	// leavingMaxAge is how long first-hand evidence that a backend server
--- a/core/route/resolve.go
+++ b/core/route/resolve.go
@@ -83,8 +83,8 @@
 	r.refuse(req, CodeNoBackend, time.Second)
 }
 
-// refuse answers that the request did not run, or that this is unknown if it
-// may have run.
+// refuse answers a request with an error code. The answer says that the request
+// did not run or, if an attempt of it may have run, that this is unknown.
 func (r *Router) refuse(req *request, code Code, after time.Duration) {
 	ran := RanNo
 	if req.mayHaveRun || req.attemptInFlight != 0 {
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -100,9 +100,10 @@
 	}
 }
 
-// Backends applies the list of backend servers of a service; the value is false
-// for one that is leaving. The list may be out of date, so first-hand evidence that
-// a backend server leaves takes precedence for leavingMaxAge.
+// Backends applies the list of backend servers of a service. The value in the
+// list is false for a backend server that is leaving. The list may be out of
+// date, so first-hand evidence that a backend server is leaving takes
+// precedence over it for leavingMaxAge.
 func (r *Router) Backends(now unit.Instant, service id.Service, list map[id.Backend]bool) {
 	p := r.pools[service]
 	if p == nil {
@@ -136,11 +137,16 @@
 	}
 }
 
-// assumedHosts is the number of hosts that are assumed to share the slots of a
-// new backend server, until refusals correct the limit.
+// assumedHosts is the assumed number of hosts that share the slots of a new
+// backend server. It determines by how much a new backend server raises the
+// limit. If the assumption is wrong, refusals and answers correct the limit
+// later.
 const assumedHosts = 4
 
-// Arrive handles a new request.
+// Arrive handles a new request of a customer with the given weight; a customer
+// without a positive weight is unknown. logUp reports whether the log is
+// available. A request that must run at most once and has an idempotency key is
+// queued only after the log has accepted the claim of its key.
 func (r *Router) Arrive(now unit.Instant, q Request, weight int, logUp bool) {
 	p := r.pools[q.Service]
 	req := &request{Request: q, weight: weight}
--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -219,9 +219,10 @@
 	return ok
 }
 
-// chooseForNonPreemptible chooses a block for a gang that can't be preempted. It
-// prefers a block that overlaps no place of a guarantee; otherwise it takes one
-// where the overlapped places of unused cells can be moved elsewhere.
+// chooseForNonPreemptible chooses a block for a gang that can't be preempted.
+// It prefers a block that overlaps no place of a guarantee. If there is none,
+// it takes a block that overlaps only places of unused cells, provided that
+// these places can be moved elsewhere.
 func (s *Scheduler) chooseForNonPreemptible(spaces []place.RackSpace, size int, demand []int) (block.Block, bool) {
 	unguarded := slices.Clone(spaces)
 	for i := range unguarded {
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -10,9 +10,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// maxAttempts is the number of the attempt from which on a crash of a repeatable
-// job counts as the job's own failure. A crash in an earlier attempt requeues the
-// job, because the worker may be the cause.
+// maxAttempts is the first attempt in which a crash of a repeatable job counts
+// as the job's own failure. A crash in an earlier attempt requeues the job,
+// because the worker may be the cause.
 const maxAttempts = 3
 
 // reconcile adopts the placements in the log that have no gang here, queues the
@@ -101,7 +101,7 @@
 	}
 }
 
-// advance advances the gangs marked for it and emits their log entries.
+// advance advances the gangs in toAdvance and emits their log entries.
 func (s *Scheduler) advance(now unit.Instant) {
 	for _, jobID := range config.SortedKeys(s.toAdvance) {
 		r := s.toAdvance[jobID]
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -14,9 +14,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// pass tries to start waiting jobs. A pass that an event triggered skips the groups
-// for which nothing was freed since they last found no room; a full pass, once per
-// fullPassInterval, tries all groups.
+// pass tries to start waiting jobs. A full pass, once per fullPassInterval,
+// tries all groups. Any other pass skips a group that found no room before,
+// unless something was freed since then.
 func (s *Scheduler) pass(now unit.Instant) {
 	full := now.Sub(s.lastFullPass) >= fullPassInterval
 	s.dirty = false
--- a/core/sched/ratio.go
+++ b/core/sched/ratio.go
@@ -14,7 +14,8 @@
 	// ratioWindow is the number of most recently finished jobs of a customer on
 	// which the estimate is based.
 	ratioWindow = 64
-	// ratioQuantile is the share of these jobs that ran no longer than the estimate.
+	// ratioQuantile is the quantile of the ratios that the estimate uses: this
+	// share of the jobs ran no longer than estimated.
 	ratioQuantile = 0.9
 )
 
@@ -34,8 +35,9 @@
 	r.oldest = (r.oldest + 1) % ratioWindow
 }
 
-// quantile returns the factor by which a declared run time is multiplied to
-// estimate the actual one; 1 without history.
+// quantile returns the ratioQuantile quantile of the ratios, or 1 without
+// history. A declared run time multiplied by it is the estimate of the actual
+// run time.
 func (r *ratioHistory) quantile() float64 {
 	if r == nil || len(r.values) == 0 {
 		return 1
@@ -63,9 +65,9 @@
 	return time.Duration(float64(declared) * s.runTimeRatios[c].quantile())
 }
 
-// remainingRunTime returns how much longer a gang is expected to run. A gang that
-// has exceeded its estimate is expected to run for as long again as it has run,
-// but for at least 1 s.
+// remainingRunTime returns how much longer a gang is expected to run. If the
+// gang has exceeded its estimate, this is as long as it has run already, but at
+// least 1 s.
 func (s *Scheduler) remainingRunTime(now unit.Instant, r *run) time.Duration {
 	ran := now.Sub(r.startedAt)
 	left := s.expectedRunTime(r.Job.Customer, r.Job.Declared) - ran
--- a/core/state/apply.go
+++ b/core/state/apply.go
@@ -256,8 +256,9 @@
 	if s.Applied%pruneWritersEvery != 0 {
 		return
 	}
-	// If a batch of a removed writer appears in the log again, its basis is older
-	// than Window, so it is void although its sequence number is forgotten.
+	// A batch of a removed writer may appear in the log again. Its sequence
+	// number is forgotten, but its basis is then older than Window, so the
+	// batch is void.
 	maps.DeleteFunc(s.Writers, func(_ WriterID, w Writer) bool { return w.Last+2*Window < s.Applied })
 }
 
--- a/core/state/check.go
+++ b/core/state/check.go
@@ -10,10 +10,11 @@
 	"curlewsill.org/curlewsill/core/witness"
 )
 
-// CheckPlace returns the witness after placement p, or the reason why p can't be
-// accepted with regard to accelerators and guarantees. Its block must exist and be
-// neither drained nor in use; its home must not overlap what non-preemptible jobs
-// outside its cell hold; and every other guaranteed block must have a place.
+// CheckPlace returns the witness after placement p, or the reason why p can't
+// be accepted with regard to accelerators and guarantees. The block of p must
+// exist and be neither drained nor in use. Its home must not overlap what
+// non-preemptible jobs outside its cell hold. Every other guaranteed block must
+// still have a place.
 func (s *State) CheckPlace(p record.Place) (witness.Witness, error) {
 	j, ok := s.Jobs[p.Job]
 	if !ok {
@@ -36,10 +37,11 @@
 	return s.find(s.Config, &p)
 }
 
-// checkHome checks the cell of a placement, if it has one. If the placement can't
-// be preempted, checkHome also checks that what it would hold, its home or else
-// its block, doesn't overlap what another non-preemptible job holds. Jobs in the
-// same cell share its home, and must agree on it.
+// checkHome checks the cell of a placement, if it has one. A placement that
+// can't be preempted holds its home or, without a cell, its block. checkHome
+// checks that this block doesn't overlap what another non-preemptible job
+// holds. Jobs in the same cell share one home, so their placements must name
+// the same home.
 func (s *State) checkHome(j *Job, p record.Place) error {
 	required := p.Block
 	if p.Cell.Guarantee != "" {
@@ -124,12 +126,12 @@
 }
 
 // heldAccelerators returns the accelerators of each rack that are not available
-// to unused cells, and the cells of c that are bound to their home. The former are
-// the homes of the cells in use and the blocks of the other non-preemptible jobs. A
-// cell in use is bound if its home still has the size of the guarantee and is
-// usable. It needs no place in the witness, because its home becomes its place as
-// soon as no job uses the cell any more. If added isn't nil, the placement added
-// counts like a non-preemptible job.
+// to unused cells, and the cells of c that are bound to their home. The
+// accelerators are the homes of the cells in use and the blocks of the other
+// non-preemptible jobs. A cell in use is bound if its home still has the size
+// of the guarantee and is usable. A bound cell needs no place in the witness,
+// because its home becomes its place as soon as no job uses the cell any more.
+// If added isn't nil, this placement counts like a non-preemptible job.
 func (s *State) heldAccelerators(c config.Config, added *record.Place) (map[id.Rack]uint64, map[record.Cell]bool) {
 	held, bound := map[id.Rack]uint64{}, map[record.Cell]bool{}
 	hold := func(cell record.Cell, home, own block.Block) {
--- a/core/state/errors.go
+++ b/core/state/errors.go
@@ -7,12 +7,14 @@
 var (
 	// ErrDuplicate reports a batch that was applied before.
 	ErrDuplicate = errors.New("state: duplicate batch")
-	// ErrLate reports a batch whose basis is too old.
+	// ErrLate reports a batch whose basis, the last record that its writer had
+	// applied, is older than Window allows.
 	ErrLate = errors.New("state: batch is too late")
 	// ErrStaleEpoch reports a decision of a host that is no longer the owner, or a
 	// claim that replaces an epoch that is no longer in force.
 	ErrStaleEpoch = errors.New("state: stale epoch")
-	// ErrStalePlan reports a plan whose basis is no longer in force.
+	// ErrStalePlan reports a plan that is based on a configuration that is no
+	// longer in force.
 	ErrStalePlan = errors.New("state: stale plan")
 	// ErrJobExists reports a second submission of a job.
 	ErrJobExists = errors.New("state: job exists")
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -15,10 +15,11 @@
 
 // Bounds of the state, so that it can't grow without limit.
 const (
-	// Window is the maximum number of records between the basis of a batch and the
-	// batch itself, and the number of records for which an idempotency key stays
-	// claimed. At the log's maximum rate of 100 records per second it is more than
-	// an hour.
+	// Window is the maximum number of records between the basis of a batch,
+	// which is the last record that its writer had applied, and the batch
+	// itself. It is also the number of records for which an idempotency key
+	// stays claimed. At the log's maximum rate of 100 records per second it is
+	// more than an hour.
 	Window = 400_000
 	// maxKeys is the maximum number of claimed keys. When it is reached, further
 	// claims are void and their requests are rejected as not run.
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -44,9 +44,9 @@
 	Incarnation uint64 `json:"life"`
 	// Tasks is the complete list, unless Base is set.
 	Tasks []WantedTask `json:"tasks,omitempty"`
-	// Base is the Seq of an earlier sync whose report the owner has received: the
-	// list is that of the earlier sync, and Until extends every lease in it. Base
-	// is 0 if Tasks is the complete list.
+	// Base is the Seq of an earlier sync whose report the owner has received,
+	// or 0 if Tasks is the complete list. If Base is set, the list is that of
+	// the earlier sync, and Until extends every lease in it.
 	Base  id.Seq        `json:"base,omitempty"`
 	Until time.Duration `json:"until,omitempty"`
 }
@@ -88,8 +88,9 @@
 	Denied TaskState = "denied"
 )
 
-// Ended reports whether a task in this state holds no accelerators any more. It
-// is true also for the empty state, which stands for a task without a report.
+// Ended reports whether a task in this state holds no accelerators any more.
+// The empty state, which stands for a task without a report, also counts as
+// ended.
 func (s TaskState) Ended() bool { return s != Gated && s != Running }
 
 // Task is the state of one task in a report.
