--- a/core/inventory/inventory.go
+++ b/core/inventory/inventory.go
@@ -57,8 +57,8 @@
 	// UnusedCells has the accelerators at which the cells that are not in use
 	// have their places.
 	UnusedCells uint64
-	// reserved and reservedFirm have what Reserve reserved until the next
-	// BeginPass: the blocks and the homes of their cells.
+	// reserved has the blocks that Reserve has reserved since the last
+	// BeginPass. reservedFirm has the homes of their cells.
 	reserved, reservedFirm uint64
 }
 
@@ -336,8 +336,8 @@
 	return witness.Update(racks, old, needs)
 }
 
-// FitsGuarantees reports whether every unused cell would still have a place on
-// workers that answer if a gang that can't be preempted took b. If so, it
+// FitsGuarantees reports whether a gang that can't be preempted may take b:
+// every unused cell must still have a place on workers that answer. If so, it
 // adopts these places.
 func (inv *Inventory) FitsGuarantees(c config.Config, b block.Block) bool {
 	r := inv.Rack(b.Rack)
--- a/core/proof/check_test.go
+++ b/core/proof/check_test.go
@@ -157,9 +157,9 @@
 }
 
 // checkSend reports an attempt that a host sends to a backend server that has
-// been leaving for longer than maxLeavingDelay. A host that was paused may need
-// that time again after it was resumed, to learn which backend servers are
-// leaving.
+// been leaving for longer than maxLeavingDelay. A host that was paused may take
+// maxLeavingDelay again after it was resumed, because it has to learn which
+// backend servers are leaving.
 func (w *world) checkSend(m *machine, b *backend, a route.Attempt) {
 	if b != nil && b.leavingSince != 0 && w.now.Sub(m.resumedAt) > maxLeavingDelay && w.now.Sub(b.leavingSince) > maxLeavingDelay {
 		w.reportViolation("backend server %s has been leaving for %s and was sent request %d", a.Backend, w.now.Sub(b.leavingSince), a.Request)
--- a/core/proof/long_test.go
+++ b/core/proof/long_test.go
@@ -44,7 +44,8 @@
 	chaosHosts    = 5
 	chaosRacks    = 4
 	chaosBackends = 8
-	// recentKeys is how many of the last keys a repeated request chooses from.
+	// recentKeys is the number of most recently used keys from which the key of
+	// a repeated request is chosen.
 	recentKeys = 5
 )
 
--- a/core/proof/world_test.go
+++ b/core/proof/world_test.go
@@ -207,7 +207,7 @@
 	// gone.
 	callerGone bool
 	arrivedAt  unit.Instant
-	// incarnation is that of the host that took the request.
+	// incarnation is the incarnation of the host that took the request.
 	incarnation id.Incarnation
 }
 
--- a/core/record/entry.go
+++ b/core/record/entry.go
@@ -26,7 +26,7 @@
 // replaces is still in force, so of two concurrent claims only one is accepted.
 type Claim struct {
 	Host id.Host `cbor:"1,keyasint"`
-	// Replaces is the epoch in force as far as the claimant knew.
+	// Replaces is the epoch that the claimant considered to be in force.
 	Replaces id.Epoch `cbor:"2,keyasint"`
 }
 
@@ -128,10 +128,11 @@
 	Reason  string   `cbor:"5,keyasint,omitempty"`
 }
 
-// KeyClaim claims the idempotency key of a request that must not be repeated. The
-// first accepted claim holds the key: only its writer may send the request, which
-// runs at most once. In Entry.ReleaseKey it releases the claim, which the writer
-// does only if no attempt of the request can have run.
+// KeyClaim claims the idempotency key of a request that must not be repeated.
+// The first accepted claim holds the key: only its writer may send the request,
+// which runs at most once. In Entry.ReleaseKey, a KeyClaim releases the key
+// instead. The writer releases a key only if no attempt of the request can have
+// run.
 type KeyClaim struct {
 	Customer id.Customer `cbor:"1,keyasint"`
 	Key      string      `cbor:"2,keyasint"`
--- a/core/route/backend.go
+++ b/core/route/backend.go
@@ -65,10 +65,11 @@
 	// lastProbe is when this host last probed the backend server, or skipped
 	// the probe because other hosts are assigned to it.
 	lastProbe unit.Instant
-	// leavingSince is when the latest first-hand evidence that the backend
-	// server leaves was obtained; 0 if there is none. leavingDoubted is set if
-	// that is longer ago than leavingMaxAge and the host list shows the backend
-	// server as live; a probe then has to confirm that it accepts requests.
+	// leavingSince is when the latest first-hand evidence was obtained that the
+	// backend server leaves; 0 if there is none. leavingDoubted is set if this
+	// evidence is older than leavingMaxAge and the host list shows the backend
+	// server as live. A probe must then confirm that the backend server accepts
+	// requests.
 	leavingSince   unit.Instant
 	leavingDoubted bool
 }
--- a/core/route/message.go
+++ b/core/route/message.go
@@ -15,7 +15,7 @@
 	// Once marks a request that must run at most once.
 	Once bool
 	// Key extends Once to all hosts: of all requests of the customer with the
-	// same key at most one is sent. Empty if the caller gave none.
+	// same key, at most one is sent. It is empty if the caller gave no key.
 	Key string
 	// Deadline is the latest time at which the caller accepts the final answer;
 	// zero means that only the service's timeout applies.
--- a/core/route/pool.go
+++ b/core/route/pool.go
@@ -16,8 +16,8 @@
 	// queueLimit is the maximum number of requests of a service that wait at
 	// one host.
 	queueLimit = 2000
-	// retryShare and retryBurst set the retry budget: apart from a burst,
-	// retries add at most 8 percent to the requests.
+	// retryShare and retryBurst set the retry budget. Apart from a burst of
+	// retryBurst retries, retries add at most 8 percent to the requests.
 	retryShare = 0.08
 	retryBurst = 10
 	// limitDecrease is the factor by which a refusal for lack of slots reduces
@@ -36,9 +36,9 @@
 type pool struct {
 	slots int
 	// maxPerBackend is how many requests this host may have in flight at one
-	// backend server: the server's slots or, if fewer, this host's part of the
-	// connections that the server accepts, less one that is left for probes. It
-	// is at least 1.
+	// backend server. The server's slots limit it, and so does this host's part
+	// of the connections that the server accepts, of which one is left for
+	// probes. maxPerBackend is at least 1.
 	maxPerBackend int
 	timeout       time.Duration
 	backends      []*backend
--- a/core/route/probe.go
+++ b/core/route/probe.go
@@ -37,8 +37,9 @@
 }
 
 // Probe probes the backend servers that are assigned to this host, to find out
-// whether they accept requests. Hosts are this host and those that it considers
-// live; without any other, this host probes all backend servers.
+// whether they accept requests. Hosts lists this host and the hosts that it
+// considers live. If it lists no other host, this host probes all backend
+// servers.
 func (r *Router) Probe(now unit.Instant, self id.Host, hosts []id.Host) {
 	for _, k := range config.SortedKeys(r.pools) {
 		for _, b := range r.pools[k].backends {
--- a/core/sched/choose.go
+++ b/core/sched/choose.go
@@ -23,8 +23,9 @@
 	// home is the block of the cell, and block the part of it for the job.
 	home  block.Block
 	block block.Block
-	// cost is the work that borrowers would lose; vacant is set if no gang holds
-	// any accelerator of block and none is set aside.
+	// cost is the work that borrowers would lose. vacant is set if the
+	// accelerators of block are free: no gang holds any of them, and none is
+	// set aside.
 	cost   int
 	vacant bool
 	// newCell is set if the cell is not in use yet; waste is the number of the
@@ -157,9 +158,9 @@
 // whose gang is stopping already, counts 0 unless it is set aside.
 type costSums [block.MaxSize + 1]int
 
-// costSumsOf returns the preemption costs of a rack. It caches them until the next
-// pass, or until r.Staying, the set of accelerators that are set aside or held by
-// gangs that aren't stopping, changes.
+// costSumsOf returns the preemption costs of a rack. It caches them until the
+// next pass. It also recomputes them when r.Staying changes, which is the set
+// of accelerators that are set aside or held by gangs that aren't stopping.
 func (s *Scheduler) costSumsOf(now unit.Instant, r *inventory.Rack) *costSums {
 	if p := s.preemptCosts[r.ID]; p != nil && p.staying == r.Staying() {
 		return &p.costSums
@@ -189,9 +190,9 @@
 	staying uint64
 }
 
-// tryBorrow starts the job on accelerators that no gang holds and that are not set
-// aside. It leaves out the block s.reserved unless that is reserved for this job,
-// or the job is expected to end before the block is free.
+// tryBorrow starts the job on accelerators that no gang holds and that are not
+// set aside. It may use the block s.reserved only if this block is reserved for
+// the job, or if the job is expected to end before the block is free.
 func (s *Scheduler) tryBorrow(now unit.Instant, j record.Job) bool {
 	var excluded uint64
 	if s.reserved.Size > 0 && s.reservedFor != j.ID && s.expectedRunTime(j.Customer, j.Declared) > s.reservedFreeIn {
@@ -293,8 +294,8 @@
 	return true
 }
 
-// reserve makes s.reserved the block for the job that is expected to be free
-// first, unless a block is reserved already.
+// reserve reserves for the job the block that is expected to be free first,
+// unless a block is reserved already.
 func (s *Scheduler) reserve(now unit.Instant, j record.Job) {
 	if s.reserved.Size > 0 {
 		return
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// emitEnd emits the end entry of a gang of which every member has stopped. It waits
-// for the verdict on the placement entry if one was emitted.
+// emitEnd emits the end entry of a gang of which every member has stopped. If a
+// placement entry was emitted, emitEnd first waits for the verdict on it.
 func (s *Scheduler) emitEnd(now unit.Instant, r *run) {
 	if r.endEmitted || r.placementEmitted && !r.verdictKnown {
 		return
--- a/core/sched/health.go
+++ b/core/sched/health.go
@@ -22,16 +22,17 @@
 
 // health is the owner's runtime state of one worker.
 type health struct {
-	// lastReport is when the worker last answered under this owner's epoch; 0 if it
-	// has not, or not since it failed to answer a lease request.
+	// lastReport is when the worker last answered under this owner's epoch; 0
+	// if it has not answered yet. It is reset to 0 when the worker fails to
+	// answer a lease request.
 	lastReport unit.Instant
 	// nextSync is when the next sync is due; the zero instant means at once.
 	nextSync unit.Instant
 	// seq is the sequence number of the last sync.
 	seq id.Seq
-	// lastList is the last complete task list that was sent, and lastListSeq the
-	// sequence number of its sync. base is lastListSeq once the worker has answered
-	// that sync, and 0 before.
+	// lastList is the last complete task list that was sent, and lastListSeq
+	// the sequence number of its sync. base equals lastListSeq once the worker
+	// has answered that sync; until then, it is 0.
 	lastList    []worker.WantedTask
 	lastListSeq id.Seq
 	base        id.Seq
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -147,8 +147,8 @@
 }
 
 // tryOutsideGuarantees starts the job on borrowed accelerators. If there is no
-// room, it preempts other gangs for an urgent job; if it can't, it reserves a block
-// for the job unless one is reserved already.
+// room and the job is urgent, it tries to preempt other gangs. If the job still
+// has no room, it reserves a block for the job unless one is reserved already.
 func (s *Scheduler) tryOutsideGuarantees(now unit.Instant, j record.Job) tryResult {
 	if s.tryBorrow(now, j) {
 		return started
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -118,10 +118,10 @@
 	// Tasks lists every task in the sync and every other task that the worker
 	// still holds.
 	Tasks []Task `json:"tasks,omitempty"`
-	// Base repeats the Base of the sync if the worker has the list of that earlier
-	// sync and no task has changed since its report on it; Tasks is empty then. If a
-	// task has changed, the worker answers with the complete list of its tasks. A
-	// worker that doesn't have the list of that sync answers so too, and ignores
+	// Base repeats the Base of the sync if the worker has the list of that
+	// earlier sync and no task has changed since its report on it. Tasks is
+	// empty then. Otherwise the worker answers with the complete list of its
+	// tasks. If it doesn't have the list of the earlier sync, it also ignores
 	// this sync.
 	Base id.Seq `json:"base,omitempty"`
 }
