--- a/core/fair/fair.go
+++ b/core/fair/fair.go
@@ -64,8 +64,8 @@
 	it := heap.Pop(&q.items).(item[K, T])
 	q.virtualTime = max(q.virtualTime, it.start)
 	if len(q.items) == 0 {
-		// With an empty queue, all flows are equal again, so the virtual times
-		// start anew.
+		// When the queue is empty, no flow has an advantage over another, so
+		// the virtual times are reset.
 		clear(q.lastFinish)
 		q.virtualTime = 0
 	}
--- a/core/id/id.go
+++ b/core/id/id.go
@@ -64,10 +64,9 @@
 	Seq uint64
 )
 
-// FenceRevisionBits is the number of bits of a FenceRevision. MaxFenceRevision
-// is the largest FenceRevision. Epochs differ by at least 1 <<
-// FenceRevisionBits, so the sum of an epoch and a FenceRevision is always below
-// the next owner's epoch.
+// FenceRevisionBits is the number of bits of a FenceRevision. MaxFenceRevision is
+// the largest FenceRevision. Epochs differ by at least 1<<FenceRevisionBits, so
+// the sum of an epoch and a FenceRevision is always below the next owner's epoch.
 const (
 	FenceRevisionBits = 19
 	MaxFenceRevision  = 1<<FenceRevisionBits - 1
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -2,9 +2,9 @@
 // are applied.
 //
 // A plan is based on the configuration in force. Its ID is a hash of its
-// changes and of that configuration's offset in the log, so plans need not be
-// stored: whoever confirms a plan sends all of it back, and the ID of a plan
-// that was altered no longer matches. The log accepts a confirmed plan only
+// changes and of that configuration's offset in the log. Plans need not be
+// stored: the operator who confirms a plan sends all of it back, and the ID of a
+// plan that was altered no longer matches. The log accepts a confirmed plan only
 // while the configuration on which it is based is still in force.
 package plan
 
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -13,19 +13,19 @@
 	// work.
 	Preempt bool
 	// TakeFreed: while other work is being preempted for urgent work, the
-	// urgent work takes room elsewhere if it becomes free before the other work
-	// has ended. It has no effect without Preempt.
+	// urgent work uses room elsewhere if such room becomes free first. It has
+	// no effect without Preempt.
 	TakeFreed bool
 	// KeepEmpty: some empty workers are reserved for urgent work that is
 	// expected.
 	KeepEmpty bool
-	// HoldBack: while fewer workers are empty than KeepEmpty reserves, no
-	// single task starts whose work isn't urgent and has time to wait. It has
-	// no effect without KeepEmpty.
+	// HoldBack: while fewer workers are empty than KeepEmpty reserves, a task
+	// outside a gang doesn't start if its work isn't urgent and has time to
+	// wait. It has no effect without KeepEmpty.
 	HoldBack bool
 	// ByDeadline: of equally urgent steps, the one with the earlier deadline
-	// starts first; steps so late that completing them earns nothing any more
-	// start last. If off, the step that became due first starts first.
+	// starts first. Steps that are so late that completing them earns nothing
+	// any more start last. If off, the step that became due first starts first.
 	ByDeadline bool
 	// UsedRacksFirst: workers and racks that are already in use are filled
 	// before tasks are placed on empty ones.
@@ -40,11 +40,11 @@
 	MoveStalled bool
 	// IsolateSuspects: a task under which a worker has crashed starts on a
 	// worker of its own, or beside tasks that have been running for a while. If
-	// off, a task that only ran beside one that crashes workers may be given up
-	// along with it.
+	// off, a task that merely ran beside a task that crashes workers may be
+	// given up together with it.
 	IsolateSuspects bool
-	// KeepGangRoom: room is reserved for gangs that have to start soon, where
-	// it will be free soonest.
+	// KeepGangRoom: for gangs that have to start soon, the room that will be
+	// free soonest is reserved.
 	KeepGangRoom bool
 	// BoundStarts: a window bounds the number of start orders in flight that
 	// have no answer yet.
--- a/core/route/probe.go
+++ b/core/route/probe.go
@@ -15,8 +15,8 @@
 		return
 	}
 	if b := p.find(d.Backend); b != nil {
-		// The evidence keeps its age: otherwise the hosts would renew it among
-		// themselves without end.
+		// The evidence keeps its age. If it counted as new here, the hosts
+		// would renew it among themselves without end.
 		b.leavingSince = max(b.leavingSince, now.Add(-d.Age))
 		b.apply(leave)
 	}
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -278,6 +278,6 @@
 	// refusal serves the caller better than a late answer.
 	claimTimeout = 1500 * time.Millisecond
 	// minTimeLeft is the time that must remain before a request's deadline when
-	// its key is granted.
+	// the log accepts the claim of its key.
 	minTimeLeft = 100 * time.Millisecond
 )
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -172,8 +172,9 @@
 	}})
 }
 
-// finalOutcome turns a crash of a repeatable job into a requeue while the worker
-// may be the cause, and a requeue into a loss if the job must not be repeated.
+// finalOutcome returns the outcome to record in the log. A crash of a
+// repeatable job becomes a requeue while the worker may be the cause. A requeue
+// of a job that must not be repeated becomes a loss.
 func finalOutcome(r *run) record.Outcome {
 	if r.Outcome == record.Requeued && r.Job.AtMostOnce {
 		return record.Lost
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -74,7 +74,7 @@
 	Epoch id.Epoch `cbor:"2,keyasint" json:"epoch"`
 }
 
-// Writer says which batch of one incarnation of one host was applied last.
+// Writer records the last applied batch of one incarnation of one host.
 type Writer struct {
 	// Seq is the sequence number of the last batch applied. A batch with the same
 	// or a lower number is a duplicate.
--- a/core/witness/witness.go
+++ b/core/witness/witness.go
@@ -3,8 +3,8 @@
 //
 // A cell is one block of a guarantee. A cell in use is bound to its home, the
 // block in which its customer's gangs run. A witness is a set of actual places
-// for all other cells; these places overlap neither each other nor a home nor a
-// task that can't be preempted. While a witness exists, each guarantee can be
+// for all other cells. These places don't overlap each other, a home, or a task
+// that can't be preempted. While a witness exists, each guarantee can be
 // reclaimed by stopping only preemptible tasks. A decision after which no
 // witness would exist is not taken.
 package witness
@@ -23,17 +23,17 @@
 )
 
 // ErrNoPlace reports that no place was found for a cell. The search is greedy,
-// so ErrNoPlace doesn't prove that there is none: the error is on the safe
-// side, towards refusing a decision.
+// so ErrNoPlace doesn't prove that there is none. The error is on the safe
+// side: at worst, a decision is refused that could have been accepted.
 var ErrNoPlace = errors.New("witness: no place for a guaranteed block")
 
 // RackSpace describes what one rack offers to the cells that are not in use.
 type RackSpace struct {
 	Rack id.Rack
-	// Free has a bit for each accelerator that an unused cell may have in its
-	// place: it is neither part of a home nor held by a task that can't be
-	// preempted, and its worker is one that the caller counts on. A caller may
-	// leave out lost workers.
+	// Free has a bit for each accelerator that the place of an unused cell may
+	// include. Such an accelerator is neither part of a home nor held by a task
+	// that can't be preempted. The caller may also leave out the accelerators
+	// of lost workers.
 	Free uint64
 }
 
@@ -54,8 +54,9 @@
 	})
 }
 
-// Find returns a witness, or ErrNoPlace with the first cell for which it found
-// no place. It sorts needs in place and doesn't change racks.
+// Find returns a witness. If it finds no place for a cell, it returns
+// ErrNoPlace with the first such cell. It sorts needs in place and doesn't
+// change racks.
 func Find(racks []RackSpace, needs []Need) (Witness, error) {
 	remaining := slices.Clone(racks)
 	slices.SortFunc(needs, largestFirst)
--- a/core/world/evacuation_test.go
+++ b/core/world/evacuation_test.go
@@ -21,7 +21,7 @@
 // evacuates failure domains of a site that has three.
 //
 // It guards against owners that don't read the operator's records of
-// evacuations: 247 tasks once started in an evacuated domain after the
+// evacuations. Such owners started 247 tasks in an evacuated domain after the
 // platform's bound.
 func TestEvacuation(t *testing.T) {
 	scripttest.EachIn(t, "evacuation", func(t *testing.T, text string) { (&scriptRunner{t: t, changeSetup: enableEvacuations}).run(text) })
--- a/core/world/long_test.go
+++ b/core/world/long_test.go
@@ -32,10 +32,10 @@
 // their previous incarnations, and workers that are partitioned from the hosts
 // and from the list.
 //
-// It guards against owners that take such entries, or missing entries, as proof
-// that an incarnation has ended, and therefore run tasks twice: with them,
-// seeds 1 to 8 violated 6 to 47 checks each in 300 s ("was started again after
-// its end was noted").
+// It guards against owners that take an entry of a previous incarnation, or a
+// missing entry, as proof that an incarnation has ended, and therefore run
+// tasks twice. With such owners, seeds 1 to 8 violated 6 to 47 checks each in
+// 300 s ("was started again after its end was noted").
 func TestLongLives(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64, length time.Duration) *world.World {
 		return simulateLong(t, seed, incarnationKinds, length)
--- a/core/world/reborn_test.go
+++ b/core/world/reborn_test.go
@@ -12,13 +12,13 @@
 // TestReborn runs the scripts of testdata/reborn, in which workers restart
 // under the names that they had.
 //
-// It guards against acknowledgements that are kept by the worker's name. A
+// It guards against acknowledgements that are stored under the worker's name. A
 // worker that restarts numbers its ends from 1. An owner that kept the number
 // of the last acknowledged end of the previous incarnation skipped all ends of
-// the next one up to that number, and took their runs for running: it saw some
-// 1,280 runs where some 430 were. Once the numbers had caught up, the worker
-// dropped the ends unread, the runs vanished for the owner ("task-vanished",
-// "running"), and completed tasks were started again.
+// the next one up to that number. It considered their runs to be still running,
+// and counted some 1,280 runs instead of some 430. Once the numbers had caught
+// up, the worker dropped the ends unread. The runs vanished for the owner
+// ("task-vanished", "running"), and completed tasks were started again.
 func TestReborn(t *testing.T) {
 	scripttest.EachIn(t, "reborn", func(t *testing.T, text string) { (&scriptRunner{t: t, reportStart: true}).run(text) })
 }
@@ -27,10 +27,9 @@
 // they had, also while orders to the previous incarnation are late, owners
 // change, and the store is unavailable.
 //
-// It guards against state of an incarnation that is kept by the worker's name:
-// with such code, 12 of the seeds 1 to 20 failed within 60 s, with jobs that
-// stayed open and tasks that were started again after their ends were
-// acknowledged.
+// It guards against state of an incarnation that is stored under the worker's
+// name. With such code, 12 of the seeds 1 to 20 failed within 60 s: jobs stayed
+// open, and tasks were started again after their ends had been acknowledged.
 func TestLongReborn(t *testing.T) {
 	eachDelivery(t, simulateReborn)
 }
--- a/core/world/tally.go
+++ b/core/world/tally.go
@@ -147,7 +147,7 @@
 	Violations                               int
 }
 
-// count counts the end of a run.
+// count adds the end of a run to the counters.
 func (t *Tally) count(reason fleet.EndReason) {
 	switch reason {
 	case fleet.EndDone:
