--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -2,9 +2,9 @@
 // are applied.
 //
 // A plan is based on the configuration in force. Its ID is a hash of its
-// changes and of that configuration's offset in the log, so plans need not be
-// stored: whoever confirms a plan sends all of it back, and the ID of a plan
-// that was altered no longer matches. The log accepts a confirmed plan only
+// changes and of that configuration's offset in the log. Plans need not be
+// stored: the operator who confirms a plan sends all of it back, and the ID of a
+// plan that was altered no longer matches. The log accepts a confirmed plan only
 // while the configuration on which it is based is still in force.
 package plan
 
@@ -96,9 +96,10 @@
 	return id.Plan(fmt.Sprintf("%016x", xxhash.Sum64(b))), nil
 }
 
-// preemptibleJobs returns the running jobs that can be preempted if the next
-// configuration adds or enlarges a guarantee, because its customer may reclaim
-// the accelerators. Otherwise it returns nil.
+// preemptibleJobs returns the running jobs that may be preempted because of the
+// next configuration. If it adds or enlarges a guarantee, these are all running
+// jobs that can be preempted, because the customer may reclaim the
+// accelerators. Otherwise it returns nil.
 func preemptibleJobs(st *state.State, next config.Config) []id.Job {
 	guaranteeGrows := false
 	for k, g := range next.Guarantees {
