--- a/internal/entry/assure.go
+++ b/internal/entry/assure.go
@@ -19,8 +19,8 @@
 
 const (
 	// assureInterval is the pause between two checks whether the other hosts
-	// must be asked, and between two rounds of questions: several fit into the
-	// 3 s for which an assurance is valid.
+	// must be asked. It is also the pause between two rounds of questions, so
+	// that several rounds fit into the 3 s for which an assurance is valid.
 	assureInterval = 500 * time.Millisecond
 	// readStaleAfter is how old the newest read of the jobs must be before the
 	// other hosts are asked. While nothing is written, a read waits at the
@@ -33,9 +33,9 @@
 	absentHostRetention = 30 * time.Second
 )
 
-// assure records that no other host was the owner at the time sent, when the
-// read, append or question that shows this was sent. The records that a read
-// returned have already been applied.
+// assure records that no other host was the owner at the time sent. The answer
+// to a read, an append or a question has shown this, and sent is when that call
+// was sent. The records that a read returned have already been applied.
 func (h *Host) assure(sent unit.Instant) { h.assured = max(h.assured, sent) }
 
 // otherHost is another host as last seen in the group of live hosts.
@@ -58,9 +58,10 @@
 	maps.DeleteFunc(h.others, func(_ id.Host, o otherHost) bool { return now.Sub(o.seen) > absentHostRetention })
 }
 
-// requestAssurance asks all other hosts whether they know of another owner,
-// while this host is the owner and can't find out from the store. The resulting
-// assurance is as old as the oldest of their latest answers.
+// requestAssurance checks every assureInterval whether this host is the owner
+// and its newest assurance is older than readStaleAfter, as in an outage of the
+// store. If so, it asks all other hosts whether they know of another owner. The
+// resulting assurance is as old as the oldest of their latest confirmations.
 func (h *Host) requestAssurance(ctx context.Context) {
 	confirmedAt := map[string]unit.Instant{}
 	for pause(ctx, assureInterval) {
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -118,8 +118,9 @@
 	h.applyJobs(now, []jobtable.Record{rec}, end-1)
 }
 
-// catchUpAfterClaim reads the records that a claim has missed. Until then
-// another claim would miss them too.
+// catchUpAfterClaim reads the records that this host lacked when it claimed,
+// and only then allows another claim. An earlier claim would lack the same
+// records.
 func (h *Host) catchUpAfterClaim(ctx context.Context) {
 	h.catchUp(ctx)
 	h.post(ctx, func(unit.Instant) { h.claiming = false })
@@ -151,10 +152,11 @@
 	}
 }
 
-// followOwner updates where the owner is reached, after each read of the group
-// of live hosts and as soon as a claim is read. If only reads of the group did
-// so, records would go to a former owner until the next one, and nobody would
-// watch the new owner.
+// followOwner updates the address to which this host forwards records, and the
+// owner that it watches. It is called after each read of the group of live
+// hosts, and as soon as a claim is read. Without the call after a claim, hosts
+// would forward records to the former owner until the next read of the group,
+// and none would watch the new owner.
 func (h *Host) followOwner() {
 	h.updateForwardAddress()
 	h.updateWatched()
--- a/internal/entry/claim_internal_test.go
+++ b/internal/entry/claim_internal_test.go
@@ -98,10 +98,10 @@
 // TestFollowsOwner checks that a host forwards records to a new owner, and
 // watches it, as soon as it has read the claim.
 //
-// If this were updated only by reads of the group of live hosts, then on a
-// store that has just become slow hosts would append their callers' records one
-// after the other themselves, until the next read of the group is answered: for
-// 0.3 s and more.
+// It guards against updating the owner only after reads of the group of live
+// hosts. When the store has just become slow, hosts would then append their
+// callers' records themselves, one after the other, until the next read of the
+// group is answered, for 0.3 s or more.
 func TestFollowsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &Host{
--- a/internal/entry/cutoff_test.go
+++ b/internal/entry/cutoff_test.go
@@ -32,10 +32,10 @@
 // other host starts only after the owner was cut off, as when a failure domain
 // is partitioned while a host in another domain is down.
 //
-// If the owner only asks the hosts that its last read of the group listed,
-// which is as old as the partition, it asks none. It then counts as the sole
-// owner forever, while the new host takes the ownership and starts the task
-// again.
+// The owner's last read of the group is as old as the partition and lists no
+// other host. If the owner asks only the hosts of that read, it asks none. It
+// then counts as the sole owner forever, while the new host takes the ownership
+// and starts the task again.
 func TestOwnerCutOffBeforeNextStarts(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
@@ -49,8 +49,8 @@
 }
 
 // TestOwnerCutOffBeforeNextReturns is like TestOwnerCutOffWithWorker, but the
-// other host, which the owner knew, has been down for some seconds when the
-// owner is cut off, and returns during the partition.
+// other host is down when the owner is cut off, and returns during the
+// partition. It went down only some seconds before, so that the owner knows it.
 func TestOwnerCutOffBeforeNextReturns(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
--- a/internal/entry/decide.go
+++ b/internal/entry/decide.go
@@ -19,11 +19,12 @@
 	// longer than passInterval would follow every event, so that workers'
 	// answers would wait for seconds and leases would expire.
 	passRestFactor = 3
-	// maxPassRest limits that pause. If the process stalls during a pass,
-	// the pause would otherwise last three times as long, and no renewals would
-	// be sent in it, because only passes send renewals: the leases of 6 s would
-	// expire. With a renewal that waits 2 s at its worker, this limit stays
-	// below the 3.5 s after which a worker counts as silent.
+	// maxPassRest limits the pause that passRestFactor gives. Otherwise, if the
+	// process stalled during a pass, the pause would last three times as long
+	// as the stall. Only passes send renewals, so none would be sent during the
+	// pause, and the leases of 6 s would expire. A worker holds a renewal back
+	// for up to 2 s; together with this limit that is less than the 3.5 s after
+	// which a worker counts as silent.
 	maxPassRest = time.Second
 )
 
@@ -59,8 +60,8 @@
 	}
 }
 
-// nextPass returns when the pass is due that follows one with the given start
-// and end times.
+// nextPass returns when the next pass is due. began and ended are the start and
+// the end of the previous pass.
 func nextPass(began, ended unit.Instant) unit.Instant {
 	rest := min(maxPassRest, passRestFactor*ended.Sub(began))
 	return max(began.Add(passInterval), ended.Add(rest))
--- a/internal/entry/dropped_internal_test.go
+++ b/internal/entry/dropped_internal_test.go
@@ -19,9 +19,9 @@
 // TestDroppedRenewal checks that an order that finds its queue full is logged,
 // and that a dropped renewal isn't decided again at once.
 //
-// The result of a dropped renewal is that its outcome is unknown. If that
-// result has no time of sending, the dispatcher decides the renewal again in
-// each pass, up to 100 times a second for each worker instead of 2, and without
+// The outcome of a dropped renewal is reported as unknown. If that result
+// doesn't contain a time of sending, the dispatcher decides the renewal again
+// in each pass, up to 100 times a second for each worker instead of 2. Without
 // a log line nothing shows why leases expire.
 func TestDroppedRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/entry/health.go
+++ b/internal/entry/health.go
@@ -49,7 +49,7 @@
 	// unansweredSince is when the first of them ended.
 	unanswered      int
 	unansweredSince time.Time
-	// latency is that of the newest answer.
+	// latency is how long the newest answer took to arrive.
 	latency time.Duration
 }
 
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -106,7 +106,8 @@
 	// groupCapacity is the number of hosts that fit into the group, as last
 	// seen by this host.
 	groupCapacity atomic.Int32
-	// standby is set while this host would be among the first to claim.
+	// standby is set while this host would be among the first hosts to claim
+	// the ownership.
 	standby atomic.Bool
 	// waitingCalls counts the calls that wait for a job's end.
 	waitingCalls atomic.Int32
@@ -115,8 +116,8 @@
 	stopped      chan struct{}
 
 	clock Clock
-	// suspended is the total time for which the machine had been suspended as
-	// of the last suspension that was logged.
+	// suspended is the total time for which the machine had been suspended when
+	// a suspension was last logged.
 	suspended time.Duration
 	// wake ends the pause between two reads of the jobs early.
 	wake chan struct{}
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -14,13 +14,14 @@
 	// take for its header, and how long an idle connection stays open.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 30 * time.Second
-	// requestTimeout limits the time for receiving a request for readiness,
-	// metrics or from a peer, which have no bodies. answerTimeout limits the
-	// time for sending an answer.
+	// requestTimeout limits the time for receiving a request for readiness or
+	// metrics, or a request from a peer. These requests have no bodies.
+	// answerTimeout limits the time for sending an answer.
 	requestTimeout = 5 * time.Second
 	answerTimeout  = 5 * time.Second
 	// bodyTimeout limits the time for receiving the body of a client's call,
-	// however long the call may take. A job of 256 kB then needs 26 kB/s.
+	// even if the call itself may take longer. A job of 256 kB must therefore
+	// arrive at 26 kB/s at least.
 	bodyTimeout = 10 * time.Second
 )
 
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -24,11 +24,11 @@
 	heartbeatInterval = 330 * time.Millisecond
 	// membersRetryPause is the pause after a failed read of the group.
 	membersRetryPause = 500 * time.Millisecond
-	// initialGroupRoom is how many hosts the group initially has room for, and
-	// maxMembers the upper limit. The store lists a member only if it holds a
-	// partition, and an owner that isn't listed is taken for dead. Each read of
-	// the group returns all partitions, so there should be no more of them than
-	// needed.
+	// initialGroupRoom is the number of hosts for which the group initially has
+	// partitions, and maxMembers the upper limit of that number. The store
+	// lists a member only if it holds a partition, and an owner that isn't
+	// listed is taken for dead. Each read of the group returns all partitions,
+	// so there should be no more of them than needed.
 	initialGroupRoom = 64
 	maxMembers       = 512
 	// tasksPerCore is how many tasks a second an owner with one whole core can
@@ -44,8 +44,9 @@
 	return int(min(s.Cores*tasksPerCore, float64(s.Link)*tasksPerMegabit))
 }
 
-// roomForMembers returns how many hosts the group should have room for, from
-// the number of hosts that it lists and its present room. The room doubles once
+// roomForMembers returns the room that the group should have: the number of
+// hosts for which it has partitions. listed is the number of hosts that the
+// group lists, room its present room. The room doubles, up to maxMembers, once
 // three quarters of it are taken.
 func roomForMembers(listed, room int) int {
 	if 4*listed >= 3*room {
@@ -54,8 +55,8 @@
 	return room
 }
 
-// memberTopics returns enough topics, of the given number of partitions each,
-// for room hosts.
+// memberTopics returns the group's topics. Each topic has the given number of
+// partitions, and together they have at least one for each of room hosts.
 func memberTopics(partitions, room int) []string {
 	var out []string
 	for n := 0; n < room; n += partitions {
@@ -140,8 +141,9 @@
 	return string(h.self) + "@" + h.peers + "@" + strconv.Itoa(ability(h.settings))
 }
 
-// parseMembers returns the hosts of the group, all but this one as peers, and
-// the addresses on which those listen.
+// parseMembers parses the names of the group's members, which memberName
+// describes. It returns all hosts of the group, the peers (all hosts but this
+// one), and the addresses on which the peers listen.
 func (h *Host) parseMembers(names []string) ([]election.Member, []relay.Peer, map[id.Host]string) {
 	members := make([]election.Member, 0, len(names))
 	addresses := map[id.Host]string{}
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -27,10 +27,11 @@
 	// order. The dispatcher's window also limits the starts in flight.
 	maxStarts = 512
 	maxStops  = 512
-	// renewalDescriptorShare and renewalMemoryShare are the parts of the host's
-	// file descriptors and memory for renewals that wait at workers for
-	// reports, one for each busy worker. renewalBytes is the memory for one of
-	// them: a goroutine, a connection and its buffers.
+	// renewalDescriptorShare and renewalMemoryShare are the shares of the
+	// host's file descriptors and memory for renewals that workers hold back.
+	// Each busy worker holds one renewal back until it has something to report.
+	// renewalBytes is the memory for one such renewal: a goroutine, a
+	// connection and its buffers.
 	renewalDescriptorShare = 0.5
 	renewalMemoryShare     = 0.25
 	renewalBytes           = 32 * unit.KiB
@@ -46,8 +47,8 @@
 	maxQueuedOrders = 1 << 15
 )
 
-// maxWaitingRenewals returns how many renewals may wait at workers for reports
-// at the same time.
+// maxWaitingRenewals returns the maximum number of renewals that workers hold
+// back at the same time until they have something to report.
 func maxWaitingRenewals(s settings.Site) int {
 	byMemory := renewalMemoryShare * float64(s.Memory) / float64(renewalBytes)
 	return int(min(renewalDescriptorShare*float64(s.Descriptors), byMemory))
@@ -59,8 +60,8 @@
 	starts, stops, renewals *outbox.Box[id.Worker]
 }
 
-// newOutboxes returns empty outboxes, for the given number of renewals that
-// wait at workers.
+// newOutboxes returns empty outboxes. waitingRenewals is the maximum number of
+// renewals that workers hold back at the same time.
 func newOutboxes(waitingRenewals int) outboxes {
 	box := func(all, each int) *outbox.Box[id.Worker] {
 		return outbox.New[id.Worker](outbox.Limits{Queued: maxQueuedOrders, Recent: maxFreshOrders, InFlight: all, RecentFor: freshOrderAge, PerReceiver: each})
@@ -179,8 +180,8 @@
 	}
 }
 
-// paced returns the event that passes the result of such an order to the
-// dispatcher.
+// paced returns the event that passes the result of an order to change a run's
+// speed to the dispatcher.
 func (o *owner) paced(res dispatch.PaceResult) event {
 	return func(now unit.Instant) { o.core.Paced(now, res) }
 }
@@ -230,8 +231,8 @@
 	}
 }
 
-// noteFields returns the log fields of a decision, without those that are
-// unset.
+// noteFields returns the log fields of a scheduling decision. It leaves out the
+// fields of n that are unset.
 func noteFields(n dispatch.Note) []zap.Field {
 	var fields []zap.Field
 	if n.Job != "" {
--- a/internal/entry/orders_internal_test.go
+++ b/internal/entry/orders_internal_test.go
@@ -143,9 +143,9 @@
 // domain has been evacuated meanwhile, or if the operator's records were read
 // too long ago, while other orders are sent.
 //
-// An order waits behind others to a worker that hangs for the timeout of the
-// platform's client, 0.8 s, for each of them. Without the check, starts decided
-// before an evacuation would be sent seconds after it.
+// An order to a worker that hangs waits behind earlier orders to it. Each of
+// those takes 0.8 s, the timeout of the platform's client. Without the check,
+// starts decided before an evacuation would be sent seconds after it.
 func TestStartsAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := &hangingWorkers{inFlight: map[string]int{}}
--- a/internal/entry/overload_internal_test.go
+++ b/internal/entry/overload_internal_test.go
@@ -23,8 +23,9 @@
 	"curlewsill.org/curlewsill/platform"
 )
 
-// recordSize is the size of each record of a sharedStore, and pageSize that of
-// its largest answer, a tenth of the platform's.
+// recordSize is the size in bytes of each record of a sharedStore. pageSize is
+// the size of its largest page, a tenth of the largest page of the platform's
+// store.
 const (
 	recordSize = 1000
 	pageSize   = 100 * recordSize
@@ -124,7 +125,8 @@
 	return string(b) + strings.Repeat(string(record), records)
 }
 
-// answer sends an answer after the earlier ones.
+// answer sends an answer at the store's bandwidth, after all earlier answers
+// have been sent.
 func (s *sharedStore) answer(req *http.Request, status int, body string) (*http.Response, error) {
 	s.mu.Lock()
 	start := time.Now()
--- a/internal/entry/owner.go
+++ b/internal/entry/owner.go
@@ -35,7 +35,8 @@
 	seq uint64
 }
 
-// writer identifies the append with a sequence number.
+// writer returns the writer's name, the epoch and the sequence number, by which
+// the store identifies an append.
 func (l ownerLog) writer(e id.Epoch, seq uint64) platform.Writer {
 	return platform.Writer{Name: ownerWriter, Epoch: e, Seq: seq}
 }
@@ -51,8 +52,8 @@
 	cancel context.CancelFunc
 	// boxes hold the queued orders to workers.
 	boxes outboxes
-	// jobs is the log that every host follows; progress holds what the next
-	// owner also needs.
+	// jobs is the log that every host follows. progress is the log with the
+	// other records that the next owner needs.
 	jobs, progress ownerLog
 	// appendInFlight is set while an append is in flight.
 	appendInFlight bool
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -31,9 +31,9 @@
 	next     id.Offset
 }
 
-// readProgress follows the progress log while this host would be among the
-// first to claim. The owner doesn't read the log, because it is the only
-// writer.
+// readProgress follows the progress log while this host is on standby, that is,
+// while it would be among the first hosts to claim the ownership. The owner
+// doesn't read the log, because the owner is its only writer.
 func (h *Host) readProgress(ctx context.Context) {
 	t := &tail{host: h, topic: platform.TopicProgress, wait: h.waitOfJobs, pause: func() time.Duration { return standbyPause }}
 	t.enabled = func() bool { return h.standby.Load() && !h.metrics.owning.Load() }
@@ -160,7 +160,9 @@
 }
 
 // tryTakeOver makes the host the owner if the table holds the progress log up
-// to its end.
+// to the offset end. Otherwise it returns the position up to which the table
+// holds the log. It does nothing if the takeover under the epoch is no longer
+// in progress.
 func (h *Host) tryTakeOver(now unit.Instant, epoch id.Epoch, end id.Offset) takeoverState {
 	switch {
 	case h.takeover == nil || h.takeover.epoch != epoch:
--- a/internal/entry/put.go
+++ b/internal/entry/put.go
@@ -27,31 +27,35 @@
 	// unknownWait is how long a call waits for an append in flight before its
 	// outcome is reported as unknown, so that the client can ask another host.
 	unknownWait = time.Second
-	// waitShare and unknownShare limit the two waits above to a share of the
-	// remaining time of a client's call. A client that is refused late has no
-	// time left to ask another host.
+	// waitShare and unknownShare limit queueWait and unknownWait to a share of
+	// the remaining time of a client's call. A client that is refused late has
+	// no time left to ask another host.
 	waitShare    = 0.25
 	unknownShare = 0.45
 	// slowFactor times the duration of the last append is the minimum wait of a
-	// call while appends are slow but succeed: for the append in flight, the
-	// call's own, and some slack. Both waits are then limited by the share for
-	// a record in flight.
+	// call while appends succeed but are slow. This covers the append in
+	// flight, the append with the call's own record, and some slack. In that
+	// case the share for a record in flight limits both waits.
 	slowFactor = 2.5
 )
 
-// timeShares are the shares of its remaining time that a call may spend on a
-// record in the queue and on one in flight.
+// timeShares limit how long a call waits for its record, as shares of the
+// call's remaining time: queued while the record is in the queue, sent while it
+// is in flight.
 type timeShares struct{ queued, sent float64 }
 
 var (
-	// callerShares are the shares of a client's call.
+	// callerShares are the shares for a call from a client.
 	callerShares = timeShares{queued: waitShare, sent: unknownShare}
-	// forwardedShares are the shares of a call from another host, whose time is
-	// already a share of its client's. The rest is reserved for the answer.
+	// forwardedShares are the shares for a record that another host forwards.
+	// The time of such a call is already only a share of the time of the
+	// client's call. What remains is reserved for the answer.
 	forwardedShares = timeShares{queued: 0.5, sent: 0.9}
 )
 
-// put writes a record to the store, through the owner while the store is slow.
+// put writes a record to the store. While the store is slow but answers, put
+// sends the record to the owner instead, which appends the records of several
+// hosts together.
 func (h *Host) put(ctx context.Context, rec jobtable.Record) (outcome, string) {
 	if got, why, tried := h.putByOwner(ctx, rec); tried {
 		return got, why
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// jobsWait is how long a read of the job log waits for new records, and
-	// ownerWait the same on the owner. The owner's right to grant leases
-	// depends on reads that it sent within the last 3 s; with this wait it
-	// survives the loss of one of them.
+	// jobsWait is how long a read of the job log waits for new records.
+	// ownerWait is the same for the owner's reads. The owner may grant leases
+	// only if a read that it sent within the last 3 s was answered. ownerWait
+	// is so short that the owner keeps this right when one read is lost.
 	jobsWait  = 1500 * time.Millisecond
 	ownerWait = 500 * time.Millisecond
 	// jobsPause is the pause after a read that returned records, because each
-	// read loads the store. standbyPause is the pause on hosts that would be
-	// among the first to claim, so that they notice at once when the owner
-	// hands over.
+	// read loads the store. standbyPause is the pause on standby hosts, those
+	// that would be among the first to claim the ownership. It is short so that
+	// they notice at once when the owner hands over.
 	jobsPause    = 500 * time.Millisecond
 	standbyPause = 100 * time.Millisecond
-	// awaitedPause is the pause while a job waits for the next read: on the
-	// owner, and while a client waits for the end of a job.
+	// awaitedPause is the pause on the owner, and on a host where a client
+	// waits for the end of a job. There, a job waits for the next read.
 	awaitedPause = 8 * time.Millisecond
 	// workerListPause is the pause between two reads of the list of workers. A
 	// worker that leaves must get no new tasks after 2 s.
--- a/internal/entry/silence_test.go
+++ b/internal/entry/silence_test.go
@@ -54,7 +54,8 @@
 	_, _ = w.Write(body)
 }
 
-// proxy returns the address of the proxy before a host.
+// proxy returns the address of the proxy in front of the host that listens at
+// target. It starts the proxy when it is first asked for.
 func (sp *storeProxy) proxy(target string) string {
 	sp.mu.Lock()
 	defer sp.mu.Unlock()
@@ -191,8 +192,8 @@
 	s.halfConn = c
 }
 
-// awaitHalfCallClosed waits until the host has answered the half call and
-// closed its connection.
+// awaitHalfCallClosed waits until the host has answered the incomplete call of
+// sendHalfCall and has closed the call's connection.
 func (s *site) awaitHalfCallClosed(status string) {
 	if err := s.halfConn.SetReadDeadline(time.Now().Add(deadline)); err != nil {
 		s.t.Fatal(err)
--- a/internal/entry/stall_internal_test.go
+++ b/internal/entry/stall_internal_test.go
@@ -13,10 +13,11 @@
 // TestStalledPassDoesNotSilenceTheOwner checks that an owner sends renewals
 // again soon after its process has stalled during a pass.
 //
-// If the process stalls for 2 s, the pass counts as one of 2 s, and without an
-// upper bound the pause after it is three times as long, since each event
-// resets the timer. Only passes send renewals, so that none is sent for 8 s in
-// all, and the leases of healthy workers, 6 s long, expire.
+// A pass during which the process stalls for 2 s counts as a pass of 2 s.
+// Without an upper bound the pause after it is three times as long, because
+// each event resets the timer to the rest of the pause. Only passes send
+// renewals, so that none is sent for 8 s in all. The leases of healthy workers,
+// 6 s long, then expire.
 func TestStalledPassDoesNotSilenceTheOwner(t *testing.T) {
 	const (
 		passCost     = time.Millisecond
@@ -24,9 +25,9 @@
 		stalled      = 100 // the number of the pass in which the process stalls
 		eventEvery   = time.Second / 350
 		testDuration = 20 * time.Second
-		// maxPause and a renewal that waits 2 s at its worker sum up to less
-		// than the 3.5 s after which a worker counts as silent and its lease is
-		// no longer renewed.
+		// maxPause and the 2 s for which a worker may hold a renewal back are
+		// together less than the 3.5 s after which a worker counts as silent.
+		// The lease of a silent worker is no longer renewed.
 		maxPause = time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -91,8 +91,9 @@
 	busy bool
 }
 
-// retire ends scheduling for the given reason, unless an append is in flight or
-// a takeover is in progress.
+// retire ends this host's ownership for the given reason. While an append is in
+// flight or a takeover is in progress, it changes nothing and returns that the
+// host is busy.
 func (h *Host) retire(why string) retired {
 	o := h.owner
 	switch {
--- a/internal/entry/suspend.go
+++ b/internal/entry/suspend.go
@@ -7,8 +7,9 @@
 )
 
 // minSuspension is the shortest suspension that is logged. A suspension shows
-// as a difference between two clocks, whose readings are microseconds apart, or
-// more if the process is not scheduled between them.
+// as a difference between two clocks. The two clocks are read microseconds
+// apart, or further apart if the process is not scheduled in between, so that
+// small differences are no suspensions.
 const minSuspension = 100 * time.Millisecond
 
 // noteSuspension logs and counts a suspension of the machine if the machine has
--- a/internal/entry/waits_internal_test.go
+++ b/internal/entry/waits_internal_test.go
@@ -10,13 +10,15 @@
 	"curlewsill.org/curlewsill/internal/settings"
 )
 
-// TestMaxWaitingRenewals checks how many renewals may wait at workers for
-// reports, by a host's limits. Each line of testdata/waits/renewals.txt has the
-// descriptors, the memory in MiB, and the expected number.
+// TestMaxWaitingRenewals checks the maximum number of renewals that workers
+// hold back at the same time. It depends on the limits of the host. Each line
+// of testdata/waits/renewals.txt has the descriptors, the memory in MiB, and
+// the expected number.
 //
-// A fixed limit of 1,024 was too low: on 1,100 workers the renewals of 76 had
-// to wait up to 2 s until others returned, so that the owner learned late of
-// ends on those workers. On 3,000 workers it would have been two in three.
+// A fixed limit of 1,024 was too low. With 1,100 workers, the renewals of 76
+// workers had to wait up to 2 s until other renewals returned, so that the
+// owner learned late that runs on those workers had ended. With 3,000 workers,
+// two thirds of them would have been affected.
 func TestMaxWaitingRenewals(t *testing.T) {
 	scripttest.EachLine(t, "waits/renewals.txt", func(f []string) {
 		var n [3]int
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -34,11 +34,11 @@
 	// ownerQueryTimeout is how long the owner may take to answer. The network
 	// takes a few milliseconds, and a busy owner answers within some 50 ms.
 	ownerQueryTimeout = 150 * time.Millisecond
-	// retryQueryTimeout is the same for a question that follows an unanswered
-	// one and is sent on a new link.
+	// retryQueryTimeout is how long the owner may take to answer a question
+	// that follows an unanswered one. That question is sent on a new link.
 	retryQueryTimeout = 200 * time.Millisecond
-	// watcherQueryTimeout is how long the other watchers may take. One that is
-	// dead too doesn't answer.
+	// watcherQueryTimeout is how long another watcher may take to answer. A
+	// watcher that is dead, as the owner may be, doesn't answer.
 	watcherQueryTimeout = 100 * time.Millisecond
 	// watchCheckInterval is the interval at which a host that isn't a watcher
 	// checks whether it has become one.
--- a/internal/entry/waves.go
+++ b/internal/entry/waves.go
@@ -16,7 +16,8 @@
 
 const (
 	// maxQueuedReports is how many reports on waves may wait to be written to
-	// the store: two for each of more waves than an operator starts at a time.
+	// the store. A wave has two reports, so this is enough for 128 waves, more
+	// than an operator starts at a time.
 	maxQueuedReports = 256
 	// machineListInterval is the pause between two reads of the list of
 	// machines while a wave has machines whose worker is unknown. The platform
@@ -46,8 +47,9 @@
 }
 
 // followMachines passes to the dispatcher which workers run on which machines,
-// while the dispatcher needs that, until ctx is done. The list of workers may
-// contain it too.
+// until ctx is done. It reads the list of machines only while a wave includes a
+// machine whose worker is unknown, because the list of workers may already show
+// which worker that is.
 func (o *owner) followMachines(ctx context.Context) {
 	dep := dependency{log: o.host.log, name: "list of machines"}
 	for pause(ctx, machineListInterval) {
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// persist appends until the outcome is known. It returns the records that were
-// not withdrawn meanwhile, and errNotWritten only if each try certainly had no
-// effect.
+// persist repeats an append until its outcome is known. It returns the records
+// that their calls have not withdrawn meanwhile. The error is errNotWritten
+// only if it is certain that no attempt had an effect.
 func (w *writer) persist(ctx context.Context, batch []*pending) ([]*pending, error) {
 	var b backoff
 	unknown := false
@@ -170,9 +170,11 @@
 // earlier appends that may still be in flight.
 func (w *writer) renumber() { w.id.Epoch, w.id.Seq = w.id.Epoch+1, 0 }
 
-// pauseRefused pauses after a try that the store has certainly refused, and
-// returns the records that were not withdrawn meanwhile. A call whose time ends
-// during the pause is refused instead of reported as unknown.
+// pauseRefused pauses after an attempt that the store has certainly refused. It
+// returns the records to send again. Records with failFast set are refused at
+// once, and calls can withdraw the others during the pause. The outcome of a
+// call whose time ends during the pause is therefore a refusal, and not
+// unknown.
 func (w *writer) pauseRefused(ctx context.Context, batch []*pending) []*pending {
 	var waiting, remaining []*pending
 	for _, p := range batch {
