--- a/internal/entry/assure.go
+++ b/internal/entry/assure.go
@@ -26,10 +26,10 @@
 	// other hosts are asked. While nothing is written, a read waits at the
 	// store, so the newest answered read may have been sent 1 s ago.
 	readStaleAfter = 1800 * time.Millisecond
-	// absentHostRetention is how long a host that has left the group of live
-	// hosts must still confirm. If it doesn't return, only the assurance during
-	// a store outage is lost; even without it, leases of 6 s survive an outage
-	// of 9 s.
+	// absentHostRetention is how long an assurance still needs the confirmation
+	// of a host that has left the group of live hosts. If that host doesn't
+	// return, only the assurance during a store outage is lost. Even without
+	// this assurance, leases of 6 s survive an outage of 9 s.
 	absentHostRetention = 30 * time.Second
 )
 
--- a/internal/entry/assured_internal_test.go
+++ b/internal/entry/assured_internal_test.go
@@ -144,9 +144,10 @@
 // TestAssuredAfterLostRead loses the answer to one read of the jobs while
 // nothing is written, on an owner that gets no answers from other hosts.
 //
-// An assurance is valid for 3 s, so that a single lost read is harmless. From
-// sending the read before the lost one until the answer to the one after it, it
-// takes 0.7 s, 1.7 s until the client's timeout, a pause and 0.7 s.
+// An assurance counts from the sending of a read and is valid for 3 s, so that
+// a single lost read is harmless. The read before the lost read takes 0.5 s
+// (ownerWait), the lost read 1.5 s until the client's timeout, and the read
+// after a pause 0.5 s again.
 func TestAssuredAfterLostRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -25,11 +25,11 @@
 }
 
 const (
-	// epochRandomBits is the number of random bits of an epoch, and
-	// epochOffsetShift the number of bits below the offset, one more, so that
-	// every increase of one owner's fence stays below the next offset's epochs.
-	// Together with the offset, an epoch stays below 2^53, which a JSON number
-	// represents exactly.
+	// epochRandomBits is the number of random bits of an epoch.
+	// epochOffsetShift is the number of bits below the offset in an epoch. It
+	// is one more, so that no increase of one owner's fence reaches the epochs
+	// of the next offset. Epochs stay below 2^53, so that a JSON number
+	// represents them exactly.
 	epochRandomBits  = id.FenceRevisionBits
 	epochOffsetShift = id.FenceRevisionBits + 1
 )
@@ -47,7 +47,8 @@
 
 // noteFormerIncarnation marks the ownership as vacant if the owner is an
 // earlier incarnation of this host, since that process has ended for certain.
-// The store would list it as a live host until its time to live expires.
+// Until the time to live of that incarnation expires, the store lists it as a
+// live host.
 func (h *Host) noteFormerIncarnation() {
 	o := h.table.Owner()
 	if o.Host != h.self && machineOf(o.Host) == h.settings.Host {
@@ -119,7 +120,7 @@
 }
 
 // catchUpAfterClaim reads the records that this host lacked when it claimed,
-// and only then allows another claim. An earlier claim would lack the same
+// and only then allows another claim. A claim before that would lack the same
 // records.
 func (h *Host) catchUpAfterClaim(ctx context.Context) {
 	h.catchUp(ctx)
@@ -203,8 +204,8 @@
 }
 
 // yield hands the ownership over to a more able host, if there is one and no
-// append is in flight. Until the store has the release, this host doesn't
-// claim: it would find the ownership vacant.
+// append is in flight. This host doesn't claim again until the store has
+// answered the release, because it would find the ownership vacant.
 func (h *Host) yield(ctx context.Context, now unit.Instant) {
 	if h.owner == nil || h.stopping.Load() || !h.election.ShouldHandOver(now) {
 		return
--- a/internal/entry/counts.go
+++ b/internal/entry/counts.go
@@ -11,8 +11,8 @@
 // maxCountAge is how long a count of waiting jobs is reused for further
 // callers. Counting walks the whole table on the deciding goroutine: doing so
 // for each of many callers would delay the handling of workers' answers.
-// Together with the pause between two reads of the jobs it stays well below the
-// 2 s that the platform allows.
+// maxCountAge and the pause between two reads of the jobs are together well
+// below the 2 s that the platform allows.
 const maxCountAge = 500 * time.Millisecond
 
 // count is the number of waiting jobs of a queue at a point in time.
@@ -25,8 +25,8 @@
 // goroutine may use it.
 type counts map[id.Queue]count
 
-// get returns the number of waiting jobs of a queue, at most maxCountAge old;
-// walk counts them again.
+// get returns the number of waiting jobs of a queue, at most maxCountAge old.
+// If the latest count is older, get calls walk to count the jobs again.
 func (c counts) get(now unit.Instant, q id.Queue, walk func(id.Queue) int) int {
 	if known, ok := c[q]; ok && now.Sub(known.at) < maxCountAge {
 		return known.jobs
--- a/internal/entry/front.go
+++ b/internal/entry/front.go
@@ -46,12 +46,12 @@
 type call struct {
 	w http.ResponseWriter
 	r *http.Request
-	// catalog is the configuration that is used for the whole call. It and
+	// catalog is the configuration that is used for the whole call. catalog and
 	// queue are nil if no queue was found.
 	catalog *catalog.Catalog
 	queue   *catalog.Queue
-	// customer is the one whose API key the call carries; empty if it carries
-	// no known key, which only an anonymous queue allows.
+	// customer is the customer whose API key the call carries. It is empty if
+	// the call carries no known key, which only an anonymous queue allows.
 	customer id.Customer
 	// job is empty if the call concerns the queue.
 	job id.Job
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -138,19 +138,21 @@
 	// progress is the position in the progress log up to which the table is
 	// complete.
 	progress progressPosition
-	// owner is nil unless this host schedules. claiming is set during a claim,
-	// from the read before its append to the read that may follow it, and while
-	// this host releases the ownership to a more able one; no other claim
-	// begins meanwhile. takeover is set from when this host has read its own
-	// claim until it is the owner.
+	// owner is nil unless this host owns the scheduling. claiming is set during
+	// a claim: from the read before the append of the claim until the read that
+	// may follow the append. It is also set while this host releases the
+	// ownership to a more able host. No claim begins while claiming is set.
+	// takeover is set from when this host has read its own claim until it is
+	// the owner.
 	owner    *owner
 	claiming bool
 	takeover *takeover
 	// newestClaim is the epoch of the newest claim or release of the ownership
 	// that this host has read.
 	newestClaim id.Epoch
-	// endedEpoch is the last epoch whose owner has ended for certain: this host
-	// gave it up or could not take it over, or it was an earlier incarnation's.
+	// endedEpoch is the last epoch whose owner has ended for certain. This host
+	// gave up that ownership or could not take it over, or the owner was an
+	// earlier incarnation of this host.
 	endedEpoch id.Epoch
 	// watchers are notified when a job ends.
 	watchers watchers
@@ -163,9 +165,10 @@
 	// this host has read.
 	releasedEpoch id.Epoch
 	// assured is the newest time at which it is certain that no other host was
-	// the owner: a read of the jobs that was sent then showed no other owner,
-	// an append of this owner that was sent then was not fenced, or all other
-	// hosts answered that they know of no other owner.
+	// the owner. A call that was sent at this time has shown it. That call was
+	// a read of the jobs that showed no other owner, an append of this owner
+	// that was not fenced, or a question to all other hosts, each of which
+	// answered that it knows of no other owner.
 	assured unit.Instant
 	// others are the other hosts that recent reads of the group have returned,
 	// by the names that all incarnations of a host share.
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// operatorRetryMargin: a read of the operator's log waits at most half of
-	// the time within which a configuration must be in force, minus this
-	// margin, so that there is time for another read if the store loses the
-	// first. minOperatorWait is the wait for shorter bounds.
+	// operatorRetryMargin is subtracted from half of the time within which a
+	// configuration must be in force. The result is how long a read of the
+	// operator's log waits at most, so that there is time for another read if
+	// the store loses the first. minOperatorWait is the least value of this
+	// wait, for short bounds.
 	operatorRetryMargin = 300 * time.Millisecond
 	minOperatorWait     = 200 * time.Millisecond
 	// operatorReads is how many reads of the operator's log the owner makes
-	// within the maximum age of what it knows of evacuations. When the answer
-	// to a read arrives, it may be as old as the read's wait plus its latency,
-	// and until the next answer arrives its age doubles. With fewer reads,
-	// starts are withheld again and again while the store is slow.
+	// within the maximum age of its knowledge of evacuations. When the answer
+	// to a read arrives, it may already be as old as the read's wait plus its
+	// latency. Until the next answer arrives, this age doubles. With fewer
+	// reads, starts are withheld again and again while the store is slow.
 	operatorReads = 4
 )
 
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -78,10 +78,10 @@
 	b.renewals.Close()
 }
 
-// sendOrders sends the orders that the dispatcher has decided. In flight there
-// are at most one renewal to each worker, one order for each run, one question
-// to the advice service, and for each wave as many orders as it may take
-// machines down.
+// sendOrders sends the orders that the dispatcher has decided. At any time at
+// most the following are in flight: one renewal to each worker, one order for
+// each run, one question to the advice service and, for each wave, one order
+// for each machine that the wave may have down at a time.
 func (o *owner) sendOrders(ctx context.Context) {
 	orders := o.core.TakeOrders()
 	o.enqueueOrders(ctx, orders)
@@ -186,8 +186,9 @@
 	return func(now unit.Instant) { o.core.Paced(now, res) }
 }
 
-// askAdvice asks the advice service for permits. Their validity counts from the
-// time of sending, the earliest at which the service can have issued them.
+// askAdvice asks the advice service for permits. The validity of the permits
+// counts from the time at which the question was sent, because the service
+// can't have issued them earlier.
 func (o *owner) askAdvice(ctx context.Context, q dispatch.Ask) (fleet.Verdict, event) {
 	sent := o.host.now()
 	v, permits, valid := o.host.advice.Ask(ctx, q)
--- a/internal/entry/pass_internal_test.go
+++ b/internal/entry/pass_internal_test.go
@@ -33,20 +33,20 @@
 // tasks, each pass took longer than the 5 ms after which the next one was due.
 // If the pause doesn't depend on the duration of a pass, a pass then follows
 // every event, and events and orders wait for seconds: the ends of runs were
-// handled up to 11 s late. Before that, the owner gave such runs up and placed
-// them again: it counted 1,329 runs as lost by an expired lease, although only
-// 35 of them were, and accepted jobs did not run although most of the capacity
-// was free: in 10 s, 22 tasks were done beside 1,971 placements. With passes of
-// 7 ms, as with 1,000 waiting tasks on that host, the ring of events fills up in
-// this test and an answer waits for 11.9 s.
+// handled up to 11 s late. By then, the owner had given such runs up and placed
+// them again. It counted 1,329 runs as lost by an expired lease, although only
+// 35 of them were. Accepted jobs did not run although most of the capacity was
+// free: in 10 s there were 1,971 placements, but only 22 tasks were done. With
+// passes of 7 ms, as with 1,000 waiting tasks on that host, the ring of events
+// fills up in this test and an answer waits for 11.9 s.
 func TestAnswersAreTakenInBesideLongPasses(t *testing.T) {
 	const (
 		passCost     = 7 * time.Millisecond
 		eventCost    = 100 * time.Microsecond
 		eventEvery   = time.Second / 350 // each worker's lease is renewed every second
 		testDuration = 20 * time.Second
-		// maxWait is far below the shortest lease, 6 s, of which a renewal may
-		// take a third while it waits at its worker.
+		// maxWait is far below 6 s, the shortest lease. A worker may hold a
+		// renewal back for a third of that time.
 		maxWait = 100 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -20,9 +20,10 @@
 type backoff struct{ last time.Duration }
 
 // wait pauses after a failed call that began at the given time. After a call
-// that hung for at least maxRetryPause, the pause is only a short jitter: a
-// store that had stopped answering answers only calls that are made after its
-// return. It reports whether ctx is still open.
+// that hung for at least maxRetryPause, the pause is only a short jitter. A
+// store that had stopped answering never answers the calls made before its
+// return, so that the call has to be repeated soon. It reports whether ctx is
+// still open.
 func (b *backoff) wait(ctx context.Context, began time.Time) bool {
 	if time.Since(began) >= maxRetryPause {
 		return pause(ctx, rand.N(minRetryPause))
--- a/internal/entry/silence_test.go
+++ b/internal/entry/silence_test.go
@@ -15,9 +15,9 @@
 	"curlewsill.org/curlewsill/internal/faultproxy"
 )
 
-// storeProxy stands before the store. It makes hosts reach each other through
-// proxies: it replaces the hosts' addresses in the store's answers by those of
-// the proxies.
+// storeProxy is the HTTP handler in front of the store. It makes hosts reach
+// each other through proxies: it replaces the hosts' addresses in the store's
+// answers by those of the proxies.
 type storeProxy struct {
 	t     *testing.T
 	store http.Handler
@@ -112,8 +112,8 @@
 	s.address = s.proxyFor("store", s.address)
 }
 
-// proxyFor returns the address of a new proxy before address, or address itself
-// if the script uses no proxies.
+// proxyFor returns the address of a new proxy in front of address, or address
+// itself if the script uses no proxies.
 func (s *site) proxyFor(kind, address string) string {
 	if s.proxies == nil {
 		return address
--- a/internal/entry/site_test.go
+++ b/internal/entry/site_test.go
@@ -29,8 +29,8 @@
 type site struct {
 	t    *testing.T
 	logs *hostLogs
-	// address is the address of store, or of the proxy before it. advice is the
-	// address of the advice service.
+	// address is the address of store, or of the proxy in front of it. advice
+	// is the address of the advice service.
 	store           *standin.Store
 	address, advice string
 	// machines is the address of machineService, which takes machines down.
@@ -40,7 +40,7 @@
 	// it.
 	lease  time.Duration
 	strict bool
-	// proxies are the proxies before the store and before each worker, by the
+	// proxies are the proxies in front of the store and of each worker, by the
 	// kind of their target; nil unless the script asks for them.
 	proxies map[string][]*faultproxy.Proxy
 	// mu guards the elements of workers and of proxies.
@@ -51,8 +51,8 @@
 	// each worker.
 	workerStart int64
 	addresses   map[int]string
-	// domain is the failure domain of workers started from now on; domains
-	// holds that of each worker.
+	// domain is the failure domain of workers started from now on. domains
+	// holds the failure domain of each worker.
 	domain  string
 	domains map[int]string
 
@@ -64,9 +64,10 @@
 	// cores is the number of cores of each host.
 	cores []float64
 
-	// storeProxy stands before the store. unknown counts the calls that ended
-	// with an unknown outcome since the links were silenced. halfConn is the
-	// connection of a client that stopped sending in the middle of a call.
+	// storeProxy is the HTTP handler in front of the store. unknown counts the
+	// calls that ended with an unknown outcome since the links were silenced.
+	// halfConn is the connection of a client that stopped sending in the middle
+	// of a call.
 	storeProxy *storeProxy
 	unknown    atomic.Int32
 	halfConn   net.Conn
@@ -191,8 +192,9 @@
 	})
 }
 
-// worker returns the current incarnation of a machine's worker. Orders about
-// machines come from other goroutines than the script's.
+// worker returns the current incarnation of a machine's worker. It holds the
+// lock because orders about machines come from other goroutines than the
+// script's.
 func (s *site) worker(n int) *standin.Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/suspend_internal_test.go
+++ b/internal/entry/suspend_internal_test.go
@@ -36,8 +36,8 @@
 // Go's monotonic clock stops while a machine is suspended. An owner that
 // measures the age of its assurance by that clock would keep extending leases
 // and starting tasks after a suspension, although another host may have claimed
-// meanwhile: an assurance that seems 0.2 s old is 10.2 s old, and one is valid
-// for 3 s.
+// meanwhile: an assurance that seems 0.2 s old is 10.2 s old, although an
+// assurance is valid for 3 s only.
 func TestOwnerSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOwnerOf(t, &hangingWorkers{inFlight: map[string]int{}})
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -22,8 +22,8 @@
 	// maxRefusedTries is how often at most an append is tried if the store
 	// refuses it each time, before its records are reported as not written.
 	maxRefusedTries = 3
-	// refusedPause is the pause between these tries. All of them with their
-	// pauses fit into queueWait unless the store is slow.
+	// refusedPause is the pause between these attempts. Unless the store is
+	// slow, all attempts and the pauses between them fit into queueWait.
 	refusedPause = 80 * time.Millisecond
 )
 
@@ -77,7 +77,8 @@
 }
 
 // run appends until ctx is done. Only one append is in flight at a time, so
-// that one whose answer is lost can be repeated under the same sequence number.
+// that an append whose answer is lost can be repeated under the same sequence
+// number.
 func (w *writer) run(ctx context.Context) {
 	for {
 		select {
