--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -49,7 +49,7 @@
 	// and to each worker.
 	storeConns  = 8
 	workerConns = 8
-	// adviceConns limits those to the advice service, which handles one call at
+	// adviceConns limits the connections to the advice service, which handles one call at
 	// a time.
 	adviceConns = 1
 	// machineConns limits those to the service that takes machines down.
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -47,7 +47,7 @@
 		}
 	}
 	t.caughtUp = func(sentAt unit.Instant) {
-		h.post(ctx, func(unit.Instant) { h.noteOperatorRead(sentAt) }) // after the records of the same read
+		h.post(ctx, func(unit.Instant) { h.noteOperatorRead(sentAt) }) // handled after the records of the same read
 	}
 	t.run(ctx)
 }
--- a/internal/entry/reader.go
+++ b/internal/entry/reader.go
@@ -43,7 +43,7 @@
 		h.post(ctx, func(now unit.Instant) { h.applyJobs(now, recs, from) })
 	}
 	t.caughtUp = func(sentAt unit.Instant) {
-		h.post(ctx, func(unit.Instant) { h.assure(sentAt) }) // after the records of the same read
+		h.post(ctx, func(unit.Instant) { h.assure(sentAt) }) // handled after the records of the same read
 	}
 	t.run(ctx)
 }
