--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -49,10 +49,11 @@
 	// and to each worker.
 	storeConns  = 8
 	workerConns = 8
-	// adviceConns limits the connections to the advice service, which handles one call at
-	// a time.
+	// adviceConns limits the connections to the advice service, which handles
+	// one call at a time.
 	adviceConns = 1
-	// machineConns limits those to the service that takes machines down.
+	// machineConns limits the connections to the service that takes machines
+	// down.
 	machineConns = 2
 )
 
