--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -49,10 +49,11 @@
 	// and to each worker.
 	storeConns  = 8
 	workerConns = 8
-	// adviceConns limits those to the advice service, which handles one call at
-	// a time.
+	// adviceConns limits the connections to the advice service, which handles
+	// one call at a time.
 	adviceConns = 1
-	// machineConns limits those to the service that takes machines down.
+	// machineConns limits the connections to the service that takes machines
+	// down.
 	machineConns = 2
 )
 
@@ -106,7 +107,8 @@
 	// groupCapacity is the number of hosts that fit into the group, as last
 	// seen by this host.
 	groupCapacity atomic.Int32
-	// standby is set while this host would be among the first to claim.
+	// standby is set while this host would be among the first hosts to claim
+	// the ownership.
 	standby atomic.Bool
 	// waitingCalls counts the calls that wait for a job's end.
 	waitingCalls atomic.Int32
@@ -115,8 +117,8 @@
 	stopped      chan struct{}
 
 	clock Clock
-	// suspended is the total time for which the machine had been suspended as
-	// of the last suspension that was logged.
+	// suspended is the total time for which the machine had been suspended when
+	// a suspension was last logged.
 	suspended time.Duration
 	// wake ends the pause between two reads of the jobs early.
 	wake chan struct{}
@@ -137,19 +139,21 @@
 	// progress is the position in the progress log up to which the table is
 	// complete.
 	progress progressPosition
-	// owner is nil unless this host schedules. claiming is set during a claim,
-	// from the read before its append to the read that may follow it, and while
-	// this host releases the ownership to a more able one; no other claim
-	// begins meanwhile. takeover is set from when this host has read its own
-	// claim until it is the owner.
+	// owner is nil unless this host owns the scheduling. claiming is set during
+	// a claim: from the read before the append of the claim until the read that
+	// may follow the append. It is also set while this host releases the
+	// ownership to a more able host. No claim begins while claiming is set.
+	// takeover is set from when this host has read its own claim until it is
+	// the owner.
 	owner    *owner
 	claiming bool
 	takeover *takeover
 	// newestClaim is the epoch of the newest claim or release of the ownership
 	// that this host has read.
 	newestClaim id.Epoch
-	// endedEpoch is the last epoch whose owner has ended for certain: this host
-	// gave it up or could not take it over, or it was an earlier incarnation's.
+	// endedEpoch is the last epoch whose owner has ended for certain. This host
+	// gave up that ownership or could not take it over, or the owner was an
+	// earlier incarnation of this host.
 	endedEpoch id.Epoch
 	// watchers are notified when a job ends.
 	watchers watchers
@@ -162,9 +166,10 @@
 	// this host has read.
 	releasedEpoch id.Epoch
 	// assured is the newest time at which it is certain that no other host was
-	// the owner: a read of the jobs that was sent then showed no other owner,
-	// an append of this owner that was sent then was not fenced, or all other
-	// hosts answered that they know of no other owner.
+	// the owner. A call that was sent at this time has shown it. That call was
+	// a read of the jobs that showed no other owner, an append of this owner
+	// that was not fenced, or a question to all other hosts, each of which
+	// answered that it knows of no other owner.
 	assured unit.Instant
 	// others are the other hosts that recent reads of the group have returned,
 	// by the names that all incarnations of a host share.
--- a/internal/entry/silence_test.go
+++ b/internal/entry/silence_test.go
@@ -15,9 +15,9 @@
 	"curlewsill.org/curlewsill/internal/faultproxy"
 )
 
-// storeProxy stands before the store. It makes hosts reach each other through
-// proxies: it replaces the hosts' addresses in the store's answers by those of
-// the proxies.
+// storeProxy is the HTTP handler in front of the store. It makes hosts reach
+// each other through proxies: it replaces the hosts' addresses in the store's
+// answers by those of the proxies.
 type storeProxy struct {
 	t     *testing.T
 	store http.Handler
@@ -54,7 +54,8 @@
 	_, _ = w.Write(body)
 }
 
-// proxy returns the address of the proxy before a host.
+// proxy returns the address of the proxy in front of the host that listens at
+// target. It starts the proxy when it is first asked for.
 func (sp *storeProxy) proxy(target string) string {
 	sp.mu.Lock()
 	defer sp.mu.Unlock()
@@ -111,8 +112,8 @@
 	s.address = s.proxyFor("store", s.address)
 }
 
-// proxyFor returns the address of a new proxy before address, or address itself
-// if the script uses no proxies.
+// proxyFor returns the address of a new proxy in front of address, or address
+// itself if the script uses no proxies.
 func (s *site) proxyFor(kind, address string) string {
 	if s.proxies == nil {
 		return address
@@ -191,8 +192,8 @@
 	s.halfConn = c
 }
 
-// awaitHalfCallClosed waits until the host has answered the half call and
-// closed its connection.
+// awaitHalfCallClosed waits until the host has answered the incomplete call of
+// sendHalfCall and has closed the call's connection.
 func (s *site) awaitHalfCallClosed(status string) {
 	if err := s.halfConn.SetReadDeadline(time.Now().Add(deadline)); err != nil {
 		s.t.Fatal(err)
