--- a/internal/conntrack/call.go
+++ b/internal/conntrack/call.go
@@ -27,22 +27,24 @@
 type call struct {
 	transport *Transport
 	began     time.Time
-	// address is where the call goes, incarnation the process there that it is
-	// for; empty if any will do.
+	// address is where the call goes. incarnation is the incarnation of the
+	// process at this address that the call is for; it is empty if the call is
+	// for any incarnation.
 	address, incarnation string
 	// wait is how long the call may wait at the server; known is set if the
 	// caller specified it.
 	wait  time.Duration
 	known bool
 
-	// conn is the connection that the call was sent on, nil before; idle is for
-	// how long it was unused, first whether this is its first call. Guarded by
-	// the transport's lock.
+	// conn is the connection that the call uses, nil until it has one. idle is
+	// how long the connection was unused before. first is set if no call had
+	// been answered on it before. The transport's lock guards all three.
 	conn  *conn
 	idle  time.Duration
 	first bool
-	// misdirected is set once another incarnation has answered, ended once the
-	// call has ended. Guarded by the transport's lock.
+	// misdirected is set once an incarnation has answered that isn't the one
+	// that the call is for. ended is set once the call has ended. The
+	// transport's lock guards both.
 	misdirected, ended bool
 }
 
@@ -67,8 +69,8 @@
 	}
 }
 
-// setConn records the connection that the call uses, and reports whether it is
-// suspect.
+// setConn records the connection that the call uses, and reports whether the
+// connection is suspect. idle is how long the connection was unused.
 func (c *call) setConn(x *conn, idle time.Duration) bool {
 	t := c.transport
 	t.mu.Lock()
@@ -79,10 +81,11 @@
 	return p != nil && p.isSuspect(x)
 }
 
-// finish records that the call has ended, and returns its connection; nil if it
-// had none or had ended before. An answer proves that the connection worked
-// when the call was sent. retire is set if the connection is suspect in spite
-// of the answer and must not be used again.
+// finish records that the call has ended, and returns its connection. It
+// returns nil if the call had no connection or had ended before. An answer
+// proves only that the connection worked when the call was sent. The connection
+// may have become suspect since then; retire reports that it has and must not
+// be used again.
 func (c *call) finish(answered bool) (x *conn, retire bool) {
 	t := c.transport
 	t.mu.Lock()
--- a/internal/conntrack/conn.go
+++ b/internal/conntrack/conn.go
@@ -24,8 +24,8 @@
 	net.Conn
 	transport *Transport
 	to        string
-	// incarnation is the incarnation that the connection was opened for; empty
-	// if any will do.
+	// incarnation is the incarnation that the connection was opened for. It is
+	// empty if the connection may be to any incarnation.
 	incarnation string
 	opened      time.Time
 	// received records when bytes last arrived, or when the connection was
@@ -39,14 +39,15 @@
 	call *call
 	// used is set once a call was answered on this connection.
 	used bool
-	// stale is set once another incarnation has answered in place of the one
-	// that it was opened for.
+	// stale is set once an incarnation has answered that isn't the one for
+	// which the connection was opened.
 	stale bool
 }
 
-// provesAlive reports whether c shows that the path works although the
-// connection dead has brought no answer: c was already open when bytes last
-// arrived on dead, and bytes have arrived on c later than since.
+// provesAlive reports whether bytes on c show that the path works, although no
+// answer arrived on the connection dead. This is the case if c was already open
+// when bytes last arrived on dead, and bytes have arrived on c after the time
+// since.
 func (c *conn) provesAlive(dead *conn, since time.Time) bool {
 	return !c.opened.After(dead.received.Last()) && c.received.Last().After(since)
 }
--- a/internal/conntrack/conntrack.go
+++ b/internal/conntrack/conntrack.go
@@ -44,9 +44,10 @@
 	// so a path that was silent during a whole call was already silent 300 ms
 	// before the call's end.
 	provenWithin = 300 * time.Millisecond
-	// overdueAfter is how long an answer must be overdue when its call is
-	// canceled to make other connections suspect: slow stores and workers
-	// answer within 300 ms.
+	// overdueAfter applies to calls whose wait at the server is known. If such
+	// a call is canceled or times out, its connection counts as dead, and the
+	// others to the same address become suspect, only if the answer is overdue
+	// by this much. Slow stores and workers answer within 300 ms.
 	overdueAfter = 400 * time.Millisecond
 )
 
@@ -54,11 +55,12 @@
 type DeadConn struct {
 	// To is the remote address.
 	To string
-	// Age is the time since it was opened, Idle how long it had been idle
-	// before its last call.
+	// Age is the time since the connection was opened, Idle how long it had
+	// been idle before its last call.
 	Age, Idle time.Duration
-	// First is set if that call was the first one on it: then new connections
-	// are silent too, which may also mean that the service hangs.
+	// First is set if the last call was the first one on the connection. Then
+	// new connections are silent too, which may also mean that the service
+	// hangs.
 	First bool
 	// Why is the reason for which the connection counts as dead.
 	Why string
@@ -80,9 +82,10 @@
 	peers map[string]*peer
 }
 
-// New returns a transport over base, whose connections it tracks from now on;
-// base must not have been used. onDead is called for each connection that was
-// found dead and must not block.
+// New returns a transport that makes its calls with base and tracks the
+// connections of base. It replaces base's dial function, so base must not have
+// been used before. onDead is called for each connection that was found dead.
+// onDead must not block.
 func New(base *http.Transport, onDead func(DeadConn)) *Transport {
 	t := &Transport{base: base, onDead: onDead, peers: map[string]*peer{}}
 	dial := base.DialContext
@@ -147,9 +150,10 @@
 	return resp, nil
 }
 
-// track registers a connection that a call has opened. It returns nil if
-// another incarnation has answered the call meanwhile, on another connection:
-// this one would stay idle.
+// track registers a connection that was opened for a call. Meanwhile, the call
+// may have been answered on another connection, by another incarnation than the
+// one that the call is for. Then track returns nil, since the new connection
+// would stay idle.
 func (t *Transport) track(c net.Conn, openedFor *call) *conn {
 	received := meter.New()
 	now := received.Last()
@@ -182,9 +186,10 @@
 	}
 }
 
-// reportDead makes the other connections to the address of a dead connection
-// suspect, and closes those that are idle. The others are closed when their
-// call ends.
+// reportDead handles a connection that was found dead. Unless the path to its
+// address is known to work, reportDead makes the other connections to this
+// address suspect, closes the idle ones and calls onDead. A suspect connection
+// in use is closed when its call ends.
 func (t *Transport) reportDead(dead *conn, f DeadConn) {
 	closing, silent := t.markSuspects(dead)
 	if !silent {
@@ -199,11 +204,12 @@
 
 // markSuspects makes the connections to the address of a dead connection
 // suspect, except those that were proven within provenWithin. It returns the
-// suspects that are idle, without the dead connection itself. If the path turns
-// out to work, it changes nothing and returns false for silent: bytes have
-// arrived within provenWithin on the dead connection, or on another that was
-// already open when bytes last arrived on the dead one. Answers are only slow
-// then, as over a saturated link.
+// suspects that are idle, without the dead connection itself.
+//
+// If the path works, markSuspects changes nothing and returns false for silent:
+// answers are only slow then, as over a saturated link. The path works if bytes
+// have arrived within provenWithin on the dead connection, or on another
+// connection that was already open when bytes last arrived on the dead one.
 func (t *Transport) markSuspects(dead *conn) (idle []*conn, silent bool) {
 	since := time.Now().Add(-provenWithin)
 	t.mu.Lock()
--- a/internal/conntrack/life.go
+++ b/internal/conntrack/life.go
@@ -25,8 +25,8 @@
 	return context.WithValue(ctx, incarnationKey{}, incarnation)
 }
 
-// incarnationOf returns the incarnation that a call is for; empty if any will
-// do.
+// incarnationOf returns the incarnation that a call is for. It is empty if the
+// call is for any incarnation.
 func incarnationOf(ctx context.Context) string {
 	incarnation, _ := ctx.Value(incarnationKey{}).(string)
 	return incarnation
@@ -72,9 +72,10 @@
 	return &call{address: host}
 }
 
-// misdirected handles an answer from another incarnation: the connections that
-// were opened for the call's incarnation are not used again. A later call for
-// it connects to the process that listens then.
+// misdirected handles an answer from an incarnation that isn't the one that the
+// call is for. Connections that were opened for the call's incarnation lead to
+// the wrong process, so they are not used again. A later call for the same
+// incarnation opens a connection to the process that listens then.
 func (t *Transport) misdirected(c *call) {
 	for _, x := range t.markStale(c) {
 		_ = x.Close()
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -272,8 +272,8 @@
 
 // setWriteDeadline bounds the time for writing a response, from now on.
 func setWriteDeadline(w http.ResponseWriter) {
-	// The error is ignored: a connection without deadlines, as in tests of
-	// handlers, is used without one.
+	// The error is ignored: if the connection doesn't support deadlines, as in
+	// tests of handlers, the response is written without one.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
--- a/internal/edge/probe.go
+++ b/internal/edge/probe.go
@@ -22,8 +22,9 @@
 	}()
 }
 
-// sendProbe sends a probe. It reports false if the probe was inconclusive,
-// because it timed out.
+// sendProbe sends a probe and returns its outcome. It reports false if the
+// outcome says nothing about the backend server: the probe timed out, or its
+// request couldn't be created.
 func (e *Edge) sendProbe(ctx context.Context, p route.Probe) (route.Outcome, bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -41,15 +41,15 @@
 	target   string
 	// conns holds the open connections.
 	conns map[*conn]struct{}
-	// cut holds the directions in which bytes are held back at present; healed
-	// is closed while there are none.
+	// cut holds the directions in which bytes are held back at present. The
+	// channel healed is closed while cut holds no direction.
 	cut    Direction
 	healed chan struct{}
 	// delay is how long each chunk is delayed.
 	delay time.Duration
-	// refusing is set while the port is closed; muted is set while connects go
-	// unanswered, and fillers are the connections that fill the accept queue
-	// meanwhile.
+	// refusing is set while the port is closed. muted is set while connects go
+	// unanswered; during this time, fillers are the connections that fill the
+	// accept queue.
 	refusing bool
 	muted    *mutePeriod
 	fillers  []net.Conn
@@ -233,8 +233,9 @@
 	delete(p.conns, c)
 }
 
-// waitToForward waits until the next chunk may be forwarded in a direction: for
-// the delay, and for Heal if the direction is cut.
+// waitToForward waits until the next chunk may be forwarded in a direction. It
+// waits for the delay of a chunk and then, if the direction is cut, for a call
+// of Heal.
 func (p *Proxy) waitToForward(d Direction) {
 	p.mu.Lock()
 	delay, cut, healed := p.delay, p.cut&d != 0, p.healed
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -87,12 +87,12 @@
 	events    *ring.Ring[node.Event]
 	appends   *ring.Ring[[]byte]
 	syncSlots chan struct{}
-	// applied holds the offset of the newest applied record, updated after each
-	// step; the log reader continues after it.
+	// applied holds the offset of the newest applied record. runCore updates it
+	// after each step. The log reader skips records up to this offset.
 	applied chan id.Offset
 
-	// closeMu guards closed, which is set once the core accepts no more
-	// requests.
+	// closeMu guards closed, which is set once the core has stopped, so that
+	// no more requests are queued for it.
 	closeMu sync.RWMutex
 	closed  bool
 
@@ -159,8 +159,9 @@
 	}
 }
 
-// Push queues an event that must not be lost for the core, waiting for room
-// until ctx is done. It reports whether the event was queued.
+// Push queues an event for the core that must not be lost. If the queue is
+// full, Push waits for room until ctx is done. It reports whether the event was
+// queued.
 func (h *Host) Push(ctx context.Context, ev node.Event) bool { return h.events.Push(ctx, ev) }
 
 // Run runs the host until the planned stop is complete or ctx is done.
@@ -364,7 +365,8 @@
 }
 
 // Propose writes an entry to the log and returns the verdict. If ctx ends
-// first, the entry may still be or have been accepted.
+// before the verdict is known, the entry may have been accepted, or may be
+// accepted later.
 func (h *Host) Propose(ctx context.Context, e record.Entry) (id.Offset, error) {
 	a, err := h.query(ctx, func(t node.Ticket) node.Event { return node.Propose{Ticket: t, Entry: e} })
 	if err != nil {
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,10 +1,12 @@
 // Package outbox sends orders from a bounded number of goroutines.
 //
-// Orders wait in one queue per receiver, and the queues together are bounded.
-// Receivers that are ready are served round-robin. An order that has been in
-// flight for a while no longer counts against the limit on recent orders. So
-// receivers that hang delay the others by a fraction of a second at most, and
-// after that only the limit on all orders in flight applies.
+// Orders wait in one queue per receiver. The total number of queued orders is
+// bounded. Receivers to which an order may be sent are served round-robin.
+//
+// Two limits apply to orders in flight: one to those that were sent recently,
+// and one to all. Receivers that hang delay the others by a fraction of a
+// second at most: after that time, their orders no longer count as recent, and
+// only the limit on all orders in flight still applies to them.
 package outbox
 
 import (
@@ -32,11 +34,11 @@
 	mu sync.Mutex
 	// receivers holds the receivers with orders that are queued or in flight.
 	receivers map[K]*receiver
-	// ready is the round-robin queue of the receivers with an order that may be
-	// sent, each once.
+	// ready is the round-robin queue of the receivers that have a queued order
+	// and fewer than PerReceiver orders in flight. Each is in it only once.
 	ready []*receiver
-	// waiting, recent and inFlight count orders: those queued, those sent less
-	// than RecentFor ago, and all those in flight.
+	// waiting counts the queued orders, recent those in flight that were sent
+	// less than RecentFor ago, and inFlight all those in flight.
 	waiting, recent, inFlight int
 	closed                    bool
 }
@@ -84,7 +86,8 @@
 	clear(b.receivers)
 }
 
-// queue adds a receiver to the ready queue if it has an order that may be sent.
+// queue adds a receiver to the ready queue, unless it is there already, has no
+// queued order, or has PerReceiver orders in flight.
 func (b *Box[K]) queue(r *receiver) {
 	if r.queued || len(r.waiting) == 0 || r.inFlight >= b.limits.PerReceiver {
 		return
@@ -112,7 +115,8 @@
 	aged bool
 }
 
-// takeNext removes the next order from the queues, if one may be sent.
+// takeNext removes the next order to send from its receiver's queue. It reports
+// false if the limits allow no order to be sent now, or the box is closed.
 func (b *Box[K]) takeNext() (*sending, bool) {
 	if b.closed || len(b.ready) == 0 || b.recent >= b.limits.Recent || b.inFlight >= b.limits.InFlight {
 		return nil, false
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -131,10 +131,10 @@
 // counting as recent.
 //
 // It guards against a data race that ended the owner's process with a nil
-// pointer: an order's timer fires while the order ends, and its goroutine
-// continues with the next order, or with none. If the timer's function reads
-// the variable in which the goroutine keeps its current order, it counts the
-// wrong order, or dereferences nil.
+// pointer dereference. A goroutine sends one order after another and keeps the
+// current one in a variable. An order's timer may fire while the order ends. If
+// the timer's function reads this variable, it may find the next order and
+// count that instead, or find nil after the last order.
 func TestOrderEndsAsItAgesOut(t *testing.T) {
 	const recentFor, orders = 100 * time.Millisecond, 500
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -1,15 +1,15 @@
 // Package peerlink carries frames between entry hosts over WebSocket. Each
 // frame is one binary message of CBOR.
 //
-// A host opens one connection to each of its neighbors and only writes to it;
-// it receives frames over connections that others opened. A neighbor that
-// doesn't accept frames fast enough misses some of them, but never delays the
-// host: a frame that finds the queue full is dropped, which is safe, as the
+// A host opens one connection to each of its neighbors and only writes to it.
+// It receives frames over connections that others opened. A neighbor that
+// accepts frames too slowly misses some of them, but never delays the host: if
+// the neighbor's queue is full, a new frame is dropped. This is safe, since the
 // next frame repeats the whole state.
 //
-// Writes to a connection that has died without a reset succeed. So both sides
-// send pings, and when a connection is found dead, the next frame goes over a
-// new one.
+// Writes succeed on a connection that has died without a reset. So both sides
+// send pings. After a connection is found dead, the next frame goes over a new
+// one.
 package peerlink
 
 import (
@@ -47,14 +47,15 @@
 	// all at once.
 	minRetryPause = 200 * time.Millisecond
 	maxRetryPause = 3 * time.Second
-	// idleAfter closes the connection to a host for which there were no frames
-	// for so long, since it is no longer a neighbor.
+	// idleAfter is the time without frames for a host after which the
+	// connection to it is closed, since the host is no longer a neighbor.
 	idleAfter = 30 * time.Second
 	// pingAfter is how long a neighbor may send nothing before it is pinged,
-	// and pongTimeout how long it may take to answer. A host counts as up for
-	// 4 s without a frame: a dead connection is found after 2 s, and the next
-	// frame follows within half a second. Including headers, a ping and its
-	// answer take 200 bytes: four neighbors cost 0.8 kB a second.
+	// and pongTimeout how long the neighbor may take to answer. A host counts
+	// as up until 4 s have passed without a frame from it. A dead connection is
+	// found after 2 s, and the next frame follows within half a second, so the
+	// host still counts as up. Including headers, a ping and its answer take
+	// 200 bytes: four neighbors cost 0.8 kB a second.
 	pingAfter   = time.Second
 	pongTimeout = time.Second
 	// acceptedPingAfter is pingAfter for the accepting side. A working peer
@@ -135,8 +136,8 @@
 	}
 }
 
-// write sends the queued frames to one neighbor. It runs in a goroutine of its
-// own until ctx is done or no frame was queued for idleAfter.
+// write sends the queued frames to one neighbor. It runs in a separate
+// goroutine until ctx is done or no frame was queued for idleAfter.
 func (l *Links) write(ctx context.Context, to id.Host, r *ring.Ring[[]byte]) {
 	defer l.forget(to)
 	var conn *wslink.Conn
@@ -161,7 +162,7 @@
 			if conn != nil && !l.writeFrame(ctx, conn, raw) {
 				conn.Close()
 				if errors.Is(conn.Cause(), wslink.ErrSilent) {
-					continue // no pause: it would use up the rest of the time for which this host counts as up
+					continue // reconnect without a pause: this host counts as up only for a short time yet
 				}
 				conn = nil
 			}
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -22,8 +22,9 @@
 	// take before the second one is tried.
 	writeTimeout = 500 * time.Millisecond
 	// minWriteRate is the lowest accepted rate of writing a message, in bytes
-	// per second. Without an allowance for its size, a large page would end
-	// every low-bandwidth link that it is written to.
+	// per second. The time limit of a write grows with the message's size at
+	// this rate. With a fixed limit, a large page would exceed it on every
+	// low-bandwidth link, and end the link.
 	minWriteRate = 1 << 20
 	// maxServed bounds the calls that are made concurrently for one peer: twice
 	// the connections of a host to the store.
@@ -189,10 +190,10 @@
 	return writeTimeout + time.Duration(len(raw))*time.Second/minWriteRate
 }
 
-// send writes a call. It closes the link if the write fails; the connection has
-// logged why then. The write doesn't depend on the context of the caller: a
-// message that isn't written completely ends the link and with it all other
-// calls in flight on it.
+// send writes a call. If the write fails, send closes the link; the connection
+// logs the cause itself. The write doesn't use the caller's context: canceling
+// it in the middle of a message would end the link, with all other calls in
+// flight on it.
 func (l *link) send(raw []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeLimit(raw))
 	defer cancel()
@@ -201,9 +202,9 @@
 	}
 }
 
-// do makes a call on the link. A link with an overdue answer is retired, not
-// closed: only pings decide whether it is dead, and other answers may still
-// come.
+// do makes a call on the link. If the answer is overdue but the link isn't
+// silent, do retires the link instead of closing it: other calls in flight may
+// still be answered on it, and pings find out if it dies.
 func (l *link) do(ctx context.Context, c call) (result, error) {
 	if err := ctx.Err(); err != nil {
 		return result{}, fmt.Errorf("%w: %w", ErrNoPeer, err) // nothing was sent
@@ -250,10 +251,10 @@
 }
 
 // handleOverdue handles a call whose time limit has passed. After a pause of
-// this process, that may happen before the link's ping fails, or at the same
-// time. If the link has been silent for longer than a ping allows, the call
-// fails with errLinkDead, so that it is retried on another link. Otherwise the
-// peer is alive and only this answer is overdue.
+// this process, the limit may pass before the link's ping fails, or at the same
+// time. If the link has been silent for as long as a ping takes to become due
+// and to fail, the call fails with errLinkDead, so that it is retried on another
+// link. Otherwise the peer is alive and only this answer is overdue.
 func (l *link) handleOverdue(answer <-chan result, err error) (result, error) {
 	if time.Since(l.conn.LastReceived()) >= inUsePingAfter+pongTimeout {
 		l.conn.CloseSilent()
--- a/internal/relay/overdue_internal_test.go
+++ b/internal/relay/overdue_internal_test.go
@@ -17,12 +17,12 @@
 // TestOverdueOnSilentLink checks that a call that is overdue on a silent link
 // is retried on a new one, even if no ping has failed yet.
 //
-// A host is paused while a call waits on a silent link. When it resumes, the
-// call's limit of 1 s and the ping's limit, at most 0.75 s after the call, have
-// both passed. If the call's limit is handled first, the call must not end as
-// overdue: new links work. In the failure seen, the call ended with an unknown
-// outcome after 1.0007 s, and the link was found dead 0.002 s later, after
-// 1.02 s without bytes.
+// A host is paused while a call waits on a silent link. When the host resumes,
+// two limits have passed: the call's limit of 1 s, and that of the ping, which
+// ends at most 0.75 s after the call's start. If the call's limit is handled
+// first, the call must not end as overdue, since a new link works. In the
+// failure seen, the call ended with an unknown outcome after 1.0007 s. The link
+// was found dead 0.002 s later, after 1.02 s without bytes.
 func TestOverdueOnSilentLink(t *testing.T) {
 	late := Policies()
 	late.Dialed.PongTimeout = time.Minute // as if the ping's timer fires late
@@ -32,11 +32,11 @@
 // TestRefusedRepeat checks that a call whose link has died is tried once more
 // when its retry is refused.
 //
-// A call's link dies, the call is retried, and the owner refuses it (503),
-// since its host was paused while the record waited behind an append. The
-// effect of the first try is unknown, so the refusal can't be returned; without
-// a further try, the call ends with an unknown outcome (504) though the owner
-// accepts records a moment later.
+// A call's link dies and the call is retried. The owner refuses the retry
+// (503), since the owner's host was paused while the call's record was queued
+// behind an append. The effect of the first try is unknown, so the refusal
+// can't be returned. Without a further try, the call ends with an unknown
+// outcome (504), although the owner accepts records a moment later.
 func TestRefusedRepeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		callAfterSilence(t, Policies(), http.StatusOK, http.StatusServiceUnavailable, http.StatusOK)
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -87,10 +87,11 @@
 // machine, one of 3,200 calls found that the second link wasn't opened in time.
 const maxTries = 3
 
-// callWithRetry makes a call on a link, and again on another link if the first
-// dies. What was sent on the dead link may have taken effect. A refusal of a
-// retry says nothing about the first try, so the outcome stays unknown unless a
-// further retry is answered.
+// callWithRetry makes a call on a link. If the link dies, callWithRetry retries
+// the call on another link, with at most maxTries tries. The call that was sent
+// on the dead link may have taken effect. If a retry is refused, this is still
+// possible, so a refusal isn't returned: the call is retried again, and its
+// outcome stays unknown until a retry is answered without a refusal.
 func (p *Transport) callWithRetry(ctx context.Context, chooseLink linkChooser, c call) (result, error) {
 	res, err := p.callOnce(ctx, chooseLink, c)
 	if errors.Is(err, errUnsent) {
@@ -223,7 +224,8 @@
 	close(o.done)
 }
 
-// linkFor returns a link to the peer of a path other than the direct one.
+// linkFor returns a link to the peer that a path leads through. The path isn't
+// the direct one.
 func (p *Transport) linkFor(ctx context.Context, index PathIndex) (*link, error) {
 	p.mu.Lock()
 	if int(index) > len(p.peers) {
--- a/internal/relay/race.go
+++ b/internal/relay/race.go
@@ -21,8 +21,9 @@
 	// backupPending is set while the second path hasn't been tried;
 	// backupDirect is set if that is the direct path.
 	backupPending, backupDirect bool
-	// directStart and peerStart are when each path was started; zero for one
-	// that isn't in flight.
+	// directStart is when the call was started on the direct path, and
+	// peerStart when it was started through a peer. Each is zero while the call
+	// isn't in flight on that path.
 	directStart, peerStart time.Time
 }
 
@@ -65,10 +66,10 @@
 }
 
 // RoundTrip implements http.RoundTripper. A call that is bound to a path by
-// WithPath is made there. Otherwise the second path is tried when the first one
-// fails or is slow, and the first answer that isn't a refusal is returned. If
-// both fail, RoundTrip returns the outcome for which it is most likely that the
-// call took effect.
+// WithPath uses only that path. Any other call tries the second path when the
+// first one fails or is slow, and returns the first answer that isn't a
+// refusal. If both paths fail, RoundTrip returns the more uncertain outcome, so
+// that a call that may have taken effect isn't reported as one that hasn't.
 func (p *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if index, bound := req.Context().Value(pathKey{}).(PathIndex); bound {
 		return p.callBound(req, index)
@@ -136,8 +137,8 @@
 	return 4
 }
 
-// moreUncertain returns the outcome with the higher uncertainty. A call has
-// certainly had no effect only if that is so on every path that was tried.
+// moreUncertain returns the outcome with the higher uncertainty: a call has
+// certainly had no effect only if it had none on each path that was tried.
 func moreUncertain(a, b outcome) outcome {
 	if b.uncertainty() > a.uncertainty() {
 		return b
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -6,13 +6,14 @@
 // same call to a peer over WebSocket with CBOR, and the peer makes it on its
 // own direct path. If peers are refused too, up to maxPeersTried of them are
 // tried in turn. A direct path that delivers no bytes while calls through a
-// peer are answered gets no more calls until a probe on it is answered. Every
-// call that is relayed must be safe to repeat: appends carry a number, and all
-// other calls are reads or idempotent. A peer never forwards a call to another
-// peer.
+// peer are answered is no longer tried first until a probe on it is answered.
 //
-// WithPath binds a call to one path, to spread calls over hosts; the call isn't
-// retried on another path then.
+// Every call that is relayed must be safe to repeat. An append carries a
+// sequence number, by which the store recognizes a repeat; all other calls are
+// reads or idempotent. A peer never forwards a call to another peer.
+//
+// WithPath binds a call to one path, so that a caller can spread calls over
+// hosts. Such a call isn't retried on another path.
 package relay
 
 import (
@@ -154,14 +155,14 @@
 
 // plan says which paths a call takes.
 type plan struct {
-	// directFirst is set if the direct path is tried first, as it is if no peer
-	// can be tried. usePeers is set if the call may go through a peer.
+	// directFirst is set if the direct path is tried first. It is always set if
+	// no peer can be tried. usePeers is set if the call may go through a peer.
 	directFirst, usePeers bool
 	// probe is set if the direct path has to be probed in parallel to the call.
 	probe bool
 }
 
-// plan returns the plan of a call that starts now.
+// plan decides which paths a call that starts now uses, and in which order.
 func (p *Transport) plan() plan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -20,9 +20,10 @@
 	// lastArrival is when bytes last arrived on the direct path.
 	lastArrival time.Time
 	// silent is set while the direct path is suspect because no bytes arrived
-	// on it. Each call would wait for its hedge delay there before a peer is
-	// tried, so the path is only probed, in parallel to calls. It is tried
-	// first again once a probe is answered.
+	// on it. If calls tried this path first, each would lose its hedge delay
+	// before a peer is tried. So calls try a peer first, and the direct path is
+	// probed in parallel. Once a probe is answered, calls try the direct path
+	// first again.
 	silent bool
 }
 
--- a/internal/relay/thin_internal_test.go
+++ b/internal/relay/thin_internal_test.go
@@ -15,7 +15,7 @@
 	// slowLinkRate is the rate of the link in the tests, in bytes per second:
 	// 10 Mbit/s.
 	slowLinkRate = 1_250_000
-	// slowLinkChunk is how many bytes it carries at a time.
+	// slowLinkChunk is how many bytes the link carries at a time.
 	slowLinkChunk = 4 << 10
 	// pageSize is the size of a page of the store in bytes.
 	pageSize = 1 << 20
--- a/internal/wslink/conn.go
+++ b/internal/wslink/conn.go
@@ -101,9 +101,9 @@
 	return raw, nil
 }
 
-// Write writes a message. If it fails, or ctx is done before the message is
-// written completely, the connection ends. ctx must have a deadline, since
-// pings wait behind the message.
+// Write writes a message. If the write fails, or ctx is done before the message
+// is written completely, the connection ends. ctx must have a deadline: pings
+// wait until the message is written, so they can't detect a dead peer meanwhile.
 func (c *Conn) Write(ctx context.Context, raw []byte) error {
 	began := time.Now()
 	c.activeWrites.Add(1)
@@ -122,9 +122,10 @@
 }
 
 // Ping pings the peer. It fails with ErrSilent if no byte arrived within
-// Policy.PongTimeout, and with ErrBroken if the connection has failed. It
-// returns nil without proof while a long message is being written or received.
-// It doesn't close the connection.
+// Policy.PongTimeout, and with ErrBroken if the connection has failed. While a
+// long message is being written or received, Ping returns nil even if no pong
+// arrived, since the message delays the ping or the pong. Ping doesn't close
+// the connection.
 func (c *Conn) Ping(ctx context.Context) error {
 	began, lastReceived := time.Now(), c.received.Last()
 	ctx, cancel := context.WithTimeout(ctx, c.policy.PongTimeout)
--- a/internal/wslink/network_test.go
+++ b/internal/wslink/network_test.go
@@ -106,8 +106,9 @@
 	return w.silent&d == 0
 }
 
-// silence makes the connections from index first on, in the order of their
-// opening, drop all further bytes in direction d.
+// silence makes connections drop all further bytes in direction d. The
+// connections are numbered in the order of their opening; those from number
+// first on are affected.
 func (n *network) silence(first int, d direction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,7 +119,7 @@
 	}
 }
 
-// setChunkDelay sets how long each chunk takes.
+// setChunkDelay sets how long each chunk takes to cross the network.
 func (n *network) setChunkDelay(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
