--- a/internal/dayreport/cause.go
+++ b/internal/dayreport/cause.go
@@ -18,7 +18,7 @@
 	workerLeft cause = "worker left"
 	// workerLost: the worker was lost, or it no longer listed the run.
 	workerLost cause = "worker lost"
-	// runFailed: the run failed, or that of another member of its gang.
+	// runFailed: the run failed, or the run of another member of its gang did.
 	runFailed cause = "a run failed"
 	// memberEnded: the run ended because another member of its gang had ended.
 	// The real reason is in that member's lines.
@@ -32,8 +32,9 @@
 )
 
 // causeWords maps words in the reason of a log line to a cause. The first match
-// counts. "running" and "stopping" occur in task-vanished lines, about runs
-// that their worker no longer lists: they are the last known state of the run.
+// counts. "running" and "stopping" occur in task-vanished lines. Such a line is
+// about a run that its worker no longer lists, and its reason is the last known
+// state of the run.
 var causeWords = []struct {
 	word  string
 	cause cause
@@ -63,8 +64,8 @@
 	return other
 }
 
-// decision returns "yes" if the time was lost by a decision of the owner, so
-// that another decision could have saved it, else "no".
+// decision returns "yes" if the time was lost by a decision of the owner:
+// another decision could have avoided the loss. Otherwise it returns "no".
 func (c cause) decision() string {
 	switch c {
 	case waitedForRoom, preempted, stalled, slow:
--- a/internal/dayreport/dayreport.go
+++ b/internal/dayreport/dayreport.go
@@ -76,8 +76,8 @@
 	return sc.Err()
 }
 
-// process adds the lines that were read to the jobs' histories, the oldest
-// first across all hosts.
+// process adds the lines that were read to the jobs' histories. It merges the
+// lines of all hosts by time, the oldest first.
 func (r *Report) process() {
 	slices.SortStableFunc(r.lines, func(a, b line) int { return a.When.Compare(b.When) })
 	for _, l := range r.lines {
@@ -121,8 +121,8 @@
 	// starts holds the time at which the newest run of each task was placed.
 	starts map[string]time.Time
 	// longestDone is the run time of the longest run that ended with success.
-	// longestLost is how long the longest other run lasted, and lossCause why
-	// that one ended.
+	// longestLost is how long the longest of the other runs lasted. lossCause
+	// is the cause of the job's loss; addLoss says how it is chosen.
 	longestDone, longestLost time.Duration
 	lossCause                cause
 }
@@ -170,8 +170,9 @@
 	}
 }
 
-// lost returns how much time the job lost: until its first placement, and from
-// then to its end beyond the time of its longest successful run.
+// lost returns how much time the job lost. waiting is the time from its
+// acceptance to its first placement. later is the time from its first placement
+// to its end, less the time of its longest successful run.
 func (h *jobHistory) lost() (waiting, later time.Duration) {
 	waiting = h.placed.Sub(h.accepted)
 	return max(0, waiting), max(0, h.ended.Sub(h.placed)-h.longestDone)
@@ -219,8 +220,9 @@
 	(*r)[i].lost += lost
 }
 
-// losses returns the losses by queue and cause, the largest first, and by
-// period of acceptance and cause.
+// losses returns the losses summed in two ways. byQueue has a row for each
+// queue and cause, the largest loss first. byPeriod has a row for each period of
+// acceptance and cause, in the order of the periods.
 func (r *Report) losses() (byQueue, byPeriod rows) {
 	begin := r.begin()
 	for _, h := range r.jobs {
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -40,8 +40,8 @@
 	// Fragmentation is the mean share of free accelerators that could not serve
 	// the gang sizes in demand.
 	Fragmentation float64 `json:"fragmentation"`
-	// InForce is the longest time from the acceptance of a plan until it was in
-	// force on every host.
+	// InForce is the longest time from the acceptance of a plan until the plan was
+	// in force on every host.
 	InForce time.Duration `json:"in_force"`
 	Changes int           `json:"changes"`
 	// Refused counts the changes that were not accepted because of the log's
@@ -128,8 +128,8 @@
 	return err == nil && slices.ContainsFunc(js, func(j state.Job) bool { return j.Spec.ID == name })
 }
 
-// changeConfig changes a customer's weight repeatedly, and measures how long
-// each change takes to be in force on every host.
+// changeConfig changes a customer's weight repeatedly. It measures for each
+// change how long it takes until the change is in force on every host.
 func (d *Demo) changeConfig(ctx context.Context, length time.Duration, rep *Report) error {
 	changes, err := d.changes()
 	if err != nil {
--- a/internal/experiment/arrive/arrive.go
+++ b/internal/experiment/arrive/arrive.go
@@ -71,8 +71,8 @@
 	return out
 }
 
-// hash returns the FNV-1a hash of a name, which seeds a random source of its
-// own for each kind.
+// hash returns the FNV-1a hash of a name. It is part of the seed of a kind's
+// random source, so that each kind has a separate one.
 func hash(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
@@ -83,15 +83,17 @@
 type generator struct {
 	kind   *setup.Kind
 	random *rand.Rand
-	// crashRandom decides which jobs crash workers. It is separate from random
-	// so that a change of the share of such jobs changes nothing else.
+	// crashRandom decides which jobs crash workers. It is separate from random,
+	// so that experiments that differ only in the share of such jobs have
+	// otherwise the same jobs.
 	crashRandom *rand.Rand
 	racks       []string
 }
 
-// jobs generates the jobs of the whole length as a Poisson process with a
-// varying rate, by thinning: it draws arrivals at the peak rate and keeps each
-// with the probability of the rate at its time divided by the peak rate.
+// jobs generates the jobs of the whole experiment. They arrive as a Poisson
+// process with a varying rate, which jobs generates by thinning: it draws
+// arrivals at the peak rate, and keeps each with a probability that is the rate
+// at its time divided by the peak rate.
 func (g *generator) jobs(s *setup.Setup) []Event {
 	peak := g.kind.PerSecond
 	for _, b := range s.Bursts {
--- a/internal/experiment/batch/batch.go
+++ b/internal/experiment/batch/batch.go
@@ -23,13 +23,13 @@
 type Batch struct {
 	setup *setup.Setup
 	trace []arrive.Event
-	// progress gets a line for each run that completes. mu protects it and the
-	// fields after it.
+	// progress gets a line for each run that completes. mu protects progress,
+	// ended and runs.
 	progress io.Writer
 	mu       sync.Mutex
 	ended    int
-	// runs has an entry for each policy and seed, which is nil until that run
-	// has completed.
+	// runs has an entry for each combination of a policy and a seed. The entry
+	// is nil until the run has completed.
 	runs []*result.Run
 }
 
--- a/internal/experiment/chart/shares.go
+++ b/internal/experiment/chart/shares.go
@@ -7,12 +7,13 @@
 )
 
 // maxPoints limits the points of a curve, so that the chart of many jobs stays
-// small. A curve has at most about twice as many.
+// small. A curve has at most about 2*maxPoints points, since only every nth job
+// is drawn and n is a whole number.
 const maxPoints = 500
 
-// completionCurve returns the share of jobs that had completed over time. took
-// has the times to completion, which completionCurve sorts; total is the number
-// of jobs.
+// completionCurve returns a curve of the share of jobs that had completed, over
+// the time since submission. took holds the completion times of the completed
+// jobs; completionCurve sorts it. total is the number of all jobs.
 func completionCurve(took []float64, total int) plotter.XYs {
 	slices.Sort(took)
 	every := max(1, len(took)/maxPoints)
--- a/internal/experiment/play/earn.go
+++ b/internal/experiment/play/earn.go
@@ -29,8 +29,8 @@
 	// startDelays has the times from submission to the first start, in seconds.
 	startDelays []float64
 	meanWork    float64
-	// earned is the worth that the jobs have earned, and possible the worth
-	// that they earn if all of them complete in time.
+	// earned is the worth that the jobs have earned. possible is the worth that
+	// they would have earned if all had completed in time.
 	earned, possible float64
 }
 
@@ -103,9 +103,10 @@
 	k.earned += weight * k.worth(o)
 }
 
-// worth returns the worth that one job earns before weighting, by the time that
-// it took. A job whose runs always fail earns its worth by ending as failed.
-// worth also counts the job as in time or late.
+// worth returns the worth that one job earns, before weighting. It depends on
+// the time from the job's submission to its end. A job whose runs always fail
+// earns its worth by ending as failed. worth also counts the job as in time or
+// late.
 func (k *kindScore) worth(o world.Outcome) float64 {
 	done := o.State == world.Completed || o.State == world.Failed && o.FailProbability >= 1
 	allowed := time.Duration(k.kind.DeadlineFactor*float64(o.Chain)) + k.kind.DeadlineExtra
--- a/internal/experiment/result/result.go
+++ b/internal/experiment/result/result.go
@@ -47,7 +47,7 @@
 	Violations []string `json:"violations"`
 	Kinds      []Kind   `json:"kinds"`
 
-	// Samples are for charts.
+	// Samples are the samples taken during the run. They are used for charts.
 	Samples []world.Sample `json:"-"`
 }
 
@@ -70,9 +70,9 @@
 	// Worth is the worth that the jobs earned, divided by the worth that they
 	// earn if all of them complete in time.
 	Worth float64 `json:"worth"`
-	// P50, P90 and P99 are quantiles of the time from submission to completion,
-	// and StartP90 is one of the time from submission to the first start, all
-	// in seconds.
+	// P50, P90 and P99 are quantiles of the time from submission to completion.
+	// StartP90 is the 90 % quantile of the time from submission to the first
+	// start. All are in seconds.
 	P50      float64 `json:"p50_s"`
 	P90      float64 `json:"p90_s"`
 	P99      float64 `json:"p99_s"`
@@ -83,8 +83,8 @@
 	CompletionTimes []float64 `json:"-"`
 }
 
-// Add adds the counts of another run of the same kind; quantiles and worth are
-// not added.
+// Add adds the counts of another result for the same kind. It leaves quantiles
+// and worth unchanged, since they can't be added.
 func (k *Kind) Add(o Kind) {
 	k.Arrived += o.Arrived
 	k.Refused += o.Refused
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -79,7 +79,8 @@
 	Tasks, Run   LogNormal
 	RunDeviation float64
 	// EstimateSpread is the relative spread of the customers' run time
-	// estimates, EstimateFactor their mean divided by the real run time.
+	// estimates. EstimateFactor is the mean estimate divided by the real run
+	// time.
 	EstimateSpread, EstimateFactor float64
 	// Accelerators lists the possible numbers of accelerators of a task, all
 	// equally likely.
@@ -90,26 +91,28 @@
 	// Steps is the mean number of steps of a job. Each step depends on the one
 	// before it.
 	Steps float64
-	// Gang is the share of jobs that are gangs, SameRack the share of gangs
-	// that ask for one rack. Checkpointing is the share of jobs that write
-	// checkpoints, RackLocal of those with data in one rack, Cancelled of those
-	// that are cancelled, and AlwaysFails of those whose runs always fail.
+	// Gang is the share of jobs that are gangs, and SameRack the share of gangs
+	// that must be placed in one rack. The others are shares of all jobs:
+	// Checkpointing of jobs that write checkpoints, RackLocal of jobs with data
+	// in one rack, Cancelled of jobs that are cancelled, and AlwaysFails of jobs
+	// whose runs always fail.
 	Gang, SameRack, Checkpointing, RackLocal, Cancelled, AlwaysFails float64
 	// Crashes is the share of jobs whose first task crashes each worker that
-	// starts it, CrashAfter the time from the start to the crash.
+	// starts it. CrashAfter is the time from the task's start to the crash.
 	Crashes    float64
 	CrashAfter time.Duration
 	// FailProbability is the probability that a run fails.
 	FailProbability float64
 	// MaxAttempts is how often a task may be attempted.
 	MaxAttempts int
-	// DeadlineFactor times a job's longest chain of work, plus DeadlineExtra, is
-	// the time that a job may take.
+	// A job completes in time if it takes at most DeadlineFactor times its
+	// longest chain of work, plus DeadlineExtra.
 	DeadlineFactor float64
 	DeadlineExtra  time.Duration
-	// Worth is what a job earns that completes in that time, LateWorth what one
-	// earns that takes up to three times as long. Both are multiplied by a
-	// weight that grows with the job's work relative to the mean of its kind.
+	// Worth is what a job earns if it completes in time. LateWorth is what it
+	// earns if it takes longer, up to three times the time allowed. Both are
+	// multiplied by a weight that grows with the job's work relative to the
+	// mean of its kind.
 	Worth, LateWorth float64
 }
 
@@ -120,8 +123,8 @@
 	Mean, Spread, Max float64
 }
 
-// Burst multiplies the arrival rate of a kind by Factor from At on, for
-// Duration.
+// Burst multiplies the arrival rate of a kind by Factor. It begins at At and
+// lasts for Duration.
 type Burst struct {
 	Kind         string
 	At, Duration time.Duration
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -66,11 +66,12 @@
 type Report struct {
 	Sent     int `json:"sent"`
 	Complete int `json:"whole"`
-	// RefusedNotRun counts refusals of which the response says that nothing ran.
+	// RefusedNotRun counts the refusals whose response says that the request didn't
+	// run.
 	RefusedNotRun int `json:"refused_not_run"`
 	Unknown       int `json:"unknown"`
-	// Incomplete counts incomplete responses. Wrong counts responses to another
-	// request or with an unexpected body.
+	// Incomplete counts incomplete responses. Wrong counts responses that belong to
+	// another request or have an unexpected body.
 	Incomplete int `json:"cut"`
 	Wrong      int `json:"wrong"`
 	// RanTwice counts requests that ran more than once although they must run at most
@@ -79,7 +80,7 @@
 	// NotRunButRan counts requests that ran although the response says that they
 	// didn't.
 	NotRunButRan int `json:"not_run_but_ran"`
-	// Repeated counts requests that may run more than once and did.
+	// Repeated counts requests that ran more than once and were allowed to.
 	Repeated int `json:"repeated"`
 	// Overbooked counts requests that found no free slot at a backend server.
 	Overbooked int `json:"overbooked"`
--- a/internal/logging/leftout.go
+++ b/internal/logging/leftout.go
@@ -23,8 +23,8 @@
 	lines   int
 }
 
-// note counts a line if the sampler's decision is to drop it. It is the sampler's
-// hook.
+// note counts a line if the sampler drops it. The sampler calls it, as its hook,
+// for every line.
 func (l *omissionCounter) note(e zapcore.Entry, d zapcore.SamplingDecision) {
 	if d&zapcore.LogDropped == 0 {
 		return
--- a/internal/logging/stream.go
+++ b/internal/logging/stream.go
@@ -17,9 +17,9 @@
 	// streamLines is how many lines may be queued for a slow reader of the output: a
 	// few seconds of the busiest host's lines.
 	streamLines = 4096
-	// sampleEvery, sampleFirst and sampleThen limit repeated messages: of the lines
-	// with the same message in a period of sampleEvery, the first sampleFirst are
-	// written and then one in sampleThen.
+	// sampleEvery, sampleFirst and sampleThen limit the lines with the same message.
+	// In each period of sampleEvery, the first sampleFirst lines are written, and of
+	// the rest only one in sampleThen.
 	sampleEvery = time.Second
 	sampleFirst = 1000
 	sampleThen  = 50
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -162,7 +162,7 @@
 			if conn != nil && !l.writeFrame(ctx, conn, raw) {
 				conn.Close()
 				if errors.Is(conn.Cause(), wslink.ErrSilent) {
-					continue // reconnect without a pause: this host counts as up only for a short time yet
+					continue // no pause: after one, this host might count as down before the next frame arrives
 				}
 				conn = nil
 			}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -44,9 +44,9 @@
 	Submitted int    `json:"submitted"`
 	Finished  int    `json:"finished"`
 	Refused   int    `json:"refused"`
-	// CompletionP50 and CompletionP99 are quantiles of the time from submission to
-	// the end of finished jobs; LargeCompletionP99 covers only jobs of 16
-	// accelerators or more.
+	// CompletionP50 and CompletionP99 are quantiles of the time from the submission
+	// of a job to its end, over finished jobs. LargeCompletionP99 is the 99 %
+	// quantile over jobs of 16 accelerators or more.
 	CompletionP50      float64 `json:"completion_p50_s"`
 	CompletionP99      float64 `json:"completion_p99_s"`
 	LargeCompletionP99 float64 `json:"large_completion_p99_s"`
@@ -63,15 +63,16 @@
 	// LostAcceleratorSeconds is the work of gangs that ended without finishing, in
 	// accelerator-seconds.
 	LostAcceleratorSeconds float64 `json:"lost_accelerator_s"`
-	// GuaranteeReclaimMax is the longest time from submission to start of a
-	// guarantee_used job whose customer had no other such job in flight.
+	// GuaranteeReclaimMax is the longest time from the submission to the start of a
+	// job that uses a guarantee. Only jobs whose customer had no other such job in
+	// flight count.
 	GuaranteeReclaimMax float64 `json:"guarantee_reclaim_max_s"`
 	// Violations counts the leases under which a job that must not be repeated
 	// started again, and the steps after which the planned places of unused
 	// guarantees were invalid.
 	Violations int `json:"violations"`
 
-	// Samples are for plots.
+	// Samples are the samples taken during the replay. They are used for plots.
 	Samples []Sample `json:"-"`
 }
 
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -39,7 +39,7 @@
 	lastCall atomic.Int64
 
 	mu sync.Mutex
-	// jobs are all submitted jobs, accepted those that were accepted.
+	// jobs are all submitted jobs. accepted are those that a host accepted.
 	jobs, accepted []string
 	// queues maps each job to its queue.
 	queues map[string]standin.Queue
@@ -115,10 +115,10 @@
 	return &hostConn{c, p.incarnation, enoughReady}, nil
 }
 
-// do makes a call, records it and its answer, and returns the answer. It
-// cancels a call for which the HTTP client would silently open a second
-// connection after the first one ended, so that each answer belongs to one
-// host.
+// do makes a call, records it and its answer, and returns the answer. If the
+// connection ends during the call, the HTTP client retries on a second
+// connection by itself, perhaps to another host. do then cancels the call, so
+// that each answer belongs to one host.
 func (c *caller) do(method, job, key, text string, steps []standin.Step) (int, string) {
 	n := int(c.pool.lastCall.Add(1))
 	c.pool.site.record(event{Kind: eventSent, Call: n, Method: method, Job: job, Key: key, Text: text, Steps: steps})
--- a/soak/entries_test.go
+++ b/soak/entries_test.go
@@ -19,8 +19,8 @@
 	// maxReturnTime bounds how long after the end of a store outage the entries
 	// that expired during it are written again.
 	maxReturnTime = 2 * time.Second
-	// minLateness and maxLateness bound the delay of the last heartbeat of an
-	// incarnation that crashed.
+	// minLateness and maxLateness bound how long after the crash or restart of
+	// an incarnation its last heartbeat reaches the store, if it is late.
 	minLateness, maxLateness = 500 * time.Millisecond, 4 * time.Second
 )
 
@@ -31,8 +31,9 @@
 	// nextHeartbeat is when the next heartbeat is due, writtenAt when the last
 	// one was written.
 	nextHeartbeat, writtenAt time.Time
-	// listed is set while the store lists the entry, isolated while the worker
-	// can't reach the store, ended once the incarnation has ended.
+	// listed is set while the store lists the entry. isolated is set while the
+	// worker can't reach the store. ended is set once the incarnation has
+	// ended.
 	listed, isolated, ended bool
 }
 
@@ -122,9 +123,10 @@
 	time.AfterFunc(wait, func() { l.writeLate(e) })
 }
 
-// restart changes the entry of a worker that has restarted under its ID to that
-// of the new incarnation; the next update writes it. If late is set, a last
-// heartbeat of the previous incarnation overwrites it after a delay.
+// restart changes the entry of a worker that has restarted under the same ID.
+// It becomes the entry of the new incarnation, and the next update writes it.
+// If late is set, a last heartbeat of the previous incarnation overwrites the
+// entry in the store after a delay.
 func (l *entryList) restart(incarnation *standin.Worker, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/soak/evacuate_test.go
+++ b/soak/evacuate_test.go
@@ -7,9 +7,9 @@
 	"curlewsill.org/curlewsill/platform/standin"
 )
 
-// evacuationBound is the bound in the hosts' settings on how long after an
-// evacuation a task may still start in the evacuated failure domain. It leaves
-// a third of a second beyond two reads of the operator's log.
+// evacuationBound is a setting of the hosts. It bounds how long after the
+// evacuation of a failure domain a task may still start there. Two reads of the
+// operator's log fit into it, with a third of a second to spare.
 const evacuationBound = 2 * time.Second
 
 // domainCount is the number of failure domains over which the workers of a wide
@@ -18,9 +18,10 @@
 
 var evacuationKinds = []wideKind{
 	// The operator evacuates one failure domain, or all, and ends the
-	// evacuation later. A new version of the configuration is written right
-	// after the beginning. Halfway through the fault, "twice" evacuates the
-	// domain again, and "damaged" writes a record for it that can't be parsed.
+	// evacuation later. Right after the evacuation, a new version of the
+	// configuration is written. Halfway through the fault, the variant "twice"
+	// evacuates the domain again, and "damaged" writes a record for the domain
+	// that can't be parsed.
 	{"evacuate", []string{"one", "all", "twice", "damaged"}, 1, 3 * time.Second, 9 * time.Second},
 }
 
@@ -59,9 +60,9 @@
 	s.store.EndEvacuation(name)
 }
 
-// recordEvent records what a worker observes, and for the start of a task the
-// failure domain of the worker. The start of a task with crashingText crashes
-// the worker shortly after.
+// recordEvent records an event that a worker observes. For the start of a task
+// in a wide plan, it also records the worker's failure domain. If the task's
+// payload is crashingText, it has the worker crash shortly after the start.
 func (w *worker) recordEvent(x standin.WorkerEvent) {
 	s := w.site
 	if x.Kind == standin.EventStart && x.Payload == crashingText {
@@ -86,9 +87,9 @@
 	}
 }
 
-// checkDomain checks that a start is not in an evacuated failure domain. It
-// checks nothing while the workers or their connections have a fault, or had
-// one within recoveryTime, since orders may then arrive late.
+// checkDomain checks that a task isn't started in an evacuated failure domain.
+// It checks nothing while the workers or their connections have a fault, or had
+// one within recoveryTime, since start orders may then arrive late.
 func (j *judge) checkDomain(e event) {
 	since, evacuated := j.evacuatedAt[e.What]
 	if evacuated && e.At > since+toleranceFactor*evacuationBound && j.undisturbed(e.At, "workers") {
--- a/soak/event_test.go
+++ b/soak/event_test.go
@@ -25,8 +25,8 @@
 	eventConfig eventKind = "config"
 	// eventDraining is a worker's announcement that it drains.
 	eventDraining eventKind = "draining"
-	// eventEvacuated and eventOpened are the evacuation by the operator of
-	// failure domain What, and its end.
+	// eventEvacuated records that the operator evacuated the failure domain
+	// What, and eventOpened that the evacuation ended.
 	eventEvacuated eventKind = "evacuated"
 	eventOpened    eventKind = "opened"
 	// eventFaultBegan and eventFaultEnded are the beginning and end of an
--- a/soak/host_test.go
+++ b/soak/host_test.go
@@ -24,8 +24,8 @@
 
 // maxProbeAge is the age from which the load balancer's last probe of a host no
 // longer counts. A stopping host still accepts connections for 2.5 s. Within
-// that time two probes must show the load balancer that the host is stopping,
-// also when this machine is busy.
+// this time, two probes must show the load balancer that the host is stopping,
+// even when the machine that runs the test is busy.
 const maxProbeAge = 1200 * time.Millisecond
 
 // host is a machine that runs one process after the other.
@@ -52,8 +52,8 @@
 	ended         chan struct{}
 
 	mu sync.Mutex
-	// termAt is when SIGTERM was sent, zero before; killed is set after
-	// SIGKILL.
+	// termAt is when SIGTERM was sent, or zero if it wasn't. killed is set for
+	// a process that SIGKILL ends.
 	termAt time.Time
 	killed bool
 	// failedProbes counts the readiness probes since the last successful one.
--- a/soak/inject_test.go
+++ b/soak/inject_test.go
@@ -119,7 +119,8 @@
 	h.start()
 }
 
-// injectProxyFault makes a proxy of the target fail.
+// injectProxyFault makes a proxy fail as the fault's variant says. The fault is
+// recorded for the target: the incarnation of a host, or "workers".
 func (s *site) injectProxyFault(target string, p *faultproxy.Proxy, f fault) {
 	var begin func()
 	end := func() {}
@@ -215,9 +216,9 @@
 	wg.Wait()
 }
 
-// clearFaults ends the fault of the store and all evacuations, restores all
-// queues of the configuration, resumes suspended hosts and starts those that
-// don't run.
+// clearFaults ends the fault of the store and all evacuations. It configures
+// all queues again, resumes suspended hosts, and starts the hosts that don't
+// run.
 func (s *site) clearFaults() {
 	s.store.SetFault(standin.FaultNone)
 	for n := range domainCount {
--- a/soak/judge_call_test.go
+++ b/soak/judge_call_test.go
@@ -24,8 +24,8 @@
 	case http.MethodGet:
 		j.handleGetAnswer(e, s, x)
 	case http.MethodDelete:
-		// A 410 answer acknowledges a cancel only if the job was accepted
-		// before.
+		// A 410 answer says that the job is unknown. It acknowledges the cancel
+		// only if the job was accepted before.
 		if x.cancelledAt == 0 && (e.Status == http.StatusOK || e.Status == http.StatusGone && x.acceptedAt > 0) {
 			x.cancelledAt = e.At
 		}
@@ -104,10 +104,10 @@
 	}
 }
 
-// attemptsExhausted reports whether some task of a job has used up its
-// failures, or has lost as many workers to crashes as suffice to give it up.
-// The documentation allows any task to be given up after two workers crashed
-// under it. For a task that crashes no worker itself, the judge requires three.
+// attemptsExhausted reports whether the owner may give up some task of a job,
+// because the task has failed too often or too many workers have crashed under
+// it. The documentation allows any task to be given up after two crashed
+// workers. For a task that crashes no worker itself, the judge requires three.
 func (j *judge) attemptsExhausted(name string, x *jobRecord) bool {
 	crashLimit := crashBudget
 	if x.text == crashingText {
@@ -141,8 +141,9 @@
 	return n
 }
 
-// checkConfig checks which version of the configuration an answer proves: one
-// that contains the call's key, or one that doesn't.
+// checkConfig checks the version of the configuration that a host used for an
+// answer. A host that knows the call's key used a version with the key; a host
+// that rejects the key used a version without it.
 func (j *judge) checkConfig(e event, sentAt time.Duration) {
 	known := e.Status == http.StatusOK || e.Status == http.StatusGone
 	if !known && e.Status != http.StatusUnauthorized {
@@ -153,8 +154,9 @@
 		h = &hostRecord{}
 		j.hosts[e.Host] = h
 	}
-	// Of the versions that give such an answer, oldest and newest are the first
-	// and last from minVersion on, and lastMatch is the last of all.
+	// lastMatch is the newest of all versions that fit the answer. oldest and
+	// newest are the oldest and the newest that fit the answer and aren't older
+	// than minVersion.
 	oldest, newest, lastMatch := 0, 0, 0
 	for _, c := range j.configs {
 		if slices.Contains(c.Keys, e.Key) != known {
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -10,11 +10,11 @@
 )
 
 // judge checks the recorded events against the documented guarantees. It uses
-// only what callers, workers and the operator observe, and how processes end;
-// it knows nothing of the internal state of hosts.
+// only what callers, workers and the operator observe, and how processes end.
+// It doesn't use the internal state of hosts.
 type judge struct {
-	// evacuatedAt is when each failure domain that is evacuated now was
-	// evacuated.
+	// evacuatedAt maps each failure domain that is evacuated at present to the
+	// time of its evacuation.
 	evacuatedAt map[string]time.Duration
 	now         time.Duration
 	jobs        map[string]*jobRecord
@@ -24,12 +24,12 @@
 	calls       map[int]event
 	// configs are the versions of the configuration in order.
 	configs []event
-	// activeFaults counts the faults in force for each target; faultEndedAt is
-	// when the last one ended.
+	// activeFaults counts the faults in force for each target. faultEndedAt is
+	// when the last fault of each target ended.
 	activeFaults map[string]int
 	faultEndedAt map[string]time.Duration
-	// refusals counts, for each worker and fencing token, the orders that the
-	// worker refused because their token was too low.
+	// refusals describes, for each worker and fencing token, the orders with
+	// this token that the worker refused because the token was too low.
 	refusals   map[string]*fenceRefusals
 	violations []violation
 }
@@ -70,8 +70,8 @@
 	noted bool
 	// crashesWorker is set if each start of the task crashes its worker.
 	crashesWorker bool
-	// overlapping is an earlier run of the task whose end was not yet recorded
-	// when this run started; nil once its end is known.
+	// overlapping is an earlier run of the task, if its end was not yet
+	// recorded when this run started. It is nil once that end is known.
 	overlapping *runRecord
 }
 
@@ -92,16 +92,17 @@
 	gone          bool
 }
 
-// hostRecord is one incarnation of a host. minVersion is the newest version of
-// the configuration that its answers prove, minVersionAt when they first proved
-// it.
+// hostRecord is one incarnation of a host. Its answers prove that it has
+// version minVersion of the configuration, or a newer one. minVersionAt is when
+// an answer first proved this.
 type hostRecord struct {
 	minVersion   int
 	minVersionAt time.Duration
 }
 
-// fenceRefusals describes the refusals of one fencing token by a worker: the
-// time of the first, and the number of those more than toleranceFactor*handover
+// fenceRefusals describes the orders with one fencing token that a worker
+// refused because the token was too low. first is the time of the first
+// refusal. lateOrders counts the refusals more than toleranceFactor*handover
 // after it.
 type fenceRefusals struct {
 	first      time.Duration
--- a/soak/judge_worker_test.go
+++ b/soak/judge_worker_test.go
@@ -99,8 +99,8 @@
 	return n == s.Count || s.Gang && n > 0
 }
 
-// failures counts the failed runs of a task; with notedOnly set, only those
-// whose end the owner has noted.
+// failures counts the failed runs of a task. If notedOnly is set, it counts
+// only the runs whose end the owner has noted.
 func (j *judge) failures(t *taskRecord, notedOnly bool) int {
 	n := 0
 	for _, r := range t.runs {
@@ -146,7 +146,8 @@
 	}
 }
 
-// settleOverlaps checks whether later runs started before the end of a run.
+// settleOverlaps is called when the end of a run is known. It checks whether
+// later runs of the task started before that end.
 func (j *judge) settleOverlaps(name string, t *taskRecord, ended *runRecord) {
 	for _, r := range t.runs {
 		if r.overlapping != ended {
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -33,11 +33,12 @@
 	// begin.
 	faultPhase time.Duration
 	faults     []fault
-	// wide is set for a plan of drawWide; namesMachines if the entries of
-	// workers name their machine.
+	// wide is set for a plan of drawWide. namesMachines is set if the entries
+	// of workers name their machine.
 	wide, namesMachines bool
-	// queues are those that versions of the configuration may contain; the
-	// first one is in all of them. services are those that have workers.
+	// queues are the queues that a version of the configuration may contain.
+	// Every version contains the first one. services are the services that have
+	// workers.
 	queues   []standin.Queue
 	services []string
 }
@@ -60,8 +61,8 @@
 	// start.
 	warmUpTime = 2 * time.Second
 	// minFault and maxFault bound the duration of a fault. maxStoreFault bounds
-	// those that affect the whole site, because with a store that is
-	// unavailable most of the time hosts refuse almost all calls.
+	// the duration of faults that affect the whole site: if the store is
+	// unavailable most of the time, hosts refuse almost all calls.
 	minFault, maxFault = 200 * time.Millisecond, 5 * time.Second
 	maxStoreFault      = 2500 * time.Millisecond
 	// meanPause is the mean pause between the beginnings of two faults on three
@@ -70,9 +71,10 @@
 	// sameTargetShare is the probability that a host fault that follows another
 	// host fault is given the same host.
 	sameTargetShare = 0.3
-	// plannedOneIn is the number of seeds of which one has only changes that
-	// operators plan. In the other seeds most calls are made near a fault, where
-	// the judge allows them to be cut, so that planned stops are hardly checked.
+	// plannedOneIn is the N for which one in N seeds has only changes that
+	// operators plan. In the other seeds most calls are made near a fault,
+	// where the judge allows them to be cut, so that planned stops are hardly
+	// checked.
 	plannedOneIn = 4
 )
 
--- a/soak/planted_test.go
+++ b/soak/planted_test.go
@@ -10,8 +10,8 @@
 
 // TestPlanted checks that the judge finds the violations that are planted in
 // histories of events. The line "# fails CHECK: description" begins a history
-// in which exactly this check must fail, "# keeps: description" a similar one
-// in which no check may fail.
+// in which exactly this check must fail. The line "# keeps: description" begins
+// a similar history in which no check may fail.
 func TestPlanted(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "planted", "*.txt"))
 	if err != nil || len(files) == 0 {
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -18,9 +18,9 @@
 	"curlewsill.org/curlewsill/platform/standin"
 )
 
-// site is a complete site: the stand-ins for the platform in this process, the
-// hosts as separate processes, and a proxy before each address that a host or
-// caller connects to.
+// site is a complete system under test. The stand-ins for the platform run in
+// this process, and each host is a separate process. Hosts and callers connect
+// to every address through a proxy.
 type site struct {
 	t *testing.T
 	// dir is the folder of the settings, the hosts' logs, the plan and the
@@ -34,11 +34,12 @@
 	gangs   *standin.Gangs
 	// namesMachines is set if the entries of workers name their machine.
 	namesMachines bool
-	// reportStart is set in plans in which workers restart under their IDs;
-	// workers then report the start time of their incarnation.
+	// reportStart is set in plans in which workers restart under the same ID.
+	// Workers then report the start time of their incarnation, which tells
+	// their incarnations apart.
 	reportStart bool
-	// entries is nil in plans that aren't wide, in which an entry is written
-	// once.
+	// entries rewrites the entries of workers at each heartbeat. It is nil in
+	// plans that aren't wide: there, an entry is written only once.
 	entries  *entryList
 	queues   []standin.Queue
 	services []string
@@ -56,9 +57,9 @@
 	faultsOver   bool
 	incarnations int
 	random       *rand.Rand
-	// pendingPoisons is the number of jobs that crash workers and that callers
-	// are still to submit. crashing waits for the workers that such jobs crash,
-	// until they have returned.
+	// pendingPoisons is the number of worker-crashing jobs that callers still
+	// have to submit. crashing waits until the workers that such jobs crash
+	// have returned.
 	pendingPoisons int
 	crashing       sync.WaitGroup
 }
@@ -68,14 +69,14 @@
 	"short": {Duration: 40 * time.Millisecond}, "middle": {Duration: 400 * time.Millisecond}, "long": {Duration: 2 * time.Second},
 	"flaky": {Duration: firstFailTime, FailsFirst: true}, "fails": {Duration: quickFailTime, Fails: true},
 	"gang": {Duration: 400 * time.Millisecond, GangSize: gangMembers},
-	// The others are used in wide plans only, "fails late" in those that change
-	// queues, and crashingText in those with poison faults.
+	// The others are used in wide plans only: "fails late" if the plan changes
+	// queues, crashingText if it has poison faults.
 	"longest": {Duration: 6 * time.Second}, "fails late": {Duration: 1500 * time.Millisecond, Fails: true}, crashingText: {Duration: 2 * time.Second},
 }
 
 const (
-	// crashingText is the payload text of a job of which each start crashes its
-	// worker after crashTime.
+	// crashingText is the payload text of a job that crashes workers: each start of
+	// a task crashes the task's worker after crashTime.
 	crashingText = "crashes"
 	crashTime    = 10 * time.Millisecond
 	// minAway and maxAway bound the time from such a crash to the restart of
@@ -222,8 +223,8 @@
 	return s.version
 }
 
-// peerAddress matches the address on which a host listens for its peers, in its
-// name as a member of the group of hosts.
+// peerAddress matches the address on which a host listens for its peers. The
+// address is part of the host's member name in the store's list of hosts.
 var peerAddress = regexp.MustCompile(`@127\.0\.0\.1:\d+@`)
 
 // serveStore serves the store. In the list of hosts it replaces the addresses
@@ -333,8 +334,8 @@
 	w.start()
 }
 
-// current returns the current incarnation and the proxy before it, or nil if it
-// has ended.
+// current returns the current incarnation of the worker and the proxy before
+// it. It returns nil for both if that incarnation has ended.
 func (w *worker) current() (*standin.Worker, *faultproxy.Proxy) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/soak/wide_test.go
+++ b/soak/wide_test.go
@@ -14,15 +14,16 @@
 )
 
 // A wide plan also injects faults into incarnations of workers and their
-// entries. Its additional faults are drawn from random streams of their own, so
-// that the plans of drawPlan don't change.
+// entries. These additional faults are drawn from separate random streams, so
+// that they don't change the faults that drawPlan draws.
 
 const (
 	// queueStream is the random stream of a seed from which the names of queues
 	// are drawn.
 	queueStream = 5
-	// maxServices bounds the number of services with the first one; minQueues
-	// and maxQueues bound the number of queues besides the first one.
+	// maxServices bounds the number of services, including the first one.
+	// minQueues and maxQueues bound the number of queues, excluding the first
+	// one.
 	maxServices, minQueues, maxQueues = 3, 3, 30
 	// hostStopInterval is the interval at which hosts are ended one after the
 	// other.
@@ -38,10 +39,10 @@
 	minDuration, maxDuration time.Duration
 }
 
-// wideTables are the kinds of faults that wide plans add. Each table is drawn
-// from its own random stream, with a mean pause between the beginnings of two
-// faults. New kinds go into a new table, so that the faults that seeds drew
-// before don't change.
+// wideTables are the kinds of faults that wide plans add. The faults of each
+// table are drawn from a separate random stream, with a mean pause between the
+// beginnings of two faults. Add new kinds in a new table, so that each seed
+// still draws the same faults from the existing tables.
 var wideTables = []struct {
 	stream uint64
 	pause  time.Duration
@@ -102,8 +103,8 @@
 	// A worker reads its list of ended runs shortly before its list of active
 	// runs, so that a run may be in neither.
 	{"torn", []string{"lists"}, 3, time.Second, 5 * time.Second},
-	// A worker is isolated until after its lease has lapsed, and runs nothing
-	// any more when it is reachable again.
+	// A worker is isolated for longer than its lease. So it has stopped its
+	// runs when it is reachable again.
 	{"lapsed", []string{"refuse", "mute", "both"}, 1, 11 * time.Second, 14 * time.Second},
 }
 
@@ -262,9 +263,10 @@
 	}
 }
 
-// replaceIncarnation ends an incarnation, unless it has already ended, and
-// starts the next one after a while: at the same address, or at another one if
-// the kind is "moved".
+// replaceIncarnation ends an incarnation, and starts the next one after the
+// duration of the fault. The next one listens at the same address, or at
+// another one if the fault's kind is "moved". If the incarnation has already
+// ended, replaceIncarnation does nothing.
 func (w *worker) replaceIncarnation(incarnation *standin.Worker, f fault) {
 	w.mu.Lock()
 	current := !w.ended && w.incarnation == incarnation
@@ -292,8 +294,8 @@
 	w.start()
 }
 
-// restartUnderSameID ends an incarnation, unless it has already ended, and
-// starts the next one under the same worker ID.
+// restartUnderSameID ends an incarnation, and starts the next one under the same
+// worker ID. If the incarnation has already ended, it does nothing.
 func (w *worker) restartUnderSameID(incarnation *standin.Worker, f fault) {
 	current, proxy := w.current()
 	if current != incarnation {
@@ -367,9 +369,9 @@
 	}
 }
 
-// leaveService lets a worker leave. The worker keeps running for a while after
-// its entry has expired, or after the drain time that it announced. It may be
-// isolated from the store and the hosts meanwhile.
+// leaveService has a worker leave. The worker keeps running for a while after
+// its entry has expired, or after the drain time that it announced. During this
+// time, it may be isolated from the store and the hosts.
 func (w *worker) leaveService(incarnation *standin.Worker, f fault) {
 	s := w.site
 	rejoin := func() { w.setIsolated(incarnation, f.variant, false) }
