--- a/internal/conntrack/call.go
+++ b/internal/conntrack/call.go
@@ -57,8 +57,9 @@
 	return c
 }
 
-// gotConn records the connection that the call uses. A suspect one is closed:
-// the base transport retries on another, since nothing was sent.
+// gotConn records the connection that the call uses. If the connection is
+// suspect, gotConn closes it. The base transport then retries on another
+// connection, since nothing was sent.
 func (c *call) gotConn(info httptrace.GotConnInfo) {
 	x, ok := info.Conn.(*conn)
 	if !ok {
--- a/internal/conntrack/conn.go
+++ b/internal/conntrack/conn.go
@@ -10,8 +10,9 @@
 // peer is the state of one address.
 type peer struct {
 	conns map[*conn]struct{}
-	// provenAfter is the time after which connections must have been proven to
-	// work to be used again; zero while none is suspect.
+	// provenAfter is the time after which a connection must have been proven to
+	// work; otherwise it is suspect. It is zero until a connection to the
+	// address is found dead.
 	provenAfter time.Time
 }
 
@@ -31,9 +32,9 @@
 	// received records when bytes last arrived, or when the connection was
 	// opened.
 	received *meter.EventTime
-	// proven is when the newest of the calls that were answered on this
-	// connection was sent, or when the connection was opened: both directions
-	// worked then.
+	// proven is the last time at which both directions of the connection are
+	// known to have worked: when it was opened, or when the newest of the calls
+	// that were answered on it was sent.
 	proven time.Time
 	// call is the call in flight; nil while the connection is idle.
 	call *call
--- a/internal/conntrack/conntrack.go
+++ b/internal/conntrack/conntrack.go
@@ -3,14 +3,14 @@
 //
 // A network path between two machines may lose all its connections at once
 // without a reset, while new ones work. Only a call that gets no answer shows
-// it, and only for the connection of that call. So each such call makes the
-// other connections to its address suspect: those that haven't been proven to
-// work since are not used again. Otherwise each of them would cost the timeout
-// of one more call.
+// that a connection is lost, and only for the connection of this call. So each
+// unanswered call makes the other connections to its address suspect, except
+// those that were proven to work shortly before. A suspect connection isn't used
+// again. Otherwise each lost connection would cost the timeout of one more call.
 //
-// No connection becomes suspect while bytes still arrive on another that was
-// open before the unanswered one went silent: the service, or the link to it,
-// is slow then, and new connections would add to the load.
+// No connection becomes suspect if bytes still arrive on a connection that was
+// open before the one without an answer went silent. In this case the service,
+// or the link to it, is only slow, and new connections would add to the load.
 //
 // Several incarnations of a process may use one address in turn, and an earlier
 // one may keep answering on connections that it has accepted. A transport made
@@ -18,9 +18,9 @@
 // incarnations. Suspicion applies to the network path to an address, and so to
 // the connections of all incarnations there.
 //
-// Calls in flight on suspect connections are not canceled. A missing answer may
-// as well come from a slow service, and a call that long-polls there would only
-// have to be repeated.
+// Calls in flight on suspect connections are not canceled. The answer may also
+// be missing because the service is slow. Canceling a long poll at this service
+// would then only cause a repeat of the poll.
 package conntrack
 
 import (
@@ -38,11 +38,11 @@
 
 const (
 	// provenWithin is the length of a period that ends when a call is found
-	// unanswered. Another connection stays trusted if a call that was answered
-	// on it was sent in this period. Bytes that arrived on a connection in this
-	// period show that the path works. The shortest timeout of a call is 600 ms,
-	// so a path that was silent during a whole call was already silent 300 ms
-	// before the call's end.
+	// unanswered. A connection doesn't become suspect if a call that was sent
+	// on it in this period was answered. Bytes that arrived on a connection in
+	// this period show that the path works. The shortest timeout of a call is
+	// 600 ms, so a path that was silent during a whole call was already silent
+	// 300 ms before the call's end.
 	provenWithin = 300 * time.Millisecond
 	// overdueAfter applies to calls whose wait at the server is known. If such
 	// a call is canceled or times out, its connection counts as dead, and the
@@ -109,10 +109,10 @@
 	return t
 }
 
-// NewPerIncarnation is New for addresses that several incarnations of a process
-// use in turn: a call that names one by WithIncarnation uses only connections
-// that were opened for this incarnation. The limits of base on connections per
-// host apply per incarnation. Calls must use plain HTTP.
+// NewPerIncarnation is like New, for addresses that several incarnations of a
+// process use in turn. A call that names an incarnation by WithIncarnation uses
+// only connections that were opened for this incarnation. The limits of base on
+// connections per host apply to each incarnation. Calls must use plain HTTP.
 func NewPerIncarnation(base *http.Transport, onDead func(DeadConn)) *Transport {
 	t := New(base, onDead)
 	t.perIncarnation = true
--- a/internal/conntrack/handshake.go
+++ b/internal/conntrack/handshake.go
@@ -7,8 +7,8 @@
 	"net"
 )
 
-// ErrNotSent reports a call for an incarnation that failed before it had a
-// connection: nothing of it was sent.
+// ErrNotSent reports a call for an incarnation that failed before the call had
+// a connection, so that nothing of the call was sent.
 var ErrNotSent = errors.New("conntrack: the call was not sent")
 
 // Handshake verifies that the process that accepted a connection is the
@@ -21,9 +21,9 @@
 type handshakeKey struct{}
 
 // WithHandshake sets in ctx the handshake that precedes all calls on a
-// connection opened for an incarnation. A connection stays with the process
-// that accepted it: what is sent after the handshake reaches the incarnation
-// that answered it, or none.
+// connection opened for an incarnation. Only the process that accepted a
+// connection reads from it, so what is sent after the handshake reaches the
+// incarnation that answered the handshake, or none.
 func WithHandshake(ctx context.Context, h Handshake) context.Context {
 	return context.WithValue(ctx, handshakeKey{}, h)
 }
--- a/internal/conntrack/life.go
+++ b/internal/conntrack/life.go
@@ -11,16 +11,17 @@
 // being opened.
 var errGone = errors.New("conntrack: another incarnation has answered")
 
-// incarnationKey is the context key of WithIncarnation, callKey the one under
-// which the dialer finds the call.
+// incarnationKey is the context key of WithIncarnation. callKey is the context
+// key under which the dialer finds the call.
 type (
 	incarnationKey struct{}
 	callKey        struct{}
 )
 
-// WithIncarnation sets in ctx the incarnation of the process at an address that
-// a call is for. An earlier incarnation may keep answering on connections that
-// it has accepted, and its answers say nothing about this one.
+// WithIncarnation sets in ctx which incarnation of the process at an address a
+// call is for. An earlier incarnation may keep answering on connections that it
+// has accepted, but its answers say nothing about the incarnation that the call
+// is for.
 func WithIncarnation(ctx context.Context, incarnation string) context.Context {
 	return context.WithValue(ctx, incarnationKey{}, incarnation)
 }
@@ -63,8 +64,8 @@
 	return string(append(out, c.address...))
 }
 
-// dialingCall returns the call for which a connection is opened; host is the
-// address as the base transport knows it.
+// dialingCall returns the call for which a connection is opened. host is the
+// address under which the base transport pools the connection.
 func dialingCall(ctx context.Context, host string) *call {
 	if c, ok := ctx.Value(callKey{}).(*call); ok {
 		return c
--- a/internal/dayreport/cause.go
+++ b/internal/dayreport/cause.go
@@ -7,8 +7,8 @@
 
 // The causes.
 const (
-	// waitedForRoom: there was no room for the job's first run, or none that
-	// was good enough.
+	// waitedForRoom: there was no room for the job's first run, or only room
+	// that wasn't good enough.
 	waitedForRoom cause = "waiting for room"
 	// preempted: the run was stopped to make room for more urgent work.
 	preempted cause = "stopped for urgent work"
--- a/internal/dayreport/dayreport.go
+++ b/internal/dayreport/dayreport.go
@@ -158,8 +158,8 @@
 }
 
 // addLoss records a run that ended without success or got a stop order, if it
-// lasted longer than all such runs of the job before. Its cause becomes the
-// cause of the job's loss, except that memberEnded replaces no other cause.
+// lasted longer than all earlier such runs of the job. The cause c becomes the
+// cause of the job's loss, but memberEnded doesn't replace another cause.
 func (h *jobHistory) addLoss(l line, c cause) {
 	began, known := h.starts[l.Task]
 	if lasted := l.When.Sub(began); known && lasted > h.longestLost {
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -47,7 +47,8 @@
 
 func (e *Edge) attempt(c *call, a route.Attempt) {
 	// A request that must run at most once continues after its caller
-	// disconnects: if it were cancelled, nobody could tell whether it ran.
+	// disconnects. If it were cancelled, the host couldn't find out whether
+	// it ran.
 	parent := c.ctx
 	if c.once {
 		parent = context.WithoutCancel(parent)
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -105,8 +105,8 @@
 	FailProbability float64
 	// MaxAttempts is how often a task may be attempted.
 	MaxAttempts int
-	// A job completes in time if it takes at most DeadlineFactor times its
-	// longest chain of work, plus DeadlineExtra.
+	// DeadlineFactor and DeadlineExtra give the time that a job may take:
+	// DeadlineFactor times its longest chain of work, plus DeadlineExtra.
 	DeadlineFactor float64
 	DeadlineExtra  time.Duration
 	// Worth is what a job earns if it completes in time. LateWorth is what it
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -16,8 +16,8 @@
 )
 
 // silenceTimeout is how long nothing must arrive on a connection for it to
-// count as silent. If it is too short a faulty proxy may pass, but a correct
-// one never fails.
+// count as silent. If silenceTimeout is too short, a faulty proxy may pass the
+// test, but a correct one never fails it.
 const silenceTimeout = 50 * time.Millisecond
 
 // TestProxy runs scripts that open connections through a proxy to a target that
--- a/internal/faultproxy/shut.go
+++ b/internal/faultproxy/shut.go
@@ -31,8 +31,8 @@
 // mutePeriod is a period in which connects go unanswered: it begins with
 // IgnoreConnects, and ends with AcceptConnects or RefuseConnects.
 type mutePeriod struct {
-	// acceptIdle is closed, once, when nothing is being accepted any more;
-	// ended is closed when connects are answered again.
+	// acceptIdle is closed, once, when no accept is in flight any more. ended
+	// is closed when connects are answered again.
 	acceptIdle, ended chan struct{}
 	idleOnce          sync.Once
 }
@@ -112,10 +112,10 @@
 	return nil
 }
 
-// keepFiller keeps a connection that fills the accept queue; c is nil if the
-// connect failed. If the mute period has ended it closes the connection and
-// reports false: a failed connect is no error then, because the port may have
-// been closed during it.
+// keepFiller keeps a connection that fills the accept queue. c is nil if the
+// connect failed. If the mute period has ended, keepFiller closes c and reports
+// false. A failed connect is no error in this case, since the port may have been
+// closed during the connect.
 func (p *Proxy) keepFiller(muted *mutePeriod, c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/ask_internal_test.go
+++ b/internal/relay/ask_internal_test.go
@@ -16,10 +16,11 @@
 // TestCallWithRetry scripts the result of each try of one call, and checks the
 // number of tries and the final error.
 //
-// It guards against a call that ends with an unknown outcome with time left:
-// the link dies during the call, the next link isn't opened in time, and the
-// call isn't tried a third time. With two tries this hit one of 3,200 calls on
-// silent links on a busy machine, which had seven seconds left.
+// It guards against a call that ends with an unknown outcome although there is
+// time for another try: the link dies during the call, the next link isn't
+// opened in time, and the call isn't tried a third time. With at most two
+// tries, this happened to one of 3,200 calls on silent links on a busy machine.
+// The call had seven seconds left.
 func TestCallWithRetry(t *testing.T) {
 	tryErrors := map[string]error{"died": errLinkDead, "unsent": errUnsent, "unreached": fmt.Errorf("%w: a", ErrNoPeer), "other": errOther}
 	for _, x := range []struct {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -29,9 +29,9 @@
 	// maxServed bounds the calls that are made concurrently for one peer: twice
 	// the connections of a host to the store.
 	maxServed = 16
-	// maxServedQueued bounds the calls of one peer that wait for one of these
-	// slots; further ones are refused. It bounds memory, since queued calls
-	// have been read completely.
+	// maxServedQueued bounds the calls of one peer that wait because maxServed
+	// calls are being made. Further calls are refused. This bounds memory,
+	// since queued calls have been read completely.
 	maxServedQueued = 48
 )
 
@@ -43,13 +43,14 @@
 	// is pinged, while a call waits for its answer. A usual answer takes a few
 	// milliseconds, so most calls cost no ping.
 	inUsePingAfter = 250 * time.Millisecond
-	// pongTimeout is how long a peer may take to answer a ping. 512 kB queued
-	// ahead of the ping take 420 ms at 10 Mbit/s, and throttling by a CPU quota
-	// stops a process for 100 ms at most.
+	// pongTimeout is how long a peer may take to answer a ping. It allows for
+	// 512 kB that are queued ahead of the ping, which take 420 ms at 10 Mbit/s,
+	// or for throttling by a CPU quota, which stops a process for at most
+	// 100 ms.
 	pongTimeout = 500 * time.Millisecond
-	// pingAfter is inUsePingAfter for a link on which no call waits. Together
-	// with pongTimeout, a dead link is found within 1.5 s, at one ping per
-	// second.
+	// pingAfter is the time without bytes after which the peer is pinged while
+	// no call waits for an answer. Together with pongTimeout, a dead link is
+	// found within 1.5 s. The cost is one ping per second.
 	pingAfter = time.Second
 	// idleTimeout closes a link that no call uses. Including headers, a ping
 	// and its answer take 200 bytes and opening a link takes 1 kB: in this
@@ -92,11 +93,11 @@
 	nextID  atomic.Uint64
 
 	mu sync.Mutex
-	// pending holds for each call in flight, by its ID, the channel that
-	// receives its result; nil once the link is closed.
+	// pending maps the ID of each call in flight to the channel that receives
+	// the call's result. It is nil once the link is closed.
 	pending map[uint64]chan result
-	// closed is set once the link is closed, retired once no new calls may use
-	// it.
+	// closed is set once the link is closed. retired is set once no new calls
+	// may use the link.
 	closed, retired bool
 }
 
@@ -239,7 +240,7 @@
 }
 
 // takeResult returns the result received for a call, or errLinkDead if the link
-// was closed under it.
+// was closed while the call was in flight.
 func (l *link) takeResult(res result, ok bool) (result, error) {
 	if !ok {
 		return result{}, errLinkDead
--- a/internal/relay/link_internal_test.go
+++ b/internal/relay/link_internal_test.go
@@ -22,8 +22,8 @@
 // A call may be canceled before its message is written completely, as when the
 // direct path answers first, or when the message is queued behind a long one
 // until the call times out. If the context of the call ended the write, the
-// link would be closed, and the other calls on it would fail with errLinkDead:
-// they would be made twice, or end with an unknown outcome.
+// link would be closed. The other calls on the link would then fail with
+// errLinkDead: they would be made twice, or end with an unknown outcome.
 func TestGivenUpBeforeSending(t *testing.T) {
 	gate := make(chan struct{})
 	store := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -73,9 +73,9 @@
 //
 // A host has links to six peers, and all go silent. The link of a call is found
 // dead and the call is retried. If the retry may use another old link, whose
-// ping hasn't failed yet, it is lost as well: two of three such calls ended
-// with an unknown outcome after three tries, 0.95 to 1 s after the silence,
-// though new links worked.
+// ping hasn't failed yet, the retry is lost as well. Without the check, two of
+// three such calls ended with an unknown outcome after three tries, 0.95 to 1 s
+// after the links went silent, although new links worked.
 func TestAllLinksSilent(t *testing.T) {
 	const peers, limit = 6, 8 * time.Second
 	transport := New("http://store", RouteStore, http.DefaultClient, newTestLinks(t), zap.NewNop())
--- a/internal/relay/overdue_internal_test.go
+++ b/internal/relay/overdue_internal_test.go
@@ -46,11 +46,11 @@
 // TestUnlistedPeerAnswers checks that a call in flight at a peer is answered
 // even if the platform stops listing the peer for a moment.
 //
-// Hosts that are paused for longer than the platform's timeout are no longer
-// listed. If the links to them are closed at once, the last try of a call in
-// flight ends with an unknown outcome though the owner accepts the record: all
-// links to the owner's host were logged as closed, and the calls failed with
-// 504 0.1 ms later.
+// The platform no longer lists a host that is paused for longer than the
+// platform's timeout. If the links to this host are closed at once, the last
+// try of a call in flight ends with an unknown outcome, although the owner
+// accepts the record. In the failure seen, all links to the owner's host were
+// logged as closed, and the calls failed with 504 0.1 ms later.
 func TestUnlistedPeerAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lis := &slowListener{conns: make(chan net.Conn), closed: make(chan struct{})}
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -27,8 +27,8 @@
 const maxPeersTried = 3
 
 // tryPeer makes the call through a peer, and through further peers while the
-// call is refused. That is safe, since a refusal means that the call had no
-// effect; the server may refuse a peer just as it refuses this host.
+// call is refused: the server may refuse a peer just as it refuses this host.
+// Further tries are safe, since a refusal means that the call had no effect.
 func (p *Transport) tryPeer(req *http.Request, wait time.Duration) (*http.Response, error) {
 	resp, err := p.callThrough(req, wait, p.pick)
 	for tries := 1; tries < maxPeersTried && err == nil && refuses(resp.StatusCode) && p.hasUsablePeer(); tries++ {
@@ -81,10 +81,10 @@
 	return NewResponse(req, res.Status, res.Body), nil
 }
 
-// maxTries bounds how often a call is made whose links die. A try on a dead
+// maxTries bounds how often a call is made if its links die. A try on a dead
 // link takes half a second, and opening a link at most 0.4 s, so three tries
 // fit into the time limit of most calls. Two tries weren't enough: on a busy
-// machine, one of 3,200 calls found that the second link wasn't opened in time.
+// machine, the second link wasn't opened in time for one of 3,200 calls.
 const maxTries = 3
 
 // callWithRetry makes a call on a link. If the link dies, callWithRetry retries
@@ -139,11 +139,10 @@
 	return res, err
 }
 
-// retireQuietLinks is called when a link was found silent, and retires the
-// links that may have died with it: those that delivered no bytes for
-// inUsePingAfter. The dead link was silent for at least pongTimeout. Without
-// this, retries would use such links and calls would end with an unknown
-// outcome.
+// retireQuietLinks is called when a link was found silent. It retires the other
+// links that delivered no bytes for inUsePingAfter, since they may have died at
+// the same time: the dead link was silent for at least pongTimeout. Otherwise
+// retries would use these links, and calls would end with an unknown outcome.
 func (p *Transport) retireQuietLinks() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,8 +186,8 @@
 }
 
 // open returns the link to a peer: the open one, or else a new one. Calls that
-// need it at the same time share it. If each opened its own, it would replace
-// the links of the others, with their calls in flight.
+// need a new link at the same time share one. If each call opened a link, each
+// new link would replace the one before, on which calls are in flight.
 func (p *Transport) open(ctx context.Context, a string) (*link, error) {
 	p.mu.Lock()
 	if l := p.links[a]; l != nil && l.usable() {
--- a/internal/relay/race_internal_test.go
+++ b/internal/relay/race_internal_test.go
@@ -76,11 +76,12 @@
 // TestSilentDirectWay checks that once a peer has answered a call for which the
 // direct path was silent, the next call goes to the peer at once.
 //
-// The path that loses the race is canceled, so its silence isn't recorded as a
-// failure of that path. Without other detection, every call waits for the hedge
-// delay first: while the owner's path to the store was silent for 7 s, each
-// append took half a second and 512 starts a little more than one. Of 130 jobs
-// that arrived within 6 s, 82 were late.
+// Once a peer has answered, the call on the direct path is canceled, so it
+// isn't recorded as a failure of the direct path. If nothing else detected the
+// silence, every call would wait for the hedge delay first. In the failure
+// seen, the owner's path to the store was silent for 7 s: each append took half
+// a second, and 512 starts took a little more than one second. Of 130 jobs that
+// arrived within 6 s, 82 were late.
 func TestSilentDirectWay(t *testing.T) {
 	store := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(store.Close)
--- a/internal/relay/refused_test.go
+++ b/internal/relay/refused_test.go
@@ -16,11 +16,11 @@
 // TestRefusedPeers runs the scripts of testdata/refused, in which the store
 // refuses this host and some of its peers.
 //
-// It guards against a host that gives up after the first refused peer. When a
-// store refused 16 of 45 hosts for 9 s, such hosts tried only the peer to which
-// they had an open link; if that was refused too, their calls failed, and so
-// did all calls of the next second. 12 jobs and 27 queries were refused within
-// 1 to 7 ms, while the store served 29 hosts.
+// It guards against a host that gives up after the first refused peer. In the
+// failure seen, a store refused 16 of 45 hosts for 9 s. A refused host tried
+// only the peer to which it had an open link. If this peer was refused too, the
+// host's call failed, and so did all its calls of the next second. 12 jobs and
+// 27 queries were refused within 1 to 7 ms, while the store served 29 hosts.
 //
 //	peers MODE...      replaces the peers; a mode is as in TestScripts
 //	calls N OUTCOME    makes N calls from a host that the store refuses; all end so
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -40,9 +40,9 @@
 	// call may wait at the server, before a second path is tried as well. A
 	// slow store answers within 300 ms.
 	hedgeDelay = 500 * time.Millisecond
-	// suspectDuration is how long a path that failed isn't tried first. With
-	// one second, a host that the store refuses for long makes one failed call
-	// per second.
+	// suspectDuration is the time after a failure of a path in which the path
+	// isn't tried first. With one second, a host that the store refuses for a
+	// long time makes one failed call per second.
 	suspectDuration = time.Second
 	// maxBody bounds the body of a call and of an answer, in bytes. The store
 	// accepts 2 MB in an append, and reads ask it for 1 MB.
@@ -114,8 +114,8 @@
 
 	mu    sync.Mutex
 	peers []Peer
-	// links holds the newest link to each peer, opening the links that are
-	// being opened. Both are keyed by the peer's address.
+	// links holds the newest link to each peer. opening holds the links that
+	// are being opened. Both are keyed by the peer's address.
 	links   map[string]*link
 	opening map[string]*opening
 	// avoidedUntil holds for each peer the time until which it isn't chosen,
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -23,8 +23,9 @@
 	})
 }
 
-// serve makes the calls that arrive on a peer's connection until it ends. It
-// never waits for a call, so that pings are answered meanwhile.
+// serve makes the calls that arrive on a peer's connection, until the connection
+// ends. It doesn't wait for the end of a call before it reads on, so that pings
+// are answered meanwhile.
 func (p *Transport) serve(ctx context.Context, conn *wslink.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -44,10 +44,11 @@
 	return true
 }
 
-// recordSilence marks the direct path silent if a peer has answered a call that
-// the direct path has had enough time to answer. If the store were slow for all
-// hosts, some other call would have been answered on the direct path in that
-// time, or the peer's answer would have been as late.
+// recordSilence marks the direct path silent if a peer has answered a call
+// quickly, while the direct path had enough time to answer it and delivered no
+// bytes. A store that is slow for all hosts doesn't cause this: in the same
+// time, another call would have been answered on the direct path, or the peer's
+// answer would have been as late.
 func (p *Transport) recordSilence(r *hedgedCall) {
 	now := time.Now()
 	if r.directStart.IsZero() || now.Sub(r.directStart) < r.backupDelay() || now.Sub(r.peerStart) >= hedgeDelay {
@@ -64,9 +65,9 @@
 		zap.Duration("silent", now.Sub(r.directStart)), zap.Duration("peer", now.Sub(r.peerStart)))
 }
 
-// probe makes a call on the direct path only to learn whether it is answered.
-// The caller gets its answer from a peer; the end of its request doesn't cancel
-// the probe.
+// probe makes a copy of a call on the direct path, only to find out whether
+// this path answers. The caller gets its answer from a peer. The probe isn't
+// canceled when the caller's request ends.
 func (p *Transport) probe(req *http.Request, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), wait+probeGrace)
 	defer cancel()
--- a/internal/relay/silence_internal_test.go
+++ b/internal/relay/silence_internal_test.go
@@ -20,9 +20,10 @@
 // answers a call that is in flight on both, by the lines of
 // testdata/silence/cases.txt.
 //
-// A path that is marked silent gets no calls until a probe is answered. A host
-// must not leave its direct path because the store is slow for all hosts: its
-// calls would go through peers, which are as slow and have calls of their own.
+// A path that is marked silent isn't tried first until a probe is answered. A
+// host must not mark its direct path only because the store is slow for all
+// hosts: its calls would go through peers, which are as slow and also make their
+// own calls.
 func TestSilence(t *testing.T) {
 	scripttest.EachLine(t, "silence/cases.txt", func(f []string) {
 		synctest.Test(t, func(t *testing.T) {
@@ -116,10 +117,9 @@
 	return p.direct.silent
 }
 
-// TestSilentPeer checks that a peer through which a call got no answer is
-// avoided while there are other peers, as is a peer through which a call was
-// refused. Otherwise each further call would be tried on the open link to the
-// silent peer.
+// TestSilentPeer checks that a peer is avoided, while there are other peers,
+// after a call through it got no answer or was refused. Otherwise each further
+// call would be tried on the open link to the silent peer.
 func TestSilentPeer(t *testing.T) {
 	p := newPeeredTransport(t, refusingTransport{}, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, p.base+"/x", nil)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -64,12 +64,12 @@
 	// accelerator-seconds.
 	LostAcceleratorSeconds float64 `json:"lost_accelerator_s"`
 	// GuaranteeReclaimMax is the longest time from the submission to the start of a
-	// job that uses a guarantee. Only jobs whose customer had no other such job in
-	// flight count.
+	// job. Only jobs of guarantee_used events count whose customer had no other such
+	// job in flight, as mustReclaim determines.
 	GuaranteeReclaimMax float64 `json:"guarantee_reclaim_max_s"`
-	// Violations counts the leases under which a job that must not be repeated
-	// started again, and the steps after which the planned places of unused
-	// guarantees were invalid.
+	// Violations counts two kinds of violated invariants: leases under which a job
+	// that must not be repeated started again, and steps after which the planned
+	// places of unused guarantees were invalid.
 	Violations int `json:"violations"`
 
 	// Samples are the samples taken during the replay. They are used for plots.
@@ -94,8 +94,8 @@
 	opened unit.Instant
 	// ended is when the job finished; 0 if it has not.
 	ended unit.Instant
-	// leases has the leases under which a gate of the job opened, and running the
-	// workers on which its tasks run now.
+	// leases has the leases under which a gate of the job opened. running has the
+	// workers on which the job's tasks run at present.
 	leases  map[id.Lease]bool
 	running map[id.Worker]bool
 	// reclaims is set by mustReclaim at the job's submission.
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -54,8 +54,8 @@
 const (
 	maxPartitions = 4096
 	maxPeriod     = 24 * time.Hour
-	// minEvacuation is the shortest evacuation bound that a host can meet: after its
-	// last check against evacuations, a start order takes up to 1 s to reach its
+	// minEvacuation is the shortest evacuation bound that a host can meet: a start
+	// order is checked against evacuations, and then takes up to 1 s to reach its
 	// worker.
 	minEvacuation = 1500 * time.Millisecond
 	// minDescriptors leaves spare descriptors beside the connections to the store,
