--- a/cmd/curlewsill/cmd/drain.go
+++ b/cmd/curlewsill/cmd/drain.go
@@ -36,8 +36,8 @@
 	return confirmPlan(c.env, p, c.Yes)
 }
 
-// changes returns changes that set the racks of the named workers, with these workers
-// drained or, for --undo, not drained.
+// changes returns the changes that drain the named workers or, for --undo, end their
+// drain. A change sets a whole rack, since workers are configured with their rack.
 func (c *drainCmd) changes(v node.View) ([]config.Change, error) {
 	remaining := slices.Clone(c.Args.Workers)
 	var out []config.Change
--- a/cmd/curlewsilld/cmd/process_test.go
+++ b/cmd/curlewsilld/cmd/process_test.go
@@ -138,8 +138,8 @@
 }
 
 // TestProcesses kills, freezes and stops entry hosts in separate processes, under load
-// and while a gang runs. No request and no gang that must run at most once may run
-// twice, no request that was refused as not run may have run, and a planned stop must
+// and while a gang runs. A request or gang that must run at most once must not run
+// twice. A request that was refused as not run must not have run. A planned stop must
 // exit with 0.
 func TestProcesses(t *testing.T) {
 	p := newPlatform(t)
--- a/cmd/curlewsilld/cmd/root.go
+++ b/cmd/curlewsilld/cmd/root.go
@@ -87,7 +87,7 @@
 }
 
 // run serves until a planned stop is complete. The first SIGTERM or SIGINT begins the
-// planned stop, a second one stops the process at once.
+// planned stop. A second signal stops the process at once.
 func run(s settings.Settings) error {
 	stream, err := logging.NewStream(os.Stdout, s.LogLevel, logging.Format(s.LogFormat))
 	if err != nil {
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -32,9 +32,9 @@
 	Requests load.Report `json:"requests"`
 	// Jobs counts the gangs by their last state.
 	Jobs map[state.JobState]int `json:"jobs"`
-	// Started counts the gangs whose gates were opened. StartedTwice counts
-	// those among them that must not be repeated but were started under more
-	// than one lease.
+	// Started counts the gangs whose gates were opened. StartedTwice counts the
+	// gangs that were started under more than one lease although they must not
+	// be repeated.
 	Started      int `json:"started"`
 	StartedTwice int `json:"twice"`
 	// Fragmentation is the mean share of free accelerators that could not serve
--- a/internal/experiment/arrive/arrive.go
+++ b/internal/experiment/arrive/arrive.go
@@ -30,7 +30,7 @@
 	Job *world.Job
 	// Cancel is a job that its customer cancels.
 	Cancel id.Job
-	// Down is a worker that goes down, Up one that comes back.
+	// Down is a worker that goes down. Up is a worker that comes back.
 	Down, Up id.Worker
 	Fault    *world.Fault
 }
--- a/internal/experiment/play/earn.go
+++ b/internal/experiment/play/earn.go
@@ -12,8 +12,8 @@
 // Parameters of the platform's credit rule, which says how much worth a job
 // earns.
 const (
-	// lateFactor bounds how late a job may complete: after lateFactor times its
-	// allowed time, it earns nothing.
+	// lateFactor bounds how late a job may complete. A job that takes longer
+	// than lateFactor times its allowed time earns nothing.
 	lateFactor = 3
 	// minWeight is the part of a job's weight that doesn't depend on its work.
 	// The rest is 1-minWeight times the job's work divided by the mean work of
--- a/internal/experiment/result/result.go
+++ b/internal/experiment/result/result.go
@@ -25,9 +25,9 @@
 	Fragmentation float64 `json:"fragmentation"`
 	// Wasted is the share of the work of all runs that was lost.
 	Wasted float64 `json:"wasted"`
-	// Starts counts the runs that workers started. Stopped, Broken and Lapsed
-	// count those that ended by a stop order, by the loss of another member of
-	// their gang, and because their lease had expired.
+	// Starts counts the runs that workers started. Stopped counts the runs that
+	// ended by a stop order, Broken those that ended by the loss of another
+	// member of their gang, and Lapsed those whose lease had expired.
 	Starts  int `json:"starts"`
 	Stopped int `json:"stopped"`
 	Broken  int `json:"broken"`
@@ -35,7 +35,8 @@
 	// Crashes counts the worker incarnations that tasks have crashed.
 	Crashes int `json:"crashes"`
 	// OwnerBusy is the share of the time in which the owner's processor was
-	// busy. OwnerWait is the longest time for which anything waited for it.
+	// busy. OwnerWait is the longest time for which any work waited for this
+	// processor.
 	OwnerBusy float64 `json:"owner_busy"`
 	OwnerWait float64 `json:"owner_wait_s"`
 	// Passes counts the owners' scheduling passes, Claims the claims by which a
@@ -54,9 +55,9 @@
 // Kind is the result of the jobs of one kind.
 type Kind struct {
 	Kind string `json:"kind"`
-	// Arrived counts all jobs of the kind; the counters after it divide them by
-	// outcome. Refused jobs can never run on the site. Open jobs had no outcome
-	// at the end of the simulation.
+	// Arrived counts all jobs of the kind. Refused, Completed, Failed,
+	// Cancelled and Open divide them by outcome. Refused jobs can never run on
+	// the site. Open jobs had no outcome at the end of the simulation.
 	Arrived   int `json:"arrived"`
 	Refused   int `json:"refused"`
 	Completed int `json:"completed"`
@@ -108,9 +109,9 @@
 	// Runs are ordered by policy and seed. Runs that didn't complete are
 	// missing.
 	Runs []Run `json:"runs"`
-	// Means has one entry for each policy and measure. Differences has one for
-	// each policy but the first and each measure, over the seeds that were
-	// played with both that policy and the first.
+	// Means has one entry for each policy and measure. Differences has one
+	// entry for each measure and each policy except the first: the difference
+	// to the first policy, over the seeds that were played with both.
 	Means       []Mean `json:"means"`
 	Differences []Mean `json:"differences"`
 }
--- a/internal/experiment/setup/setup.go
+++ b/internal/experiment/setup/setup.go
@@ -24,16 +24,17 @@
 
 // Setup is one experiment.
 type Setup struct {
-	// Length is how long jobs arrive, Settle how long the simulation continues
-	// after that.
+	// Length is the time during which jobs arrive. Settle is how long the
+	// simulation continues after that.
 	Length, Settle time.Duration
 	// SampleInterval is the time between two samples of use and fragmentation.
 	SampleInterval time.Duration
 	// Seeds is never empty.
 	Seeds []uint64
 	// Trace names a trace file of jobs that are submitted in addition to the
-	// generated ones; empty for none. Properties that the trace doesn't give
-	// are those of the kind TraceKind, or UrgentKind for urgent jobs.
+	// generated ones. It is empty if there is none. Properties that the trace
+	// doesn't give are taken from the kind TraceKind, or from UrgentKind for
+	// urgent jobs.
 	Trace                 string
 	TraceKind, UrgentKind string
 	// World is the setup of the simulated site, without seed and dispatcher.
--- a/internal/logging/leftout.go
+++ b/internal/logging/leftout.go
@@ -23,8 +23,8 @@
 	lines   int
 }
 
-// note counts a line if the sampler drops it. The sampler calls it, as its hook,
-// for every line.
+// note counts a line if the sampler dropped it. It is the sampler's hook, which the
+// sampler calls with its decision on each line.
 func (l *omissionCounter) note(e zapcore.Entry, d zapcore.SamplingDecision) {
 	if d&zapcore.LogDropped == 0 {
 		return
--- a/internal/logging/stream_test.go
+++ b/internal/logging/stream_test.go
@@ -71,8 +71,9 @@
 // were dropped.
 //
 // It guards against sampling without a report. With 1,100 workers, about 600 tasks
-// start and as many end in a second. Beyond 400 lines the sampler kept one in 50 and
-// reported nothing, so that the log seemed to show that a task hadn't started.
+// start and as many end in a second. In the failure seen, the sampler kept one in 50
+// of the lines beyond 400 and reported nothing, so that the log seemed to show that a
+// task hadn't started.
 func TestLeftOut(t *testing.T) {
 	const lines = 5000
 	out := &blockedWriter{free: make(chan struct{})}
--- a/internal/wslink/conn.go
+++ b/internal/wslink/conn.go
@@ -28,14 +28,14 @@
 	ErrClosed = errors.New("wslink: closed")
 )
 
-// pingJitter is the part of Policy.PingAfter that is random. With PingAfter at
-// 1 s, a quarter spreads the pings of 40 connections over 250 ms, one every 6
-// ms, and costs at most a third more pings.
+// pingJitter is the part of Policy.PingAfter that is random. A quarter spreads
+// the pings of 40 connections over 250 ms if PingAfter is 1 s: one every 6 ms.
+// It costs at most a third more pings.
 const pingJitter = 0.25
 
-// minSlowWrite is the shortest write that counts as one that delays pings. A
-// path that drops bytes silently accepts messages at once; one of 10 Mbit/s
-// carries 60 kB in that time.
+// minSlowWrite is the shortest duration of a write that counts as delaying
+// pings. A path that drops bytes silently accepts messages at once, so a write
+// on it takes less. A working path of 10 Mbit/s carries 60 kB in this time.
 const minSlowWrite = 50 * time.Millisecond
 
 // Conn is one connection. Its methods may be called concurrently, except that
@@ -47,15 +47,15 @@
 	side   string
 	policy Policy
 	opened time.Time
-	// received records when bytes last arrived from the peer, or the last
-	// message or pong if reads of bytes aren't observed. lastUse records when a
-	// message was last sent or received.
+	// received records when bytes last arrived from the peer. If reads of bytes
+	// aren't observed, it records when the last message or pong arrived.
+	// lastUse records when a message was last sent or received.
 	received, lastUse *meter.EventTime
-	// lastSlowWrite records when the last write ended that took minSlowWrite or
-	// longer.
+	// lastSlowWrite records the end of the last write that took at least
+	// minSlowWrite.
 	lastSlowWrite *meter.EventTime
-	// users counts the callers that wait on the connection, activeWrites the
-	// messages that are being written.
+	// users counts the callers that wait on the connection. activeWrites counts
+	// the messages that are being written.
 	users, activeWrites atomic.Int32
 	// suspect is set until the peer has answered a ping.
 	suspect atomic.Bool
@@ -77,9 +77,9 @@
 // LastReceived returns when bytes last arrived from the peer.
 func (c *Conn) LastReceived() time.Time { return c.received.Last() }
 
-// Use marks the connection as in use until release is called: it isn't idle,
-// and it is pinged at once unless bytes have arrived within
-// Policy.InUsePingAfter.
+// Use marks the connection as in use until release is called. A connection in
+// use isn't closed as idle. It is pinged at once unless bytes have arrived
+// within Policy.InUsePingAfter.
 func (c *Conn) Use() (release func()) {
 	c.users.Add(1)
 	c.wakeWatch()
@@ -184,8 +184,8 @@
 	}
 }
 
-// markSuspect makes watch ping the peer unless bytes have arrived within
-// Policy.InUsePingAfter.
+// markSuspect makes the connection suspect: watch pings the peer once nothing
+// has arrived for Policy.InUsePingAfter.
 func (c *Conn) markSuspect() {
 	c.suspect.Store(true)
 	c.wakeWatch()
@@ -239,8 +239,8 @@
 }
 
 // untilIdle returns the time until the connection has to be closed as idle. If
-// it is in use, or is never closed as idle, it returns PingAfter instead, after
-// which watch checks again.
+// the connection is in use, or is never closed as idle, untilIdle returns
+// PingAfter, so that watch checks again after this time.
 func (c *Conn) untilIdle() time.Duration {
 	if c.policy.IdleTimeout == 0 || c.users.Load() > 0 {
 		return c.policy.PingAfter
--- a/internal/wslink/wslink.go
+++ b/internal/wslink/wslink.go
@@ -3,12 +3,12 @@
 //
 // A network path may accept and acknowledge bytes without delivering them:
 // writes succeed, and TCP keepalive probes are answered. Only a missing answer
-// from the peer shows it. So each side pings a connection on which it has
-// received nothing for a while, sooner if a caller waits on it, and closes it
-// when no bytes come back in time. Any byte from the peer counts as an answer,
-// so that a long message on a low-bandwidth link isn't mistaken for silence.
-// When a connection is found dead, all other connections of the host become
-// suspect and are pinged at once.
+// from the peer shows that the connection is dead. So each side pings the peer
+// when it has received nothing for a while, and sooner if a caller waits on the
+// connection. It closes the connection if no bytes come back in time. Any byte
+// from the peer counts as an answer, so that a long message on a low-bandwidth
+// link isn't mistaken for silence. When a connection is found dead, all other
+// connections of the host become suspect and are pinged at once.
 package wslink
 
 import (
@@ -29,9 +29,9 @@
 // Policy says when a connection is pinged and when it is closed.
 type Policy struct {
 	// PingAfter is how long nothing may arrive from the peer before it is
-	// pinged. The actual time is random between three quarters of it and the
-	// whole: connections that died together are then not detected, and opened
-	// again, all at once.
+	// pinged. The actual time is random, between three quarters of PingAfter
+	// and the whole. So connections that died together are not all detected,
+	// and opened again, at the same moment.
 	PingAfter time.Duration
 	// InUsePingAfter replaces PingAfter while the connection is in use or
 	// suspect. It has no jitter.
@@ -45,8 +45,8 @@
 }
 
 // Policies holds the policies of the two sides of a connection. The accepting
-// side's PingAfter should be longer than the dialing side's: it then pings only
-// peers whose own pings don't arrive.
+// side's PingAfter should be longer than the dialing side's. Then the accepting
+// side pings only peers whose own pings don't arrive.
 type Policies struct {
 	Dialed, Accepted Policy
 }
@@ -85,7 +85,7 @@
 func (l *Links) FoundDead() uint64 { return l.deadCount.Load() }
 
 // Dial opens a connection. The URL's scheme is ws or wss. The caller must keep
-// calling Read on it, so that pings are answered.
+// calling Read on the connection, so that pings are answered.
 func (l *Links) Dial(ctx context.Context, url string) (*Conn, error) {
 	var received *meter.EventTime
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
@@ -103,9 +103,9 @@
 	return l.add(ws, url, "dialed", l.policies.Dialed, received)
 }
 
-// Accept accepts a connection that a peer opens. It also writes the response if
-// it fails. The caller must keep calling Read on it, without blocking in
-// between, so that pings are answered.
+// Accept accepts a connection that a peer opens. If Accept fails, it has
+// written the error response. The caller must keep calling Read on the
+// connection, without blocking in between, so that pings are answered.
 func (l *Links) Accept(w http.ResponseWriter, r *http.Request) (*Conn, error) {
 	m := &meteredWriter{ResponseWriter: w, received: meter.New()}
 	ws, err := websocket.Accept(m, r, nil)
@@ -146,7 +146,7 @@
 	delete(l.open, c)
 }
 
-// MarkAllSuspect marks all open connections suspect: those that have received
+// MarkAllSuspect marks all open connections suspect. Those that have received
 // nothing for Policy.InUsePingAfter are pinged at once.
 func (l *Links) MarkAllSuspect() {
 	for _, c := range l.all() {
