--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -295,8 +295,8 @@
 	return p.Code
 }
 
-// nonReplayableBody is a request body of which the HTTP client can't get a
-// second copy, so that it never retries the request by itself.
+// nonReplayableBody is a request body that the HTTP client can't copy. So the
+// client never retries the request by itself.
 type nonReplayableBody struct{ io.Reader }
 
 func (nonReplayableBody) Close() error { return nil }
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -52,9 +52,10 @@
 	// no call waits for an answer. Together with pongTimeout, a dead link is
 	// found within 1.5 s. The cost is one ping per second.
 	pingAfter = time.Second
-	// idleTimeout closes a link that no call uses. Including headers, a ping
-	// and its answer take 200 bytes and opening a link takes 1 kB: in this
-	// time, an unused link costs as much as opening it again.
+	// idleTimeout is the time after which a link that no call uses is closed.
+	// Including headers, a ping and its answer take 200 bytes, and opening a
+	// link takes 1 kB. So the pings of an unused link cost as much in this time
+	// as opening the link again.
 	idleTimeout = 5 * time.Second
 	// acceptedPingAfter is pingAfter for the accepting side. A working peer
 	// would have sent two pings of its own in this time.
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -65,8 +65,8 @@
 	return slices.ContainsFunc(p.peers, func(x Peer) bool { return !p.avoided(x.Address) })
 }
 
-// callThrough makes the call on a link to a peer. The call may wait at the
-// server for the given time.
+// callThrough makes the call on a link to a peer. wait is how long the call may
+// wait at the server.
 func (p *Transport) callThrough(req *http.Request, wait time.Duration, chooseLink linkChooser) (*http.Response, error) {
 	body, err := bodyOf(req)
 	if err != nil {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -192,8 +192,8 @@
 	j.running[w] = true
 }
 
-// taskEnded records that a task ended. If it is the last running task of its job and
-// did not exit by itself, the work of the whole gang since opened counts as lost.
+// taskEnded records that a task ended. If it was the last running task of its job and
+// did not exit by itself, the work of the whole gang since job.opened counts as lost.
 func (sim *simulation) taskEnded(j *job, w id.Worker, st worker.TaskState) {
 	if !j.running[w] {
 		return
--- a/soak/entries_test.go
+++ b/soak/entries_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// update writes an entry whose heartbeat is due, and removes one that has
-// expired.
+// update writes the entry if its heartbeat is due, and removes the entry if it
+// has expired. During an outage of the store it does nothing.
 func (l *entryList) update(e *entry) {
 	switch now := time.Now(); {
 	case l.storeAway:
@@ -178,9 +178,9 @@
 	}
 }
 
-// setStoreAway begins or ends an outage of the store. At its end all entries
-// have expired, and incarnations that still run write theirs again within
-// maxReturnTime.
+// setStoreAway begins or ends an outage of the store. When the outage ends, all
+// entries have expired. Incarnations that still run then write their entries
+// again within maxReturnTime.
 func (l *entryList) setStoreAway(away bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -52,8 +52,8 @@
 	// no conclusive answer, refused those that were refused.
 	inFlight, unanswered, refused int
 	acceptedAt                    time.Duration
-	// cancelSentAt is when the first cancel was sent, cancelledAt when the
-	// first one was acknowledged.
+	// cancelSentAt is when the first cancel was sent. cancelledAt is when a
+	// cancel was first acknowledged.
 	cancelSentAt, cancelledAt time.Duration
 	started                   bool
 	state                     string
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -35,8 +35,7 @@
 	// namesMachines is set if the entries of workers name their machine.
 	namesMachines bool
 	// reportStart is set in plans in which workers restart under the same ID.
-	// Workers then report the start time of their incarnation, which tells
-	// their incarnations apart.
+	// All workers then report the start time of their incarnation.
 	reportStart bool
 	// entries rewrites the entries of workers at each heartbeat. It is nil in
 	// plans that aren't wide: there, an entry is written only once.
--- a/soak/wide_test.go
+++ b/soak/wide_test.go
@@ -123,8 +123,9 @@
 
 var stormKinds = []wideKind{
 	// A tenth to a third of the workers crash at once while they are
-	// unreachable. They return as other incarnations, or under their IDs
-	// ("again", in plans in which workers report their start times).
+	// unreachable. With "again", in plans in which workers report their start
+	// times, they restart under the same IDs. Otherwise they return as other
+	// incarnations with new IDs.
 	{"storm", []string{"reborn", "again"}, 1, 50 * time.Millisecond, 2500 * time.Millisecond},
 }
 
@@ -132,9 +133,9 @@
 // in percent.
 const minStorm, maxStorm = 10, 33
 
-// startSpread bounds how far a reported start time lies in the past. The time
-// of day may be set back between two incarnations of a worker, so that the
-// later one may report an earlier start.
+// startSpread bounds how far a reported start time lies in the past. On a real
+// machine the clock may be set back between two incarnations of a worker. So
+// the later incarnation may report an earlier start here too.
 const startSpread = 10 * time.Minute
 
 // listGap is the time between the reads of a worker's two lists in a "torn"
@@ -217,9 +218,9 @@
 	return true
 }
 
-// crashMany crashes a random share of the workers at once. They restart under
-// their IDs if the variant is "again" and workers report their start times.
-// Otherwise other incarnations replace them.
+// crashMany crashes a random share of the workers at once. If the variant is
+// "again" and workers report their start times, they restart under the same IDs.
+// Otherwise other incarnations with new IDs replace them.
 func (s *site) crashMany(f fault) {
 	crash := fault{kind: f.variant, variant: "cut", duration: f.duration}
 	if !s.reportStart {
@@ -331,8 +332,8 @@
 	}
 }
 
-// takePoison reports whether the next job is to crash workers, and takes it
-// from pendingPoisons.
+// takePoison reports whether the next job must be one that crashes workers. If
+// so, it decrements pendingPoisons.
 func (s *site) takePoison() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
