--- a/internal/conntrack/conn.go
+++ b/internal/conntrack/conn.go
@@ -10,8 +10,9 @@
 // peer is the state of one address.
 type peer struct {
 	conns map[*conn]struct{}
-	// provenAfter is the time after which connections must have been proven to
-	// work to be used again; zero while none is suspect.
+	// provenAfter is the time after which a connection must have been proven to
+	// work; otherwise it is suspect. It is zero until a connection to the
+	// address is found dead.
 	provenAfter time.Time
 }
 
@@ -24,29 +25,30 @@
 	net.Conn
 	transport *Transport
 	to        string
-	// incarnation is the incarnation that the connection was opened for; empty
-	// if any will do.
+	// incarnation is the incarnation that the connection was opened for. It is
+	// empty if the connection may be to any incarnation.
 	incarnation string
 	opened      time.Time
 	// received records when bytes last arrived, or when the connection was
 	// opened.
 	received *meter.EventTime
-	// proven is when the newest of the calls that were answered on this
-	// connection was sent, or when the connection was opened: both directions
-	// worked then.
+	// proven is the last time at which both directions of the connection are
+	// known to have worked: when it was opened, or when the newest of the calls
+	// that were answered on it was sent.
 	proven time.Time
 	// call is the call in flight; nil while the connection is idle.
 	call *call
 	// used is set once a call was answered on this connection.
 	used bool
-	// stale is set once another incarnation has answered in place of the one
-	// that it was opened for.
+	// stale is set once an incarnation has answered that isn't the one for
+	// which the connection was opened.
 	stale bool
 }
 
-// provesAlive reports whether c shows that the path works although the
-// connection dead has brought no answer: c was already open when bytes last
-// arrived on dead, and bytes have arrived on c later than since.
+// provesAlive reports whether bytes on c show that the path works, although no
+// answer arrived on the connection dead. This is the case if c was already open
+// when bytes last arrived on dead, and bytes have arrived on c after the time
+// since.
 func (c *conn) provesAlive(dead *conn, since time.Time) bool {
 	return !c.opened.After(dead.received.Last()) && c.received.Last().After(since)
 }
--- a/internal/experiment/result/result.go
+++ b/internal/experiment/result/result.go
@@ -25,9 +25,9 @@
 	Fragmentation float64 `json:"fragmentation"`
 	// Wasted is the share of the work of all runs that was lost.
 	Wasted float64 `json:"wasted"`
-	// Starts counts the runs that workers started. Stopped, Broken and Lapsed
-	// count those that ended by a stop order, by the loss of another member of
-	// their gang, and because their lease had expired.
+	// Starts counts the runs that workers started. Stopped counts the runs that
+	// ended by a stop order, Broken those that ended by the loss of another
+	// member of their gang, and Lapsed those whose lease had expired.
 	Starts  int `json:"starts"`
 	Stopped int `json:"stopped"`
 	Broken  int `json:"broken"`
@@ -35,7 +35,8 @@
 	// Crashes counts the worker incarnations that tasks have crashed.
 	Crashes int `json:"crashes"`
 	// OwnerBusy is the share of the time in which the owner's processor was
-	// busy. OwnerWait is the longest time for which anything waited for it.
+	// busy. OwnerWait is the longest time for which any work waited for this
+	// processor.
 	OwnerBusy float64 `json:"owner_busy"`
 	OwnerWait float64 `json:"owner_wait_s"`
 	// Passes counts the owners' scheduling passes, Claims the claims by which a
@@ -47,16 +48,16 @@
 	Violations []string `json:"violations"`
 	Kinds      []Kind   `json:"kinds"`
 
-	// Samples are for charts.
+	// Samples are the samples taken during the run. They are used for charts.
 	Samples []world.Sample `json:"-"`
 }
 
 // Kind is the result of the jobs of one kind.
 type Kind struct {
 	Kind string `json:"kind"`
-	// Arrived counts all jobs of the kind; the counters after it divide them by
-	// outcome. Refused jobs can never run on the site. Open jobs had no outcome
-	// at the end of the simulation.
+	// Arrived counts all jobs of the kind. Refused, Completed, Failed,
+	// Cancelled and Open divide them by outcome. Refused jobs can never run on
+	// the site. Open jobs had no outcome at the end of the simulation.
 	Arrived   int `json:"arrived"`
 	Refused   int `json:"refused"`
 	Completed int `json:"completed"`
@@ -70,9 +71,9 @@
 	// Worth is the worth that the jobs earned, divided by the worth that they
 	// earn if all of them complete in time.
 	Worth float64 `json:"worth"`
-	// P50, P90 and P99 are quantiles of the time from submission to completion,
-	// and StartP90 is one of the time from submission to the first start, all
-	// in seconds.
+	// P50, P90 and P99 are quantiles of the time from submission to completion.
+	// StartP90 is the 90 % quantile of the time from submission to the first
+	// start. All are in seconds.
 	P50      float64 `json:"p50_s"`
 	P90      float64 `json:"p90_s"`
 	P99      float64 `json:"p99_s"`
@@ -83,8 +84,8 @@
 	CompletionTimes []float64 `json:"-"`
 }
 
-// Add adds the counts of another run of the same kind; quantiles and worth are
-// not added.
+// Add adds the counts of another result for the same kind. It leaves quantiles
+// and worth unchanged, since they can't be added.
 func (k *Kind) Add(o Kind) {
 	k.Arrived += o.Arrived
 	k.Refused += o.Refused
@@ -108,9 +109,9 @@
 	// Runs are ordered by policy and seed. Runs that didn't complete are
 	// missing.
 	Runs []Run `json:"runs"`
-	// Means has one entry for each policy and measure. Differences has one for
-	// each policy but the first and each measure, over the seeds that were
-	// played with both that policy and the first.
+	// Means has one entry for each policy and measure. Differences has one
+	// entry for each measure and each policy except the first: the difference
+	// to the first policy, over the seeds that were played with both.
 	Means       []Mean `json:"means"`
 	Differences []Mean `json:"differences"`
 }
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -22,15 +22,16 @@
 	// take before the second one is tried.
 	writeTimeout = 500 * time.Millisecond
 	// minWriteRate is the lowest accepted rate of writing a message, in bytes
-	// per second. Without an allowance for its size, a large page would end
-	// every low-bandwidth link that it is written to.
+	// per second. The time limit of a write grows with the message's size at
+	// this rate. With a fixed limit, a large page would exceed it on every
+	// low-bandwidth link, and end the link.
 	minWriteRate = 1 << 20
 	// maxServed bounds the calls that are made concurrently for one peer: twice
 	// the connections of a host to the store.
 	maxServed = 16
-	// maxServedQueued bounds the calls of one peer that wait for one of these
-	// slots; further ones are refused. It bounds memory, since queued calls
-	// have been read completely.
+	// maxServedQueued bounds the calls of one peer that wait because maxServed
+	// calls are being made. Further calls are refused. This bounds memory,
+	// since queued calls have been read completely.
 	maxServedQueued = 48
 )
 
@@ -42,17 +43,19 @@
 	// is pinged, while a call waits for its answer. A usual answer takes a few
 	// milliseconds, so most calls cost no ping.
 	inUsePingAfter = 250 * time.Millisecond
-	// pongTimeout is how long a peer may take to answer a ping. 512 kB queued
-	// ahead of the ping take 420 ms at 10 Mbit/s, and throttling by a CPU quota
-	// stops a process for 100 ms at most.
+	// pongTimeout is how long a peer may take to answer a ping. It allows for
+	// 512 kB that are queued ahead of the ping, which take 420 ms at 10 Mbit/s,
+	// or for throttling by a CPU quota, which stops a process for at most
+	// 100 ms.
 	pongTimeout = 500 * time.Millisecond
-	// pingAfter is inUsePingAfter for a link on which no call waits. Together
-	// with pongTimeout, a dead link is found within 1.5 s, at one ping per
-	// second.
+	// pingAfter is the time without bytes after which the peer is pinged while
+	// no call waits for an answer. Together with pongTimeout, a dead link is
+	// found within 1.5 s. The cost is one ping per second.
 	pingAfter = time.Second
-	// idleTimeout closes a link that no call uses. Including headers, a ping
-	// and its answer take 200 bytes and opening a link takes 1 kB: in this
-	// time, an unused link costs as much as opening it again.
+	// idleTimeout is the time after which a link that no call uses is closed.
+	// Including headers, a ping and its answer take 200 bytes, and opening a
+	// link takes 1 kB. So the pings of an unused link cost as much in this time
+	// as opening the link again.
 	idleTimeout = 5 * time.Second
 	// acceptedPingAfter is pingAfter for the accepting side. A working peer
 	// would have sent two pings of its own in this time.
@@ -91,11 +94,11 @@
 	nextID  atomic.Uint64
 
 	mu sync.Mutex
-	// pending holds for each call in flight, by its ID, the channel that
-	// receives its result; nil once the link is closed.
+	// pending maps the ID of each call in flight to the channel that receives
+	// the call's result. It is nil once the link is closed.
 	pending map[uint64]chan result
-	// closed is set once the link is closed, retired once no new calls may use
-	// it.
+	// closed is set once the link is closed. retired is set once no new calls
+	// may use the link.
 	closed, retired bool
 }
 
@@ -189,10 +192,10 @@
 	return writeTimeout + time.Duration(len(raw))*time.Second/minWriteRate
 }
 
-// send writes a call. It closes the link if the write fails; the connection has
-// logged why then. The write doesn't depend on the context of the caller: a
-// message that isn't written completely ends the link and with it all other
-// calls in flight on it.
+// send writes a call. If the write fails, send closes the link; the connection
+// logs the cause itself. The write doesn't use the caller's context: canceling
+// it in the middle of a message would end the link, with all other calls in
+// flight on it.
 func (l *link) send(raw []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), writeLimit(raw))
 	defer cancel()
@@ -201,9 +204,9 @@
 	}
 }
 
-// do makes a call on the link. A link with an overdue answer is retired, not
-// closed: only pings decide whether it is dead, and other answers may still
-// come.
+// do makes a call on the link. If the answer is overdue but the link isn't
+// silent, do retires the link instead of closing it: other calls in flight may
+// still be answered on it, and pings find out if it dies.
 func (l *link) do(ctx context.Context, c call) (result, error) {
 	if err := ctx.Err(); err != nil {
 		return result{}, fmt.Errorf("%w: %w", ErrNoPeer, err) // nothing was sent
@@ -238,7 +241,7 @@
 }
 
 // takeResult returns the result received for a call, or errLinkDead if the link
-// was closed under it.
+// was closed while the call was in flight.
 func (l *link) takeResult(res result, ok bool) (result, error) {
 	if !ok {
 		return result{}, errLinkDead
@@ -250,10 +253,10 @@
 }
 
 // handleOverdue handles a call whose time limit has passed. After a pause of
-// this process, that may happen before the link's ping fails, or at the same
-// time. If the link has been silent for longer than a ping allows, the call
-// fails with errLinkDead, so that it is retried on another link. Otherwise the
-// peer is alive and only this answer is overdue.
+// this process, the limit may pass before the link's ping fails, or at the same
+// time. If the link has been silent for as long as a ping takes to become due
+// and to fail, the call fails with errLinkDead, so that it is retried on another
+// link. Otherwise the peer is alive and only this answer is overdue.
 func (l *link) handleOverdue(answer <-chan result, err error) (result, error) {
 	if time.Since(l.conn.LastReceived()) >= inUsePingAfter+pongTimeout {
 		l.conn.CloseSilent()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -6,13 +6,14 @@
 // same call to a peer over WebSocket with CBOR, and the peer makes it on its
 // own direct path. If peers are refused too, up to maxPeersTried of them are
 // tried in turn. A direct path that delivers no bytes while calls through a
-// peer are answered gets no more calls until a probe on it is answered. Every
-// call that is relayed must be safe to repeat: appends carry a number, and all
-// other calls are reads or idempotent. A peer never forwards a call to another
-// peer.
+// peer are answered is no longer tried first until a probe on it is answered.
 //
-// WithPath binds a call to one path, to spread calls over hosts; the call isn't
-// retried on another path then.
+// Every call that is relayed must be safe to repeat. An append carries a
+// sequence number, by which the store recognizes a repeat; all other calls are
+// reads or idempotent. A peer never forwards a call to another peer.
+//
+// WithPath binds a call to one path, so that a caller can spread calls over
+// hosts. Such a call isn't retried on another path.
 package relay
 
 import (
@@ -39,9 +40,9 @@
 	// call may wait at the server, before a second path is tried as well. A
 	// slow store answers within 300 ms.
 	hedgeDelay = 500 * time.Millisecond
-	// suspectDuration is how long a path that failed isn't tried first. With
-	// one second, a host that the store refuses for long makes one failed call
-	// per second.
+	// suspectDuration is the time after a failure of a path in which the path
+	// isn't tried first. With one second, a host that the store refuses for a
+	// long time makes one failed call per second.
 	suspectDuration = time.Second
 	// maxBody bounds the body of a call and of an answer, in bytes. The store
 	// accepts 2 MB in an append, and reads ask it for 1 MB.
@@ -113,8 +114,8 @@
 
 	mu    sync.Mutex
 	peers []Peer
-	// links holds the newest link to each peer, opening the links that are
-	// being opened. Both are keyed by the peer's address.
+	// links holds the newest link to each peer. opening holds the links that
+	// are being opened. Both are keyed by the peer's address.
 	links   map[string]*link
 	opening map[string]*opening
 	// avoidedUntil holds for each peer the time until which it isn't chosen,
@@ -154,14 +155,14 @@
 
 // plan says which paths a call takes.
 type plan struct {
-	// directFirst is set if the direct path is tried first, as it is if no peer
-	// can be tried. usePeers is set if the call may go through a peer.
+	// directFirst is set if the direct path is tried first. It is always set if
+	// no peer can be tried. usePeers is set if the call may go through a peer.
 	directFirst, usePeers bool
 	// probe is set if the direct path has to be probed in parallel to the call.
 	probe bool
 }
 
-// plan returns the plan of a call that starts now.
+// plan decides which paths a call that starts now uses, and in which order.
 func (p *Transport) plan() plan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
