--- a/core/dispatch/advice.go
+++ b/core/dispatch/advice.go
@@ -19,16 +19,17 @@
 	// which room is asked about, because other steps may take some of it
 	// meanwhile.
 	askSpare = 2
-	// initialYield is the fraction of workers that the service is assumed to
-	// allow before its first answer, minYield the least that is assumed.
-	// yieldWeight is the weight of one answer in the moving average.
+	// The yield is the fraction of workers that the service allows.
+	// initialYield is assumed before its first answer, and minYield is the
+	// least that is ever assumed. yieldWeight is the weight of one answer in
+	// the moving average.
 	initialYield = 0.5
 	minYield     = 0.1
 	yieldWeight  = 0.2
 	// askPause is how long a host is not used after its question got no answer.
-	// It doubles with each failure in a row up to maxAskPause, since each
-	// question to a host that is cut off delays a step until the question has
-	// timed out.
+	// It doubles with each consecutive failure, up to maxAskPause, because each
+	// question sent through a host that is cut off delays a step until the
+	// question times out.
 	askPause    = 200 * time.Millisecond
 	maxAskPause = 3200 * time.Millisecond
 	// maxDoublings keeps the doubling from overflowing.
@@ -47,8 +48,8 @@
 // adviser is a host that can ask the advice service.
 type adviser struct {
 	busy bool
-	// next is when the next question may be sent, failures how many in a row
-	// got no answer.
+	// next is when the next question may be sent. failures is the number of
+	// consecutive questions that got no answer.
 	next     unit.Instant
 	failures int
 }
@@ -69,8 +70,9 @@
 	return 0, false
 }
 
-// resize sets the number of hosts that can ask. A busy one is kept until its
-// answer arrives.
+// resize sets the number of hosts that can ask. It removes hosts from the end,
+// but none that still waits for an answer and none before such a host; a later
+// call removes those.
 func (c *adviceState) resize(n int) {
 	for len(c.advisers) < n {
 		c.advisers = append(c.advisers, adviser{})
@@ -88,8 +90,9 @@
 // SetAdvisers sets the number of hosts that can ask the advice service.
 func (d *Dispatcher) SetAdvisers(n int) { d.advice.resize(n) }
 
-// consult asks the advice service about more workers for a step, if a host can
-// ask now. A permit that expires within the duration ahead counts as none.
+// consult asks the advice service about more workers for a step, if the step
+// needs its permission and a host can ask now. It also asks about workers whose
+// permit expires within the duration ahead.
 func (d *Dispatcher) consult(now unit.Instant, c candidate, ahead time.Duration) {
 	advice := c.step.job.spec.Advice
 	if !advice.Needed || c.step.adviceInFlight {
@@ -111,10 +114,10 @@
 }
 
 // workersToAsk returns the workers to ask about: as many as are likely to be
-// enough, and at least as many as can be asked about in twice the time of a
-// question that names none, up to askBatch. They may include workers without
-// room: a refusal is permanent, and a permit may still be valid when the worker
-// has room.
+// enough, but at least as many as can be asked about in twice the time of a
+// question that names no workers. It never returns more than askBatch. The
+// workers may include some without room: a refusal is permanent, and a permit
+// may still be valid when the worker has room.
 func (c *candidate) workersToAsk(now unit.Instant, ahead time.Duration, advice job.Advice, yield float64) []id.Worker {
 	s := c.step
 	need := s.step.Reserved()
--- a/core/dispatch/assure_test.go
+++ b/core/dispatch/assure_test.go
@@ -37,15 +37,15 @@
 	s.run("pass 10ms\n> upkeep m1 of wave 1")
 }
 
-// TestGrantsSoonAfterAssurance guards against leases that expire because for
-// 5 s nothing confirms that no other host is the owner; during the last 2 s of
-// these no lease is granted. Leases last 6 s, and the worker answers every
+// TestGrantsSoonAfterAssurance guards against leases that expire after an owner
+// could not confirm for 5 s that no other host is the owner. In the last 2 s of
+// that time it grants no lease. Leases last 6 s, and the worker answers every
 // renewal.
 //
 // A renewal that was sent during these 2 s granted nothing, and waited 2 s at
-// the worker for something to report, like any other. The next one that granted
-// a lease was sent only after it, 6.03 s after the last one that had granted,
-// when every lease on the worker had expired.
+// the worker for something to report, like any other. The next renewal that
+// granted a lease was sent only after that wait. This was 6.03 s after the
+// previous grant, when every lease on the worker had expired.
 func TestGrantsSoonAfterAssurance(t *testing.T) {
 	s := newScript(t)
 	s.run("lease 6s")
@@ -57,8 +57,9 @@
 	for s.now.Sub(assured) < 9*time.Second {
 		s.now = s.now.Add(10 * time.Millisecond)
 		elapsed := s.now.Sub(assured)
-		// The last confirmation is 1 s after the start, the next one when the
-		// outage is over.
+		// For about 5 s the owner can't confirm that it is the only one: the
+		// last confirmation before that is 1 s after the start, the next one
+		// 6.05 s after it.
 		if elapsed <= time.Second || elapsed >= 6050*time.Millisecond {
 			s.d.ConfirmSoleOwner(s.now)
 		}
@@ -84,9 +85,9 @@
 // order, which got no answer, until 4 s later, nothing confirms that no other
 // host is the owner.
 //
-// The order wasn't repeated meanwhile, because it would have granted a lease.
-// Then the run was stopped because its worker answered renewals but not orders
-// to start, and the failure was counted against the worker.
+// The order wasn't repeated in these 4 s, because it would have granted a
+// lease. After them the run was stopped as if its worker answered renewals but
+// ignored start orders, and the failure was counted against the worker.
 func TestPatienceCountsOrders(t *testing.T) {
 	s := newScript(t)
 	s.d.ConfirmSoleOwner(s.now)
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -8,7 +8,8 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// placeGang places all members of a gang or none.
+// placeGang places all members of a gang, or none. If there is no room for all,
+// it tries to free or reserve room.
 func (d *Dispatcher) placeGang(now unit.Instant, c candidate, fits []*worker) bool {
 	chosen := d.chooseGang(now, c, fits, d.freeRoom)
 	if chosen.workers == nil {
@@ -42,9 +43,9 @@
 	workers []*worker
 	victims []*run
 	// cost is the work that is lost by stopping the victims, in core-seconds.
-	// leftover is the sum over the workers of what the function leftover
-	// returns and of their penalties. Among assignments of equal cost, the one
-	// with the least leftover wins.
+	// leftover adds up, for each worker, the result of the function leftover
+	// and the worker's penalty. Of several assignments with equal cost, the one
+	// with the least leftover is chosen.
 	cost, leftover float64
 }
 
@@ -66,7 +67,7 @@
 // runs must be stopped for it at what cost.
 type roomFunc func(now unit.Instant, c candidate, w *worker, need job.Resources) (free job.Resources, victims []*run, cost float64)
 
-// freeRoom is the roomFunc of the capacity that is free now.
+// freeRoom is a roomFunc that counts only the capacity that is free now.
 func (d *Dispatcher) freeRoom(_ unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 	return w.free(), nil, 0
 }
@@ -137,15 +138,16 @@
 	penalty float64
 }
 
-// extension is a worker's share with one more member; ok is false if there is
-// no room for it.
+// extension is the share that a worker would have with one more member. ok is
+// false if the worker has no room for another member.
 type extension struct {
 	workerShare workerShare
 	ok          bool
 }
 
-// assign puts the members on workers one by one, each where it costs least.
-// Only the extension of the worker that got the member is computed again.
+// assign chooses workers for the members one by one, each time the worker where
+// one more member costs least. A choice changes only what the next member would
+// cost on the chosen worker, so only that extension is computed again.
 func (d *Dispatcher) assign(now unit.Instant, c candidate, workers []*worker, roomOf roomFunc) assignment {
 	s := c.step
 	need := s.step.Reserved()
@@ -196,6 +198,8 @@
 }
 
 // withOneMore returns a worker's share with one more member, if there is room.
+// A worker on probation takes only one run, and the step may limit its tasks on
+// one worker.
 func (d *Dispatcher) withOneMore(now unit.Instant, c candidate, share workerShare, need job.Resources, roomOf roomFunc) extension {
 	if c.step.full(share.worker, share.members) || share.worker.onProbation() && len(share.worker.runs)+share.members > 0 {
 		return extension{}
--- a/core/dispatch/preempt.go
+++ b/core/dispatch/preempt.go
@@ -16,24 +16,27 @@
 	// stopCost is added for each run that is stopped, in core-seconds, so that
 	// among choices that lose little work the one with the fewest stops wins.
 	stopCost = 1
-	// minHorizon and maxHorizon bound how far ahead room is reserved for a step,
-	// such as a gang, that no run is stopped for; the time doubles in between.
-	// maxWaitingClaims bounds how many steps have such a reservation at a time,
-	// because reserved room lies idle.
+	// minHorizon and maxHorizon bound how far ahead room is reserved for a
+	// step, such as a gang, without stopping any run for it. The search tries
+	// minHorizon first and doubles it up to maxHorizon. maxWaitingClaims bounds
+	// how many steps have such a reservation at a time, because reserved room
+	// lies idle.
 	minHorizon       = time.Second
 	maxHorizon       = 8 * time.Second
 	maxWaitingClaims = 2
-	// fewerDivisor determines how the search for room for a part of the waiting
-	// tasks proceeds: while there can't be room, one task in fewerDivisor is
-	// left out, and the search is repeated for the others. fewerInterval is the
-	// least time between two such searches, which take longer than a pass.
+	// fewerDivisor determines how chooseFewer searches room for a part of the
+	// waiting tasks: until it finds room, it leaves out one in fewerDivisor of
+	// the remaining tasks, but at least one, and searches room for the others.
+	// fewerInterval is the minimum time between two such series of searches,
+	// which take longer than a pass.
 	fewerDivisor  = 4
 	fewerInterval = 200 * time.Millisecond
 )
 
 // preempt stops work of lower priority for urgent work that finds no room, and
 // reserves the room until the stopped runs have ended. For other work that must
-// start now, it reserves room where enough will be free soonest.
+// start now, it stops nothing, but reserves room on the workers where enough is
+// expected to be free soonest.
 func (d *Dispatcher) preempt(now unit.Instant, c candidate, fits []*worker) {
 	s := c.step
 	urgent := s.job.spec.Priority == 0
@@ -70,7 +73,7 @@
 }
 
 // chooseFewer is choosePreempted for a part of the waiting tasks. It leaves out
-// more and more of them until there can be room for the rest.
+// more and more of them until it finds room for the rest.
 func (d *Dispatcher) chooseFewer(now unit.Instant, c candidate, fits []*worker) (assignment, bool) {
 	for n := len(c.waiting); n > 1; {
 		n -= max(1, n/fewerDivisor)
@@ -83,8 +86,9 @@
 }
 
 // claimSoonestRoom reserves room for all waiting tasks of a step, such as a
-// gang, where enough of it will be free soonest, so that smaller tasks don't
-// take that room one after the other.
+// gang. It chooses the workers where enough room is expected to be free
+// soonest. Without the reservation, smaller tasks would take that room one
+// after the other.
 func (d *Dispatcher) claimSoonestRoom(now unit.Instant, c candidate, fits []*worker) {
 	if !d.policy.KeepGangRoom || d.longRunningWaits[c.step.job.spec.Service] {
 		return
@@ -99,8 +103,8 @@
 	}
 }
 
-// roomWithin returns the roomFunc of the capacity that is free or expected to
-// be free within a time.
+// roomWithin returns a roomFunc that counts the capacity that is free or is
+// expected to be free within the time horizon. It stops no runs.
 func (d *Dispatcher) roomWithin(horizon time.Duration) roomFunc {
 	return func(now unit.Instant, _ candidate, w *worker, _ job.Resources) (job.Resources, []*run, float64) {
 		free := w.free()
@@ -113,9 +117,10 @@
 	}
 }
 
-// preemptibleRoom is the roomFunc of the capacity that is free or can be freed
-// for urgent work. Runs that are already being stopped count as free, since
-// their room needs no further stop.
+// preemptibleRoom is a roomFunc. It returns the capacity that is free or can be
+// freed for urgent work, the runs to stop for it, and the cost of stopping them.
+// The room of runs that are already being stopped counts as free, since it needs
+// no further stop.
 func (d *Dispatcher) preemptibleRoom(now unit.Instant, c candidate, w *worker, need job.Resources) (job.Resources, []*run, float64) {
 	free := w.free()
 	var others []*run
@@ -124,8 +129,9 @@
 		case r.state == runStopping:
 			free = free.Add(r.taken())
 		case r.step != nil && d.suspect(r.step, r.task.Index):
-			// If a suspect is stopped, its run gives no evidence and uses up
-			// one of the few starts that are left to its task.
+			// The task may have crashed workers. If its run were stopped, it
+			// wouldn't show whether the task crashes another, and would use up
+			// one of the few starts that are left to the task.
 		case r.step != nil && r.step.job.spec.Priority > c.step.job.spec.Priority && mayStopAll(r):
 			others = append(others, r)
 		}
@@ -145,9 +151,9 @@
 	return free, victims, cost
 }
 
-// pickVictims returns runs whose room is sufficient together with what is free.
-// Runs that turn out to be unnecessary are dropped again, the most expensive
-// first.
+// pickVictims returns runs whose room, together with the free room, is
+// sufficient. Runs that turn out to be unnecessary are dropped again, the most
+// expensive first.
 func pickVictims(others []*run, costs map[*run]float64, free, need job.Resources) ([]*run, float64) {
 	var victims []*run
 	for _, r := range others {
--- a/core/dispatch/stall.go
+++ b/core/dispatch/stall.go
@@ -8,30 +8,33 @@
 
 // Tasks on a worker may stall while it still answers all orders. One stalled
 // member holds up its whole gang, and an urgent job with it, for as long as
-// that lasts. So a run that makes no progress while others do is stopped and
-// started elsewhere.
+// that lasts. A run that makes no progress while others do is therefore stopped
+// and started elsewhere.
 
 const (
 	// urgentStallTime is how long an urgent run must at least be without
 	// progress to be stopped. A run of 2.5 s gains a percent every 25 ms, one
 	// of a minute every 0.6 s.
 	urgentStallTime = 900 * time.Millisecond
-	// nonUrgentStallTime is the same for other runs. They can wait for their
-	// workers to recover, and stopping them throws more work away.
+	// nonUrgentStallTime is the same time for runs that aren't urgent. They can
+	// wait for their workers to recover, and stopping them loses more work.
 	nonUrgentStallTime = 6 * time.Second
 	// minLeadPercent is how many percentage points another member of the gang
 	// must be ahead. The speeds of members' workers differ by a factor of up to
-	// 1.5. In a run of 2.5 s, the lead corresponds to more than half a second.
+	// 1.5, so that in a run of 2.5 s the lead corresponds to more than half a
+	// second.
 	minLeadPercent = 20
 	// almostDone is the progress, in percent, from which a run never counts as
 	// stalled: it may be waiting for the other members of its gang.
 	almostDone = 98
-	// maxEstimateFactor times the customer's estimate is how long a task may
-	// take, since estimates may be far too short. Within each hundredth of that
-	// time its progress must grow by a percent.
+	// maxEstimateFactor times the customer's estimate is the longest time that
+	// a task is assumed to take, since estimates may be far too short. A run
+	// that isn't part of a gang counts as stalled only if it gains no percent
+	// within a hundredth of that time.
 	maxEstimateFactor = 10
 	// maxStallStops is how many runs of one task, or gang, are stopped for lack
-	// of progress. After that, the lack is assumed to be normal for the task.
+	// of progress. After that, long times without progress are assumed to be
+	// normal for the task.
 	maxStallStops = 2
 	// urgentRenewWait replaces renewWait on a worker with an urgent run:
 	// progress becomes known only when answers arrive.
@@ -41,8 +44,9 @@
 // whyStalled is the reason logged when a run without progress is stopped.
 const whyStalled = "it makes no progress"
 
-// recordProgress records the progress that a worker reports for a run. Before
-// the first progress, the time without it counts from the run's start.
+// recordProgress records the progress that a worker reports for a run. The time
+// without progress counts from the last increase; if there was none yet, from
+// the run's start.
 func (r *run) recordProgress(now unit.Instant, percent int) {
 	switch {
 	case r.progressAt == 0 && percent == 0 && r.startedAt != 0:
--- a/core/dispatch/state.go
+++ b/core/dispatch/state.go
@@ -146,15 +146,15 @@
 	// load is the worker's load figure of the run: the tail latency of a
 	// serving task in milliseconds, the processor time in use of any other.
 	load int64
-	// slowdownPercent is the share of its full speed, in percent, that the run
-	// was last ordered to give up to others; 0 at full speed.
+	// slowdownPercent is the percentage of its full speed by which the run was
+	// last ordered to slow down; 0 at full speed.
 	slowdownPercent int
 	// stopSentAt is when the last stop order was sent, stopConfirmedAt when the
 	// worker confirmed a stop; 0 if it hasn't, or if the order is due again.
 	stopSentAt      unit.Instant
 	stopConfirmedAt unit.Instant
-	// missingAt is when a report arrived that didn't list the run; 0 if the
-	// latest report lists it.
+	// missingAt is when a report that should have listed the run, but didn't,
+	// arrived; 0 if the latest report lists the run.
 	missingAt unit.Instant
 	// startSentAt is when the last start order was sent, startOrders how many
 	// were sent.
@@ -173,9 +173,9 @@
 	// fromEarlierOwner is set for a run that an earlier owner ordered; its
 	// start time isn't known.
 	fromEarlierOwner bool
-	// inheritedFrom is the incarnation that the run was placed on, while it
-	// isn't known whether the next incarnation under the name has the run; else
-	// empty.
+	// inheritedFrom is the incarnation on which the run was placed. It is set
+	// while it is unknown whether the next incarnation under the same name has
+	// the run, and otherwise empty.
 	inheritedFrom id.Worker
 	// stopReason is the reason, for the log, why the run is stopped.
 	stopReason string
@@ -192,11 +192,11 @@
 	return true
 }
 
-// worker is one incarnation of a worker. Four terms say what is known of its
-// answers, from the weakest on: answered, it sent any answer; synced, it
-// reported its runs; confirmed, it did so after a rival incarnation became
-// known; responsive, it answered recently enough for orders to extend its
-// lease.
+// worker is one incarnation of a worker. Four terms describe its answers, from
+// the weakest to the strongest. Answered: it has sent any answer. Synced: it
+// has reported its runs. Confirmed: it has done so since a rival incarnation
+// became known. Responsive: it has answered recently enough for orders to
+// extend its lease.
 type worker struct {
 	fleet.Listing
 	// name is the name that this incarnation began under. Other incarnations
@@ -219,17 +219,17 @@
 	knownSince unit.Instant
 	// listed is set while the platform's list contains the worker.
 	listed bool
-	// drainEndsAt is when a draining worker may be gone. drainEndClock is the
-	// least reading of the worker's own clock at that time, or 0 if its entry
-	// has no clock.
+	// drainEndsAt is the earliest time at which a draining worker may end.
+	// drainEndClock is a lower bound of the worker's own clock at that time; 0
+	// if the worker's list entry has no clock reading.
 	drainEndsAt   unit.Instant
 	drainEndClock fleet.ClockReading
 	// used is the part of the capacity that runs take, reserved the part that
 	// claims take.
 	used, reserved job.Resources
 	runs           runSet
-	// clockAt is the earliest time at which the worker's clock can have shown
-	// Clock.
+	// clockAt is when the reading Clock of the worker's clock arrived; from
+	// then on the clock shows at least Clock.
 	clockAt unit.Instant
 	// lastAnswerAt is when its last answer arrived, firstRenewalAt when this
 	// owner's first renewal was sent; 0 for never.
@@ -257,8 +257,8 @@
 	renewalWaits    bool
 	nextRenewal     unit.Instant
 	// renewalFailed is set if the last completed renewal got no answer and its
-	// failure was handled in time. One that is handled late proves nothing:
-	// this host may have been frozen meanwhile.
+	// failure was handled in time. A failure that is handled late proves
+	// nothing, because this host may have been frozen meanwhile.
 	renewalFailed bool
 	// firstLossAt is when a renewal first got no answer after the worker's last
 	// answer; 0 if none did.
@@ -267,16 +267,16 @@
 	// but got no answer. The next one doesn't wait at the worker, so that its
 	// loss is noticed 2 s earlier.
 	renewalUnanswered bool
-	// lateStarts holds the start orders of runs that are over, of which a copy
-	// recently got no answer. lateAckAt is when the last unanswered renewal was
-	// sent that let the worker forget ends; 0 for never. The next incarnation
-	// under the name may carry out any of these orders and that renewal.
-	// lateLeaseExpiry is when every lease that an unanswered order may grant
-	// there has expired for certain.
+	// lateStarts holds start orders of runs that have ended; a copy of each
+	// recently got no answer. lateAckAt is when the last unanswered renewal
+	// that acknowledged ends was sent; 0 for never. The next incarnation under
+	// the name may carry out any of these orders and that renewal.
+	// lateLeaseExpiry is when every lease has expired for certain that an
+	// unanswered order may grant to the next incarnation.
 	lateStarts                 []lateStart
 	lateAckAt, lateLeaseExpiry unit.Instant
-	// suspendedUntil is until when the worker gets no new tasks, suspendedAt when
-	// that was decided.
+	// suspendedUntil is the time until which the worker gets no new tasks.
+	// suspendedAt is when it was suspended.
 	suspendedAt, suspendedUntil unit.Instant
 	// rivalSeenAt is when a rival incarnation, at the worker's address or of its
 	// machine, was last listed; 0 if there is none. replaced is set once a
--- a/core/proof/world_test.go
+++ b/core/proof/world_test.go
@@ -102,8 +102,8 @@
 	resumedAt unit.Instant
 }
 
-// world holds the hosts and everything around their cores, and records what
-// happens.
+// world holds the simulated hosts and their environment, such as the log, the
+// workers and the backend servers. It records what happens.
 type world struct {
 	now    unit.Instant
 	rng    *rand.Rand
@@ -207,7 +207,7 @@
 	// gone.
 	callerGone bool
 	arrivedAt  unit.Instant
-	// incarnation is that of the host that took the request.
+	// incarnation is the incarnation of the host that took the request.
 	incarnation id.Incarnation
 }
 
--- a/core/route/backend.go
+++ b/core/route/backend.go
@@ -14,8 +14,9 @@
 	// ejectAfter is the number of failures in a row that eject a backend
 	// server.
 	ejectAfter = 3
-	// minEjection is how long a backend server is ejected at first. The time
-	// doubles each time the next request there fails too, up to maxEjection.
+	// minEjection is the duration of the first ejection of a backend server.
+	// Each time the first request after an ejection fails too, the next
+	// ejection lasts twice as long, up to maxEjection.
 	minEjection = time.Second
 	maxEjection = 30 * time.Second
 	// leavingMaxAge is how long first-hand evidence that a backend server
@@ -64,10 +65,11 @@
 	// lastProbe is when this host last probed the backend server, or skipped
 	// the probe because other hosts are assigned to it.
 	lastProbe unit.Instant
-	// leavingSince is when the latest first-hand evidence that the backend
-	// server leaves was obtained; 0 if there is none. leavingDoubted is set if
-	// that is longer ago than leavingMaxAge and the host list shows the backend
-	// server as live; a probe then has to confirm that it accepts requests.
+	// leavingSince is when the latest first-hand evidence was obtained that the
+	// backend server leaves; 0 if there is none. leavingDoubted is set if this
+	// evidence is older than leavingMaxAge and the host list shows the backend
+	// server as live. A probe must then confirm that the backend server accepts
+	// requests.
 	leavingSince   unit.Instant
 	leavingDoubted bool
 }
--- a/core/sched/gangs.go
+++ b/core/sched/gangs.go
@@ -10,9 +10,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// maxAttempts is the number of the attempt from which on a crash of a repeatable
-// job counts as the job's own failure. A crash in an earlier attempt requeues the
-// job, because the worker may be the cause.
+// maxAttempts is the first attempt in which a crash of a repeatable job counts
+// as the job's own failure. A crash in an earlier attempt requeues the job,
+// because the worker may be the cause.
 const maxAttempts = 3
 
 // reconcile adopts the placements in the log that have no gang here, queues the
@@ -101,7 +101,7 @@
 	}
 }
 
-// advance advances the gangs marked for it and emits their log entries.
+// advance advances the gangs in toAdvance and emits their log entries.
 func (s *Scheduler) advance(now unit.Instant) {
 	for _, jobID := range config.SortedKeys(s.toAdvance) {
 		r := s.toAdvance[jobID]
@@ -152,8 +152,8 @@
 	}
 }
 
-// emitEnd emits the end entry of a gang of which every member has stopped. It waits
-// for the verdict on the placement entry if one was emitted.
+// emitEnd emits the end entry of a gang of which every member has stopped. If a
+// placement entry was emitted, emitEnd first waits for the verdict on it.
 func (s *Scheduler) emitEnd(now unit.Instant, r *run) {
 	if r.endEmitted || r.placementEmitted && !r.verdictKnown {
 		return
@@ -172,8 +172,9 @@
 	}})
 }
 
-// finalOutcome turns a crash of a repeatable job into a requeue while the worker
-// may be the cause, and a requeue into a loss if the job must not be repeated.
+// finalOutcome returns the outcome to record in the log. A crash of a
+// repeatable job becomes a requeue while the worker may be the cause. A requeue
+// of a job that must not be repeated becomes a loss.
 func finalOutcome(r *run) record.Outcome {
 	if r.Outcome == record.Requeued && r.Job.AtMostOnce {
 		return record.Lost
--- a/core/sched/pass.go
+++ b/core/sched/pass.go
@@ -14,9 +14,9 @@
 	"curlewsill.org/curlewsill/core/unit"
 )
 
-// pass tries to start waiting jobs. A pass that an event triggered skips the groups
-// for which nothing was freed since they last found no room; a full pass, once per
-// fullPassInterval, tries all groups.
+// pass tries to start waiting jobs. A full pass, once per fullPassInterval,
+// tries all groups. Any other pass skips a group that found no room before,
+// unless something was freed since then.
 func (s *Scheduler) pass(now unit.Instant) {
 	full := now.Sub(s.lastFullPass) >= fullPassInterval
 	s.dirty = false
@@ -83,8 +83,9 @@
 		case noRoom:
 			return false
 		case preempting:
-			// Blocks are set aside for one pass only, so every pass must try this
-			// group until the job starts.
+			// The block is set aside for this pass only. Every pass must therefore
+			// try the group again until the job starts, even if nothing was freed
+			// in between.
 			group.NoRoomAt = 0
 			return true
 		}
@@ -146,8 +147,8 @@
 }
 
 // tryOutsideGuarantees starts the job on borrowed accelerators. If there is no
-// room, it preempts other gangs for an urgent job; if it can't, it reserves a block
-// for the job unless one is reserved already.
+// room and the job is urgent, it tries to preempt other gangs. If the job still
+// has no room, it reserves a block for the job unless one is reserved already.
 func (s *Scheduler) tryOutsideGuarantees(now unit.Instant, j record.Job) tryResult {
 	if s.tryBorrow(now, j) {
 		return started
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -15,10 +15,11 @@
 
 // Bounds of the state, so that it can't grow without limit.
 const (
-	// Window is the maximum number of records between the basis of a batch and the
-	// batch itself, and the number of records for which an idempotency key stays
-	// claimed. At the log's maximum rate of 100 records per second it is more than
-	// an hour.
+	// Window is the maximum number of records between the basis of a batch,
+	// which is the last record that its writer had applied, and the batch
+	// itself. It is also the number of records for which an idempotency key
+	// stays claimed. At the log's maximum rate of 100 records per second it is
+	// more than an hour.
 	Window = 400_000
 	// maxKeys is the maximum number of claimed keys. When it is reached, further
 	// claims are void and their requests are rejected as not run.
@@ -73,7 +74,7 @@
 	Epoch id.Epoch `cbor:"2,keyasint" json:"epoch"`
 }
 
-// Writer is the last batch of one incarnation of one host.
+// Writer records the last applied batch of one incarnation of one host.
 type Writer struct {
 	// Seq is the sequence number of the last batch applied. A batch with the same
 	// or a lower number is a duplicate.
@@ -95,7 +96,7 @@
 	Key      string      `cbor:"2,keyasint"`
 }
 
-// KeyHolder is the holder of a Key.
+// KeyHolder says which request, on which host, has claimed a Key.
 type KeyHolder struct {
 	Host    id.Host    `cbor:"1,keyasint"`
 	Request id.Request `cbor:"2,keyasint"`
--- a/core/worker/worker.go
+++ b/core/worker/worker.go
@@ -44,9 +44,9 @@
 	Incarnation uint64 `json:"life"`
 	// Tasks is the complete list, unless Base is set.
 	Tasks []WantedTask `json:"tasks,omitempty"`
-	// Base is the Seq of an earlier sync whose report the owner has received: the
-	// list is that of the earlier sync, and Until extends every lease in it. Base
-	// is 0 if Tasks is the complete list.
+	// Base is the Seq of an earlier sync whose report the owner has received,
+	// or 0 if Tasks is the complete list. If Base is set, the list is that of
+	// the earlier sync, and Until extends every lease in it.
 	Base  id.Seq        `json:"base,omitempty"`
 	Until time.Duration `json:"until,omitempty"`
 }
@@ -88,8 +88,9 @@
 	Denied TaskState = "denied"
 )
 
-// Ended reports whether a task in this state holds no accelerators any more. It
-// is true also for the empty state, which stands for a task without a report.
+// Ended reports whether a task in this state holds no accelerators any more.
+// The empty state, which stands for a task without a report, also counts as
+// ended.
 func (s TaskState) Ended() bool { return s != Gated && s != Running }
 
 // Task is the state of one task in a report.
@@ -117,10 +118,10 @@
 	// Tasks lists every task in the sync and every other task that the worker
 	// still holds.
 	Tasks []Task `json:"tasks,omitempty"`
-	// Base repeats the Base of the sync if the worker has the list of that earlier
-	// sync and no task has changed since its report on it; Tasks is empty then. If a
-	// task has changed, the worker answers with the complete list of its tasks. A
-	// worker that doesn't have the list of that sync answers so too, and ignores
+	// Base repeats the Base of the sync if the worker has the list of that
+	// earlier sync and no task has changed since its report on it. Tasks is
+	// empty then. Otherwise the worker answers with the complete list of its
+	// tasks. If it doesn't have the list of the earlier sync, it also ignores
 	// this sync.
 	Base id.Seq `json:"base,omitempty"`
 }
--- a/core/world/long_test.go
+++ b/core/world/long_test.go
@@ -32,10 +32,10 @@
 // their previous incarnations, and workers that are partitioned from the hosts
 // and from the list.
 //
-// It guards against owners that take such entries, or missing entries, as proof
-// that an incarnation has ended, and therefore run tasks twice: with them,
-// seeds 1 to 8 violated 6 to 47 checks each in 300 s ("was started again after
-// its end was noted").
+// It guards against owners that take an entry of a previous incarnation, or a
+// missing entry, as proof that an incarnation has ended, and therefore run
+// tasks twice. With such owners, seeds 1 to 8 violated 6 to 47 checks each in
+// 300 s ("was started again after its end was noted").
 func TestLongLives(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64, length time.Duration) *world.World {
 		return simulateLong(t, seed, incarnationKinds, length)
@@ -79,8 +79,9 @@
 	}
 }
 
-// crashingJobs returns a function that draws random jobs, of which one in
-// crashOneIn crashes its workers and gets more arguments.
+// crashingJobs returns a function that draws random jobs. On average, one in
+// crashOneIn of them crashes its workers. The arguments in more are added to
+// those jobs.
 func crashingJobs(seed uint64, more ...string) func(*rand.Rand) args {
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func(r *rand.Rand) args {
@@ -95,8 +96,9 @@
 // crashOneIn is the number of jobs of which one, on average, crashes workers.
 const crashOneIn = 8
 
-// longKinds are the kinds of faults of TestLong, and the others those of its
-// variants. Their order is part of what a seed determines.
+// longKinds are the kinds of faults of TestLong. The other variables have those
+// of its variants. The order of the kinds matters: with another order, a seed
+// gives another run.
 var (
 	longKinds = []world.FaultKind{
 		world.Kill, world.Silence, world.Drain, world.Fail, world.Busy, world.Mute, world.Slow, world.Late, world.StoreDown,
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -27,8 +27,8 @@
 const maxPeersTried = 3
 
 // tryPeer makes the call through a peer, and through further peers while the
-// call is refused. That is safe, since a refusal means that the call had no
-// effect; the server may refuse a peer just as it refuses this host.
+// call is refused: the server may refuse a peer just as it refuses this host.
+// Further tries are safe, since a refusal means that the call had no effect.
 func (p *Transport) tryPeer(req *http.Request, wait time.Duration) (*http.Response, error) {
 	resp, err := p.callThrough(req, wait, p.pick)
 	for tries := 1; tries < maxPeersTried && err == nil && refuses(resp.StatusCode) && p.hasUsablePeer(); tries++ {
@@ -65,8 +65,8 @@
 	return slices.ContainsFunc(p.peers, func(x Peer) bool { return !p.avoided(x.Address) })
 }
 
-// callThrough makes the call on a link to a peer. The call may wait at the
-// server for the given time.
+// callThrough makes the call on a link to a peer. wait is how long the call may
+// wait at the server.
 func (p *Transport) callThrough(req *http.Request, wait time.Duration, chooseLink linkChooser) (*http.Response, error) {
 	body, err := bodyOf(req)
 	if err != nil {
@@ -81,16 +81,17 @@
 	return NewResponse(req, res.Status, res.Body), nil
 }
 
-// maxTries bounds how often a call is made whose links die. A try on a dead
+// maxTries bounds how often a call is made if its links die. A try on a dead
 // link takes half a second, and opening a link at most 0.4 s, so three tries
 // fit into the time limit of most calls. Two tries weren't enough: on a busy
-// machine, one of 3,200 calls found that the second link wasn't opened in time.
+// machine, the second link wasn't opened in time for one of 3,200 calls.
 const maxTries = 3
 
-// callWithRetry makes a call on a link, and again on another link if the first
-// dies. What was sent on the dead link may have taken effect. A refusal of a
-// retry says nothing about the first try, so the outcome stays unknown unless a
-// further retry is answered.
+// callWithRetry makes a call on a link. If the link dies, callWithRetry retries
+// the call on another link, with at most maxTries tries. The call that was sent
+// on the dead link may have taken effect. If a retry is refused, this is still
+// possible, so a refusal isn't returned: the call is retried again, and its
+// outcome stays unknown until a retry is answered without a refusal.
 func (p *Transport) callWithRetry(ctx context.Context, chooseLink linkChooser, c call) (result, error) {
 	res, err := p.callOnce(ctx, chooseLink, c)
 	if errors.Is(err, errUnsent) {
@@ -138,11 +139,10 @@
 	return res, err
 }
 
-// retireQuietLinks is called when a link was found silent, and retires the
-// links that may have died with it: those that delivered no bytes for
-// inUsePingAfter. The dead link was silent for at least pongTimeout. Without
-// this, retries would use such links and calls would end with an unknown
-// outcome.
+// retireQuietLinks is called when a link was found silent. It retires the other
+// links that delivered no bytes for inUsePingAfter, since they may have died at
+// the same time: the dead link was silent for at least pongTimeout. Otherwise
+// retries would use these links, and calls would end with an unknown outcome.
 func (p *Transport) retireQuietLinks() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,8 +186,8 @@
 }
 
 // open returns the link to a peer: the open one, or else a new one. Calls that
-// need it at the same time share it. If each opened its own, it would replace
-// the links of the others, with their calls in flight.
+// need a new link at the same time share one. If each call opened a link, each
+// new link would replace the one before, on which calls are in flight.
 func (p *Transport) open(ctx context.Context, a string) (*link, error) {
 	p.mu.Lock()
 	if l := p.links[a]; l != nil && l.usable() {
@@ -223,7 +223,8 @@
 	close(o.done)
 }
 
-// linkFor returns a link to the peer of a path other than the direct one.
+// linkFor returns a link to the peer that a path leads through. The path isn't
+// the direct one.
 func (p *Transport) linkFor(ctx context.Context, index PathIndex) (*link, error) {
 	p.mu.Lock()
 	if int(index) > len(p.peers) {
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -20,9 +20,10 @@
 	// lastArrival is when bytes last arrived on the direct path.
 	lastArrival time.Time
 	// silent is set while the direct path is suspect because no bytes arrived
-	// on it. Each call would wait for its hedge delay there before a peer is
-	// tried, so the path is only probed, in parallel to calls. It is tried
-	// first again once a probe is answered.
+	// on it. If calls tried this path first, each would lose its hedge delay
+	// before a peer is tried. So calls try a peer first, and the direct path is
+	// probed in parallel. Once a probe is answered, calls try the direct path
+	// first again.
 	silent bool
 }
 
@@ -43,10 +44,11 @@
 	return true
 }
 
-// recordSilence marks the direct path silent if a peer has answered a call that
-// the direct path has had enough time to answer. If the store were slow for all
-// hosts, some other call would have been answered on the direct path in that
-// time, or the peer's answer would have been as late.
+// recordSilence marks the direct path silent if a peer has answered a call
+// quickly, while the direct path had enough time to answer it and delivered no
+// bytes. A store that is slow for all hosts doesn't cause this: in the same
+// time, another call would have been answered on the direct path, or the peer's
+// answer would have been as late.
 func (p *Transport) recordSilence(r *hedgedCall) {
 	now := time.Now()
 	if r.directStart.IsZero() || now.Sub(r.directStart) < r.backupDelay() || now.Sub(r.peerStart) >= hedgeDelay {
@@ -63,9 +65,9 @@
 		zap.Duration("silent", now.Sub(r.directStart)), zap.Duration("peer", now.Sub(r.peerStart)))
 }
 
-// probe makes a call on the direct path only to learn whether it is answered.
-// The caller gets its answer from a peer; the end of its request doesn't cancel
-// the probe.
+// probe makes a copy of a call on the direct path, only to find out whether
+// this path answers. The caller gets its answer from a peer. The probe isn't
+// canceled when the caller's request ends.
 func (p *Transport) probe(req *http.Request, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), wait+probeGrace)
 	defer cancel()
